--- a/crates/module/tests/replay.rs
+++ b/crates/module/tests/replay.rs
@@ -1,7 +1,7 @@
 //! Recorded days: every action of today's code against those that were recorded, so that a change of how
 //! decisions are computed is seen to change none. Each line of `replay/pinned.txt` is a digest of the actions
-//! of a thousand events, or the count of a day's actions by sort. They were first written by the code that
-//! walked all nodes and volumes (02ae8e1), and anew when the law of slow start changed.
+//! of a thousand events (as text, then as numbers), or the count of a day's actions by kind. They were first
+//! written by the code that walked all nodes and volumes (02ae8e1), and anew when the law of slow start changed.
 //!
 //! Requests that any node may serve draw from a stream of chance of their own: days with them are held
 //! against the recorded counts in `replay/free.txt`.
@@ -64,16 +64,37 @@
     }
 }
 
+/// An action as numbers: its kind, then its ids and times. No name of a type, variant or field is part of it.
+fn numbers(action: &Action) -> [u64; 4] {
+    let optional = |value: Option<u64>| value.map_or(0, |value| value + 1);
+    match action {
+        Action::Send { request, node, give_up } => [0, request.0, node.0.into(), optional(*give_up)],
+        Action::Refuse { request, retry_after } => [1, request.0, optional(*retry_after), 0],
+        Action::Fail { request } => [2, request.0, 0, 0],
+        Action::Wake { token, at } => [3, *token, *at, 0],
+        Action::Subscribe => [4, 0, 0, 0],
+        Action::Log { node, .. } => [5, optional(node.map(|node| node.0.into())), 0, 0],
+    }
+}
+
+fn digest(hasher: &mut FnvHasher, event: usize, now: Micros, action: &Action) {
+    let numbers = [event as u64, now].into_iter().chain(numbers(action));
+    numbers.for_each(|number| hasher.write(&number.to_le_bytes()));
+}
+
 fn record(plan: Plan) -> String {
     let (name, mut text) = (plan.name, String::new());
-    let mut digests = (0..EVENTS / BLOCK).map(|_| FnvHasher::default()).collect::<Vec<_>>();
+    let hashers = || (0..EVENTS / BLOCK).map(|_| FnvHasher::default()).collect::<Vec<_>>();
+    let (mut digests, mut digests_of_numbers) = (hashers(), hashers());
     let mut counts: BTreeMap<&str, u64> = BTreeMap::new();
     Day::new(plan).play(|number, now, action| {
         digests[number / BLOCK].write(format!("{number} {now} {action:?}\n").as_bytes());
+        digest(&mut digests_of_numbers[number / BLOCK], number, now, action);
         *counts.entry(sort(action)).or_default() += 1;
     });
-    for (block, digest) in digests.iter().enumerate() {
-        writeln!(text, "{name} {block} {:016x}", digest.finish()).expect("a string takes all");
+    for (block, (digest, of_numbers)) in digests.iter().zip(&digests_of_numbers).enumerate() {
+        let (digest, of_numbers) = (digest.finish(), of_numbers.finish());
+        writeln!(text, "{name} {block} {digest:016x} {of_numbers:016x}").expect("a string takes all");
     }
     for (sort, count) in counts {
         writeln!(text, "{name} {sort} {count}").expect("a string takes all");
