--- /dev/null
+++ b/crates/wires/tests/stored/handover.rs
@@ -0,0 +1,54 @@
+//! The state that one process hands to the next, as one line.
+
+use heathward_core::{DiscoveryUpdate, Member, State};
+use heathward_module::{ListKind, NodeState, ShardId};
+use heathward_wires::handover::{decode, encode};
+
+const STATE: &str = include_str!("fixtures/handover-state.json");
+
+fn member(id: &str, address: &str, zone: &str, shard: u32, state: NodeState, started: Option<u64>) -> Member {
+    Member {
+        id: id.into(),
+        address: address.parse().unwrap(),
+        zone: zone.into(),
+        shard: ShardId(shard),
+        state,
+        started,
+    }
+}
+
+/// Every field filled: nodes in every state, with and without a start, a zone, and of both kinds of address.
+fn state() -> State {
+    State {
+        list: DiscoveryUpdate {
+            revision: 9_007_199_254_740_993,
+            kind: ListKind::Whole,
+            members: vec![
+                member("s-ready", "127.0.0.1:9001", "a", 0, NodeState::Ready, None),
+                member(
+                    "s-draining",
+                    "10.1.0.18:8080",
+                    "b",
+                    3,
+                    NodeState::Draining,
+                    Some(1_700_000_000_123_456),
+                ),
+                member("s-gone", "[::1]:65535", "", u32::MAX, NodeState::Gone, Some(1_700_000_000_123_000)),
+                member("s-\"quoted\"\\\u{e9}\n", "127.0.0.1:9002", "a", 1, NodeState::Ready, Some(1)),
+            ],
+        },
+        suspended: vec!["s-ready".into(), "s-unlisted".into()],
+        cold: vec![("s-ready".into(), 1_700_000_000_123_456), ("s-draining".into(), u64::MAX)],
+        paused: true,
+    }
+}
+
+#[test]
+fn a_handover_state_is_encoded_to_the_stored_bytes() {
+    assert_eq!(encode(state()), STATE.strip_suffix('\n').unwrap());
+}
+
+#[test]
+fn the_stored_bytes_of_a_handover_decode_to_the_same_state() {
+    assert_eq!(decode(STATE.strip_suffix('\n').unwrap().as_bytes()), Ok(state()));
+}
