--- a/crates/wires/tests/stored/main.rs
+++ b/crates/wires/tests/stored/main.rs
@@ -2,3 +2,4 @@
 //! bytes in files: each is compared or read byte for byte.
 
 mod handover;
+mod ops;
