--- a/crates/scheduler/src/takeover.rs
+++ b/crates/scheduler/src/takeover.rs
@@ -64,7 +64,7 @@
 
 /// Does what the other process's coming and going asks for.
 pub fn follow(phase: PartnerPhase, service: &mut Service, meeting: &mut Meeting) -> io::Result<()> {
-    tracing::info!("the process beside this one: {phase:?}");
+    tracing::info!("the process beside this one: {phase}");
     service.share(phase != PartnerPhase::Gone);
     match phase {
         PartnerPhase::Starting => {}
--- a/crates/wires/src/discovery.rs
+++ b/crates/wires/src/discovery.rs
@@ -47,19 +47,28 @@
 /// A list on the wire.
 #[derive(Deserialize, Serialize)]
 pub(super) struct List {
+    #[serde(rename = "revision")]
     revision: u64,
+    #[serde(rename = "complete")]
     complete: bool,
+    #[serde(rename = "members")]
     members: Vec<Entry>,
 }
 
 /// One of its entries.
 #[derive(Deserialize, Serialize)]
 struct Entry {
+    #[serde(rename = "id")]
     id: String,
+    #[serde(rename = "host_port")]
     host_port: String,
+    #[serde(rename = "locality")]
     locality: Option<String>,
+    #[serde(rename = "cell")]
     cell: u32,
+    #[serde(rename = "phase")]
     phase: String,
+    #[serde(rename = "up_since_ms")]
     up_since_ms: Option<f64>,
 }
 
--- a/crates/wires/src/handover/codec.rs
+++ b/crates/wires/src/handover/codec.rs
@@ -7,15 +7,21 @@
 
 #[derive(Deserialize, Serialize)]
 struct Line {
+    #[serde(rename = "list")]
     list: List,
+    #[serde(rename = "suspended")]
     suspended: Vec<String>,
+    #[serde(rename = "cold")]
     cold: Vec<Cold>,
+    #[serde(rename = "paused")]
     paused: bool,
 }
 
 #[derive(Deserialize, Serialize)]
 struct Cold {
+    #[serde(rename = "id")]
     id: String,
+    #[serde(rename = "since_us")]
     since_us: u64,
 }
 
--- a/crates/wires/src/handover/mod.rs
+++ b/crates/wires/src/handover/mod.rs
@@ -8,6 +8,7 @@
 mod link;
 mod partner;
 
+use std::fmt;
 use std::net::SocketAddr;
 use std::os::fd::OwnedFd;
 use std::path::{Path, PathBuf};
@@ -42,6 +43,16 @@
     Gone,
 }
 
+impl fmt::Display for PartnerPhase {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            Self::Starting => "Starting",
+            Self::Serves => "Serves",
+            Self::Gone => "Gone",
+        })
+    }
+}
+
 /// Where the processes of the scheduler at that address meet; nowhere if the system chooses the port.
 pub fn path(listen: SocketAddr) -> Option<PathBuf> {
     (listen.port() != 0).then(|| std::env::temp_dir().join(format!("heathward-{listen}.sock")))
