--- /dev/null
+++ b/crates/scheduler/tests/pinned/http_answers.rs
@@ -0,0 +1,254 @@
+//! Each answer of the HTTP front, taken from a loopback connection.
+
+use std::fmt::Write;
+use std::time::Duration;
+
+use heathward_core::{Command, Message};
+use heathward_wires::discovery;
+use rstest::rstest;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::TcpStream;
+use tokio::time::{timeout, Instant};
+
+use heathward_standin::*;
+
+use crate::{assert_matches_fixture, masked};
+
+const HEALTH: &str = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
+/// Longer than what the program holds of a body.
+const LONG_BODY: usize = 100_000;
+/// Longer than any head that is read.
+const LONG_HEAD: usize = 1 << 20;
+/// Bodies are told by their length from here on.
+const PRINTED_BODY: usize = 1000;
+
+/// The next answer as it comes, without its body's bytes where that is long; the date masked.
+async fn next_answer(stream: &mut TcpStream) -> String {
+    let read = async {
+        let mut bytes = Vec::new();
+        let head_size = loop {
+            if let Some(at) = bytes.windows(4).position(|window| window == b"\r\n\r\n") {
+                break at + 4;
+            }
+            assert!(stream.read_buf(&mut bytes).await.unwrap() > 0, "an end: {bytes:?}");
+        };
+        let head = String::from_utf8(bytes[..head_size].to_vec()).unwrap();
+        let lower_case = head.to_lowercase();
+        let chunked = header(&lower_case, "transfer-encoding") == Some("chunked");
+        let length = header(&lower_case, "content-length").map_or(0, |length| length.parse().unwrap());
+        let complete =
+            |body: &[u8]| if chunked { body.ends_with(b"0\r\n\r\n") } else { body.len() >= length };
+        while !complete(&bytes[head_size..]) {
+            assert!(stream.read_buf(&mut bytes).await.unwrap() > 0, "an end in a body");
+        }
+        let body = String::from_utf8(bytes.split_off(head_size)).unwrap();
+        let body = match body.len() {
+            _ if chunked => "<chunks>".to_owned(),
+            long if long > PRINTED_BODY => format!("<{long} bytes>"),
+            _ => body,
+        };
+        masked(&head, "date") + &body
+    };
+    timeout(PATIENCE, read).await.expect("an answer")
+}
+
+async fn answer_to(rig: &Rig, request: &str) -> String {
+    let mut stream = TcpStream::connect(rig.front).await.unwrap();
+    stream.write_all(request.as_bytes()).await.unwrap();
+    next_answer(&mut stream).await
+}
+
+/// A scheduler before one node, which does that.
+async fn rig_before(does: &[Does]) -> Rig {
+    let node = http_node(0, does, &Log::default()).await;
+    rig(&[member("s0", node, 0, "in_service", 0)], None).await
+}
+
+fn say(text: String) -> Does {
+    Does::Say(Box::leak(text.into_boxed_str()))
+}
+
+#[rstest]
+#[case::held("served", Does::Serve)]
+#[case::empty("served_empty", Does::Say("HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n"))]
+#[case::long(
+    "served_long_with_length",
+    say(format!("HTTP/1.1 200 OK\r\ncontent-length: {LONG_BODY}\r\n\r\n{}", "x".repeat(LONG_BODY)))
+)]
+#[case::long_in_chunks(
+    "served_long_without_length",
+    say(format!(
+        "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n{LONG_BODY:x}\r\n{}\r\n0\r\n\r\n",
+        "x".repeat(LONG_BODY)
+    ))
+)]
+#[tokio::test]
+async fn served_answers_are_as_pinned(#[case] name: &str, #[case] does: Does) {
+    let rig = rig_before(&[does]).await;
+    let answer = answer_to(&rig, &request("consulta", 1, 0, 900, "")).await;
+    assert_matches_fixture(&format!("answer_{name}.txt"), &answer);
+}
+
+#[rstest]
+#[case::with_hint("shed_with_hint", true)]
+#[case::without_hint("shed_without_hint", false)]
+#[tokio::test]
+async fn shed_answers_are_as_pinned(#[case] name: &str, #[case] hints: bool) {
+    let node = http_node(0, &[Does::Reject], &Log::default()).await;
+    let text = config_text("127.0.0.1:1", "127.0.0.1:1", &member("s0", node, 0, "in_service", 0));
+    let hints = format!("\"retryAfter\":{hints}");
+    let rig = rig_of(&text.replace("\"retryAfter\":true", &hints), None).await;
+    let answer = answer_to(&rig, &request("pedido", 1, 0, 900, "")).await;
+    if let Some(value) = header(&answer.to_lowercase(), "retry-after") {
+        let (seconds, thousandths) = value.split_once('.').unwrap();
+        assert!(seconds.parse::<u32>().is_ok() && thousandths.len() == 3, "{value}");
+    }
+    assert_matches_fixture(&format!("answer_{name}.txt"), &masked(&answer, "retry-after"));
+}
+
+#[tokio::test]
+async fn a_duplicates_answer_is_as_pinned() {
+    let rig = rig_before(&[Does::Silent]).await;
+    let mut first = TcpStream::connect(rig.front).await.unwrap();
+    first.write_all(request("consulta", 1, 0, 900, "").as_bytes()).await.unwrap();
+    rig.until(|counters| counters.sent == 1).await;
+    let answer = answer_to(&rig, &request("consulta", 1, 0, 900, "")).await;
+    assert_matches_fixture("answer_duplicate.txt", &answer);
+}
+
+#[tokio::test]
+async fn a_failed_writes_answer_is_as_pinned() {
+    let rig = rig_before(&[Does::Error]).await;
+    let answer = answer_to(&rig, &request("pedido", 1, 0, 1400, "w")).await;
+    assert_matches_fixture("answer_failed.txt", &answer);
+}
+
+/// A request that is at a node when the program ends.
+#[tokio::test]
+async fn the_answer_of_a_request_past_its_deadline_is_as_pinned() {
+    let node = http_node(0, &[Does::Silent], &Log::default()).await;
+    let text = config_text("127.0.0.1:1", "127.0.0.1:1", &member("s0", node, 0, "in_service", 0));
+    let text = text.replace("\"aimMs\":150,\"deadlineMs\":1000", "\"aimMs\":8000,\"deadlineMs\":9000");
+    let rig = rig_of(&text, None).await;
+    let mut stream = TcpStream::connect(rig.front).await.unwrap();
+    stream.write_all(request("consulta", 1, 0, 9000, "").as_bytes()).await.unwrap();
+    rig.until(|counters| counters.sent == 1).await;
+    rig.core.end_by(Instant::now() + Duration::from_millis(20)).await;
+    assert_matches_fixture("answer_too_late.txt", &next_answer(&mut stream).await);
+}
+
+/// Each kind of request that makes no sense, by what is replaced in a good one.
+const MALFORMED: [(&str, &str, &str); 30] = [
+    ("no class", "X-Call-Class: consulta\r\n", ""),
+    ("unknown class", "X-Call-Class: consulta", "X-Call-Class: nada"),
+    ("other class in the path", "/consulta/", "/pedido/"),
+    ("no plan", "X-Plan: prioritario\r\n", ""),
+    ("unknown plan", "X-Plan: prioritario", "X-Plan: oro"),
+    ("two plans", "X-Plan: prioritario", "X-Plan: prioritario\r\nX-Plan: basico"),
+    ("plan not in ASCII", "X-Plan: prioritario", "X-Plan: prioritári"),
+    ("path too short", "/7f3a9c21e0b4d655", ""),
+    ("path too long", "/7f3a9c21e0b4d655", "/7f3a9c21e0b4d655/1"),
+    ("volume", "00000003b4d60021", "00000003b4d6002"),
+    ("piece of data", "7f3a9c21e0b4d655", "7f3a9c21e0b4d65z"),
+    ("no budget", "X-Budget-Ms: 900\r\n", ""),
+    ("budget in words", "X-Budget-Ms: 900", "X-Budget-Ms: soon"),
+    ("budget of zero", "X-Budget-Ms: 900", "X-Budget-Ms: 0"),
+    ("signed budget", "X-Budget-Ms: 900", "X-Budget-Ms: +900"),
+    ("no id", "X-Call-Id: 0000000000000001\r\n", ""),
+    ("id of other characters", "0000000000000001", "../../../etc"),
+    ("two ids", "X-Call-Id: 0", "X-Call-Id: 0000000000000002\r\nX-Call-Id: 0"),
+    ("no size", "X-IO: units=2,shard=0,hosts=1\r\n", ""),
+    ("negative units", "units=2", "units=-2"),
+    ("no units", "units=2", "units=0"),
+    ("too many units", "units=2", "units=9"),
+    ("shard", "shard=0", "shard=99999999999"),
+    ("no hosts", "hosts=1", "hosts=0"),
+    ("too many hosts", "hosts=1", "hosts=2"),
+    ("two further tries", "X-IO", "X-Again: 1\r\nX-Again: 1\r\nX-IO"),
+    ("method", "GET", "DELETE"),
+    ("method of a write", "GET /consulta", "PUT /consulta"),
+    ("body of a read", "Content-Length: 0\r\n", "Content-Length: 2\r\n"),
+    ("line", "GET /consulta", "GET  /consulta"),
+];
+
+#[tokio::test]
+async fn answers_to_malformed_requests_are_as_pinned() {
+    let rig = rig_before(&[Does::Serve]).await;
+    let good = request("consulta", 1, 0, 900, "");
+    let mut answers = String::new();
+    for (name, from, to) in MALFORMED {
+        assert!(good.contains(from), "{name}");
+        let answer = answer_to(&rig, &(good.replacen(from, to, 1) + "xy")).await;
+        write!(answers, "--- {name}\n{answer}\n").unwrap();
+    }
+    let write = request("pedido", 1, 0, 900, "0\r\n\r\n");
+    let lengths = "Content-Length: 5\r\nTransfer-Encoding: chunked";
+    for (name, from, to) in [
+        ("no idempotency key", "Idempotency-Key: k1\r\n", ""),
+        ("two lengths", "Content-Length: 5", lengths),
+        ("too long a body", "Content-Length: 5", "Content-Length: 60000000"),
+        ("a chunk that is none", "Content-Length: 5\r\n", "Transfer-Encoding: chunked\r\n"),
+    ] {
+        let text = write.replace(from, to).replace("\r\n\r\n0\r\n\r\n", "\r\n\r\nzz\r\n\r\n");
+        let answer = answer_to(&rig, &text).await;
+        write!(answers, "--- {name}\n{answer}\n").unwrap();
+    }
+    let head = good.trim_end().to_owned() + "\r\nX-Pad: " + &"x".repeat(LONG_HEAD);
+    write!(answers, "--- too long a head\n{}\n", answer_to(&rig, &head).await).unwrap();
+    assert_matches_fixture("answers_malformed.txt", &answers);
+}
+
+#[rstest]
+#[case::head("slow_head", "GET /consulta/0000")]
+#[case::body("slow_body", "PUT /pedido/1/2 HTTP/1.1\r\nContent-Length: 9\r\n\r\nabc")]
+#[tokio::test]
+async fn answers_to_requests_that_do_not_end_are_as_pinned(#[case] name: &str, #[case] text: &str) {
+    let rig = rig(&[], None).await;
+    assert_matches_fixture(&format!("answer_{name}.txt"), &answer_to(&rig, text).await);
+}
+
+#[tokio::test]
+async fn health_answers_are_as_pinned() {
+    let rig = rig_before(&[Does::Serve]).await;
+    rig.until_ready(true).await;
+    let ready = answer_to(&rig, HEALTH).await;
+    rig.core.command(Command::Pause, false).await.unwrap().unwrap();
+    let paused = answer_to(&rig, HEALTH).await;
+    let served = answer_to(&rig, &request("consulta", 1, 0, 900, "")).await;
+    rig.core.command(Command::Resume, false).await.unwrap().unwrap();
+    let nothing = r#"{"revision":99,"complete":true,"members":[]}"#;
+    rig.core.discovery_mailbox().send(Message::Update(discovery::parse(nothing).unwrap())).await.unwrap();
+    rig.until_ready(false).await;
+    let no_list = answer_to(&rig, HEALTH).await;
+    let answers = format!(
+        "--- ready\n{ready}\n--- paused\n{paused}\n--- served while paused\n{served}\n--- no list\n{no_list}\n"
+    );
+    assert_matches_fixture("answers_health.txt", &answers);
+}
+
+/// The list of the start is stood by by nobody yet. The answer's length goes by its number's.
+#[tokio::test]
+async fn the_health_answer_without_discovery_is_as_pinned() {
+    let member = member("s0", nobody().1, 0, "in_service", 0);
+    let text = config_text("127.0.0.1:1", "127.0.0.1:1", &member);
+    let text = text.replacen(r#""safety":{"#, r#""safety":{"stopSendingWithinMs":250,"#, 1);
+    let rig = rig_of(&text, None).await;
+    let answer = answer_to(&rig, HEALTH).await;
+    let (before, after) = answer.split_once(" for ").unwrap();
+    let elapsed = after.strip_suffix(" ms\n").unwrap();
+    assert!(elapsed.parse::<u64>().is_ok(), "{answer}");
+    let length =
+        format!("content-length: {}\r\n", "nothing heard from discovery for  ms\n".len() + elapsed.len());
+    assert!(before.contains(&length), "{answer}");
+    let answer = masked(before, "content-length") + " for <elapsed> ms\n";
+    assert_matches_fixture("answer_health_without_discovery.txt", &answer);
+}
+
+/// Another process takes what comes: clients are sent there by the answer.
+#[tokio::test]
+async fn answers_of_a_replaced_scheduler_are_as_pinned() {
+    let rig = rig_before(&[Does::Serve]).await;
+    rig.core.replace(true);
+    let answer = answer_to(&rig, &request("consulta", 1, 0, 900, "")).await;
+    assert_matches_fixture("answer_served_and_closed.txt", &answer);
+}
--- /dev/null
+++ b/crates/scheduler/tests/pinned/main.rs
@@ -0,0 +1,26 @@
+//! What others read of this program, byte for byte: HTTP answers, what storage nodes are sent, and the messages
+//! of `heathward check`. The files under `fixtures/` hold it and do not change with the code's names.
+
+mod http_answers;
+
+use std::path::Path;
+
+/// Compares with the fixture of that name. What differs is left in the target folder, to be looked at.
+fn assert_matches_fixture(name: &str, actual: &str) {
+    let fixture = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/pinned/fixtures").join(name);
+    let expected = std::fs::read(&fixture).unwrap_or_default();
+    if expected != actual.as_bytes() {
+        let other = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
+        std::fs::write(&other, actual).unwrap();
+        panic!("not as in {}: see {}", fixture.display(), other.display());
+    }
+}
+
+/// The text with the value of a header replaced, where it is there, by the header's name.
+fn masked(head: &str, name: &str) -> String {
+    let line = |line: &str| match line.split_once(": ") {
+        Some((found, _)) if found.eq_ignore_ascii_case(name) => format!("{found}: <{name}>\r\n"),
+        _ => line.to_owned(),
+    };
+    head.split_inclusive('\n').map(line).collect()
+}
