--- a/crates/scheduler/tests/pinned/main.rs
+++ b/crates/scheduler/tests/pinned/main.rs
@@ -2,6 +2,7 @@
 //! of `heathward check`. The files under `fixtures/` hold it and do not change with the code's names.
 
 mod http_answers;
+mod node_requests;
 
 use std::path::Path;
 
--- /dev/null
+++ b/crates/scheduler/tests/pinned/node_requests.rs
@@ -0,0 +1,78 @@
+//! What a storage node is sent, as it read it from its connection.
+
+use std::fmt::Write;
+
+use heathward_standin::*;
+
+use crate::{assert_matches_fixture, masked};
+
+/// Longer than what the program holds of a body.
+const LONG_BODY: usize = 100_000;
+
+/// What was sent, in order. The node's address and what is left of the client's time are masked.
+fn sent(log: &Log) -> String {
+    let mut text = String::new();
+    for seen in log.all() {
+        let head = masked(&masked(&seen.head, "host"), "x-budget-ms");
+        let body = match seen.body.len() {
+            long if long > 1000 => format!("<{long} bytes>"),
+            _ => String::from_utf8(seen.body).unwrap(),
+        };
+        writeln!(text, "{head}{body}").unwrap();
+    }
+    text
+}
+
+/// What one request makes a node be sent, which answers as the script says.
+async fn sent_for(request: &str, script: &[Does]) -> String {
+    let log = Log::default();
+    let node = http_node(0, script, &log).await;
+    let text = config_text("127.0.0.1:1", "127.0.0.1:1", &member("s0", node, 0, "in_service", 0));
+    // A write without a key, where the settings ask for none.
+    let text = match request.contains("Idempotency-Key") {
+        true => text,
+        false => text.replace(r#""repeat":"guarded""#, r#""repeat":"single_shot""#),
+    };
+    let rig = rig_of(&text, None).await;
+    assert_eq!(rig.ask(request).await.0, 200);
+    sent(&log)
+}
+
+#[tokio::test]
+async fn requests_to_nodes_are_as_pinned() {
+    let write = request("pedido", 2, 0, 1400, "a write");
+    let keyless = write.replace("Idempotency-Key: k2\r\n", "");
+    let long = "x".repeat(LONG_BODY);
+    let streamed = request("pedido", 3, 0, 1400, &long);
+    let length = format!("Content-Length: {LONG_BODY}\r\n");
+    let chunked = streamed.replace(&length, "Transfer-Encoding: chunked\r\n");
+    let chunked = chunked.replace(&long, &format!("{LONG_BODY:x}\r\n{long}\r\n0\r\n\r\n"));
+    let retried = [Does::Error, Does::Serve];
+    let mut all = String::new();
+    for (name, request, script) in [
+        ("read", request("consulta", 1, 0, 900, ""), &[Does::Serve][..]),
+        ("write", keyless, &[Does::Serve]),
+        ("keyed write", write.clone(), &[Does::Serve]),
+        ("keyed write without a body", request("pedido", 2, 0, 1400, ""), &[Does::Serve]),
+        ("streamed write", streamed, &[Does::Serve]),
+        ("streamed write without a length", chunked, &[Does::Serve]),
+        ("read and its retry", request("consulta", 1, 0, 900, ""), &retried),
+        ("keyed write and its retry", write, &retried),
+    ] {
+        write!(all, "--- {name}\n{}", sent_for(&request, script).await).unwrap();
+    }
+    assert_matches_fixture("node_requests.txt", &all);
+}
+
+/// Guards against a mask that hides what makes no sense.
+#[tokio::test]
+async fn the_budget_header_tells_whole_milliseconds() {
+    let log = Log::default();
+    let node = http_node(0, &[Does::Serve], &log).await;
+    let rig = rig(&[member("s0", node, 0, "in_service", 0)], None).await;
+    assert_eq!(rig.ask(&request("consulta", 1, 0, 900, "")).await.0, 200);
+    let head = log.all()[0].head.to_lowercase();
+    let budget = header(&head, "x-budget-ms").unwrap();
+    assert!((1..=900).contains(&budget.parse::<u32>().unwrap()) && !budget.starts_with('+'), "{budget}");
+    assert_eq!(header(&head, "host"), Some(node.to_string().as_str()));
+}
