--- a/crates/config/tests/operator_file.rs
+++ b/crates/config/tests/operator_file.rs
@@ -1,5 +1,5 @@
-//! An operator file with every setting, as it is evaluated and as it is read. What the files under `fixtures/`
-//! hold does not change with the code's names.
+//! An operator file with every setting, as it is evaluated and as it is read. The files under `fixtures/` do
+//! not change with the code's names.
 
 use std::fmt::Write;
 use std::path::{Path, PathBuf};
--- a/crates/scheduler/tests/pinned/check_messages.rs
+++ b/crates/scheduler/tests/pinned/check_messages.rs
@@ -50,6 +50,26 @@
     said
 }
 
+/// The command line, as the program describes it.
+#[test]
+fn the_help_texts_are_as_pinned() {
+    let mut said = String::new();
+    for arguments in
+        [&["--help"][..], &["-h"], &["check", "--help"], &["check"], &["--rules", "x"], &["--nothing"]]
+    {
+        let output = Command::new(env!("CARGO_BIN_EXE_heathward"))
+            .args(arguments)
+            .env_remove("GW_CONFIG")
+            .output()
+            .unwrap();
+        let (out, error) =
+            (String::from_utf8(output.stdout).unwrap(), String::from_utf8(output.stderr).unwrap());
+        let code = output.status.code().unwrap();
+        write!(said, "--- {arguments:?}\n{out}--- stderr\n{error}--- exit {code}\n").unwrap();
+    }
+    assert_matches_fixture("help.txt", &said);
+}
+
 #[test]
 fn messages_on_good_files_are_as_pinned() {
     let folder = folder("good");
@@ -170,8 +190,8 @@
         ("[0, 1]", "[]"),
         (
             "\"namespaces\": [",
-            "\"namespaces\": [{\"nsid\": 1, \"volume\": \"1\", \"plan\": \"basico\", \"hosts\": 1, \"blocks\": 1, \
-             \"stripe\": 1, \"shards\": [0]}, ",
+            "\"namespaces\": [{\"nsid\": 1, \"volume\": \"1\", \"plan\": \"basico\", \"hosts\": 1, \
+             \"blocks\": 1, \"stripe\": 1, \"shards\": [0]}, ",
         ),
     ];
     assert_matches_fixture(
--- a/crates/scheduler/tests/pinned/http_answers.rs
+++ b/crates/scheduler/tests/pinned/http_answers.rs
@@ -221,7 +221,8 @@
     rig.until_ready(false).await;
     let no_list = answer_to(&rig, HEALTH).await;
     let answers = format!(
-        "--- ready\n{ready}\n--- paused\n{paused}\n--- served while paused\n{served}\n--- no list\n{no_list}\n"
+        "--- ready\n{ready}\n--- paused\n{paused}\n--- served while paused\n{served}\n\
+         --- no list\n{no_list}\n"
     );
     assert_matches_fixture("answers_health.txt", &answers);
 }
--- a/crates/scheduler/tests/pinned/main.rs
+++ b/crates/scheduler/tests/pinned/main.rs
@@ -1,5 +1,5 @@
-//! What others read of this program, byte for byte: HTTP answers, what storage nodes are sent, and the messages
-//! of `heathward check`. The files under `fixtures/` hold it and do not change with the code's names.
+//! What others read of this program, byte for byte: HTTP answers, what storage nodes are sent, and the help
+//! texts and messages of the command line. The files under `fixtures/` do not change with the code's names.
 
 mod check_messages;
 mod http_answers;
