--- a/crates/incident/src/audit.rs
+++ b/crates/incident/src/audit.rs
@@ -53,10 +53,12 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Breach {
     /// When: a boot's own time at first, then the common one.
+    #[serde(rename = "at")]
     pub at: Micros,
     /// The scheduler, or none where it took several.
     pub scheduler: String,
     /// What happened.
+    #[serde(rename = "why")]
     pub why: String,
 }
 
@@ -64,10 +66,13 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Checked {
     /// Requests, attempts or seconds that were looked at.
+    #[serde(rename = "looked")]
     pub looked: u64,
     /// How often it was broken.
+    #[serde(rename = "broken")]
     pub broken: u64,
     /// The first of these.
+    #[serde(rename = "breaches")]
     pub breaches: Vec<Breach>,
 }
 
--- a/crates/incident/src/findings.rs
+++ b/crates/incident/src/findings.rs
@@ -21,49 +21,94 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub enum What {
     /// A node drained by the list.
+    #[serde(rename = "Draining")]
     Draining,
     /// A node was taken out by hand.
+    #[serde(rename = "Suspended")]
     Suspended,
     /// A node was down or silent.
+    #[serde(rename = "Silent")]
     Silent,
     /// A node was cold.
+    #[serde(rename = "Cold")]
     Cold,
     /// A node left the list.
+    #[serde(rename = "Gone")]
     Gone,
     /// A scheduler ended without a last word.
+    #[serde(rename = "Killed")]
     Killed,
     /// A scheduler began.
+    #[serde(rename = "Started")]
     Started,
     /// A scheduler ended by plan.
+    #[serde(rename = "Ended")]
     Ended,
     /// A process took over from another.
+    #[serde(rename = "TookOver")]
     TookOver,
     /// Clients were sent away.
+    #[serde(rename = "Paused")]
     Paused,
     /// Nothing was sent by a list that discovery no longer stood by.
+    #[serde(rename = "Stopped")]
     Stopped,
     /// A configuration was not taken.
+    #[serde(rename = "Refused")]
     Refused,
     /// A wall clock was off.
+    #[serde(rename = "ClockOff")]
     ClockOff,
     /// A wall clock stepped.
+    #[serde(rename = "ClockStep")]
     ClockStep,
     /// Records are missing.
+    #[serde(rename = "Missing")]
     Missing,
     /// A class was not served as it should be.
+    #[serde(rename = "Class")]
     Class,
     /// A rule was broken.
+    #[serde(rename = "Breach")]
     Breach,
 }
 
+impl What {
+    /// Its name in JSON and CSV; it stays when the variant is renamed.
+    pub fn name(self) -> &'static str {
+        match self {
+            Self::Draining => "Draining",
+            Self::Suspended => "Suspended",
+            Self::Silent => "Silent",
+            Self::Cold => "Cold",
+            Self::Gone => "Gone",
+            Self::Killed => "Killed",
+            Self::Started => "Started",
+            Self::Ended => "Ended",
+            Self::TookOver => "TookOver",
+            Self::Paused => "Paused",
+            Self::Stopped => "Stopped",
+            Self::Refused => "Refused",
+            Self::ClockOff => "ClockOff",
+            Self::ClockStep => "ClockStep",
+            Self::Missing => "Missing",
+            Self::Class => "Class",
+            Self::Breach => "Breach",
+        }
+    }
+}
+
 /// One sentence.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Finding {
     /// When it began, Unix time in microseconds on the common clock.
+    #[serde(rename = "at")]
     pub at: Micros,
     /// When it ended, where it did.
+    #[serde(rename = "until")]
     pub until: Option<Micros>,
     /// What it is about.
+    #[serde(rename = "what")]
     pub what: What,
     /// The node, scheduler, class or rule.
     pub subject: String,
--- a/crates/incident/src/fold.rs
+++ b/crates/incident/src/fold.rs
@@ -30,20 +30,38 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum Missing {
     /// The writer did not keep up; told by the scheduler.
+    #[serde(rename = "Queue")]
     Queue,
     /// The disk did not take records; told by the scheduler.
+    #[serde(rename = "Disk")]
     Disk,
     /// Bytes of a segment are damaged.
+    #[serde(rename = "Damage")]
     Damage,
     /// Events are not there, and nothing says why: a segment was deleted, perhaps.
+    #[serde(rename = "Lost")]
     Lost,
     /// Of a schema that this program does not read.
+    #[serde(rename = "Newer")]
     Newer,
     /// The process ended without a last word.
+    #[serde(rename = "Cut")]
     Cut,
 }
 
 impl Missing {
+    /// Its name in JSON and CSV; it stays when the variant is renamed.
+    pub fn name(self) -> &'static str {
+        match self {
+            Self::Queue => "Queue",
+            Self::Disk => "Disk",
+            Self::Damage => "Damage",
+            Self::Lost => "Lost",
+            Self::Newer => "Newer",
+            Self::Cut => "Cut",
+        }
+    }
+
     /// In words.
     pub fn words(self) -> &'static str {
         match self {
--- a/crates/incident/src/series.rs
+++ b/crates/incident/src/series.rs
@@ -132,18 +132,23 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct ClassCounts {
     /// Requests taken.
+    #[serde(rename = "taken")]
     pub taken: u64,
     /// Served within the aim.
+    #[serde(rename = "in_aim")]
     pub in_aim: u64,
     /// Served after it.
     pub late: u64,
     /// Refused, by [`heathward_records::REFUSALS`].
+    #[serde(rename = "refused")]
     pub refused: [u64; 5],
     /// Failed, by [`heathward_records::FAILURES`].
     pub failed: [u64; 4],
     /// Whose client left.
+    #[serde(rename = "gone")]
     pub gone: u64,
     /// Times of the served.
+    #[serde(rename = "times")]
     pub times: Times,
 }
 
@@ -184,12 +189,16 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct NodeCounts {
     /// Attempts that were sent.
+    #[serde(rename = "sent")]
     pub sent: u64,
     /// Units of those that went there while it was cold.
+    #[serde(rename = "cold_units")]
     pub cold_units: u64,
     /// Ends, by [`heathward_records::ENDS`].
+    #[serde(rename = "ends")]
     pub ends: [u64; 8],
     /// Most that one scheduler had out there at once.
+    #[serde(rename = "most_out")]
     pub most_out: u64,
 }
 
--- a/crates/report/src/tables.rs
+++ b/crates/report/src/tables.rs
@@ -5,7 +5,7 @@
 use heathward_incident::audit::{Checked, Rule};
 use heathward_incident::findings::Finding;
 use heathward_incident::{ClassCounts, Ending, Incident, Missing, NodeCounts};
-use heathward_records::{Micros, NodeState, ENDS, FAILURES, REFUSALS};
+use heathward_records::{Micros, NodeState, Why, ENDS, FAILURES, REFUSALS};
 use serde::Serialize;
 
 /// Names of the CSV files, in the order of [`Tables::csv`].
@@ -15,13 +15,16 @@
 /// All that a report says. Times are Unix time in microseconds on the common clock.
 #[derive(Debug, Serialize)]
 pub struct Tables {
+    #[serde(rename = "from")]
     from: Micros,
+    #[serde(rename = "to")]
     to: Micros,
     findings: Vec<Finding>,
     classes: Vec<ClassRow>,
     nodes: Vec<NodeRow>,
     states: Vec<StateRow>,
     schedulers: Vec<SchedulerRow>,
+    #[serde(rename = "holes")]
     holes: Vec<HoleRow>,
     rules: Vec<RuleRow>,
 }
@@ -30,7 +33,9 @@
 #[derive(Debug, Serialize)]
 struct ClassRow {
     class: String,
+    #[serde(rename = "from")]
     from: Micros,
+    #[serde(rename = "width")]
     width: Micros,
     /// Something is missing: the counts are the least that there can have been.
     at_least: bool,
@@ -44,7 +49,9 @@
 #[derive(Debug, Serialize)]
 struct NodeRow {
     node: String,
+    #[serde(rename = "from")]
     from: Micros,
+    #[serde(rename = "width")]
     width: Micros,
     at_least: bool,
     #[serde(flatten)]
@@ -57,9 +64,12 @@
     node: String,
     scheduler: String,
     boot: String,
+    #[serde(rename = "from")]
     from: Micros,
+    #[serde(rename = "to")]
     to: Micros,
     state: &'static str,
+    #[serde(rename = "why")]
     why: String,
 }
 
@@ -68,13 +78,19 @@
 struct SchedulerRow {
     scheduler: String,
     boot: String,
+    #[serde(rename = "from")]
     from: Micros,
+    #[serde(rename = "to")]
     to: Micros,
+    #[serde(rename = "ended")]
     ended: &'static str,
     /// Its wall clock against the common one.
+    #[serde(rename = "ahead_us")]
     ahead_us: i64,
     /// How far that can be wrong, either way, where it is known.
+    #[serde(rename = "less_us")]
     less_us: Option<i64>,
+    #[serde(rename = "more_us")]
     more_us: Option<i64>,
     /// Runs with the same number have something in common that their clocks go by.
     group: usize,
@@ -85,9 +101,12 @@
 struct HoleRow {
     scheduler: String,
     boot: String,
+    #[serde(rename = "from")]
     from: Micros,
+    #[serde(rename = "to")]
     to: Micros,
     events: u64,
+    #[serde(rename = "why")]
     why: Missing,
 }
 
@@ -122,6 +141,17 @@
     }
 }
 
+/// A reason as the tables have it; it stays when a variant is renamed.
+fn reason(why: Why) -> String {
+    match why {
+        Why::List(revision) => format!("List({revision})"),
+        Why::Order => "Order".to_owned(),
+        Why::Handover => "Handover".to_owned(),
+        Why::Attempt(end) => format!("Attempt({})", end.name()),
+        Why::Time => "Time".to_owned(),
+    }
+}
+
 impl Tables {
     /// Those of an incident.
     pub fn of(incident: &Incident) -> Self {
@@ -168,7 +198,7 @@
                     from: span.from,
                     to: span.to,
                     state: word(span.state),
-                    why: format!("{:?}", span.why),
+                    why: reason(span.why),
                 }));
             }
         }
@@ -235,7 +265,7 @@
                     vec![
                         f.at.to_string(),
                         some(f.until),
-                        format!("{:?}", f.what),
+                        f.what.name().to_owned(),
                         f.subject.clone(),
                         f.text.clone(),
                     ]
@@ -315,7 +345,7 @@
                 &strings(&["scheduler", "boot", "from_us", "to_us", "events", "why"]),
                 self.holes.iter().map(|row| {
                     let (from, to) = (row.from.to_string(), row.to.to_string());
-                    let why = format!("{:?}", row.why);
+                    let why = row.why.name().to_owned();
                     vec![row.scheduler.clone(), row.boot.clone(), from, to, row.events.to_string(), why]
                 }),
             ),
--- a/crates/rig/src/audit.rs
+++ b/crates/rig/src/audit.rs
@@ -200,6 +200,23 @@
     Held,
 }
 
+impl Rule {
+    /// The rule's name in what is printed; it stays when the variant is renamed.
+    pub fn name(self) -> &'static str {
+        match self {
+            Self::Answer => "Answer",
+            Self::TwoAnswers => "TwoAnswers",
+            Self::AtOnce => "AtOnce",
+            Self::Shard => "Shard",
+            Self::Window => "Window",
+            Self::Leaving => "Leaving",
+            Self::Cold => "Cold",
+            Self::Limit => "Limit",
+            Self::Held => "Held",
+        }
+    }
+}
+
 /// A rule broken, once.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Breach {
@@ -213,7 +230,7 @@
 
 impl fmt::Display for Breach {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:?} at {:.3} s: {}", self.rule, self.at as f64 / 1e6, self.text)
+        write!(f, "{} at {:.3} s: {}", self.rule.name(), self.at as f64 / 1e6, self.text)
     }
 }
 
