--- a/crates/ctl/src/records.rs
+++ b/crates/ctl/src/records.rs
@@ -9,8 +9,11 @@
 use heathward_records::read::{segments, Item, SegmentFile, SegmentReader};
 use heathward_records::{Event, Record};
 
+use self::text::Text;
 use crate::outcome::Outcome;
 
+mod text;
+
 /// Calls `take` with each item of a segment; a segment that is gone meanwhile has none, and says so.
 fn each(segment: &SegmentFile, mut take: impl FnMut(Item) -> io::Result<()>) -> io::Result<()> {
     let mut reader = match SegmentReader::open(segment) {
@@ -150,12 +153,13 @@
                     let (seconds, micros) = (at.wall / 1_000_000, at.wall % 1_000_000);
                     writeln!(
                         out,
-                        "{} {seconds}.{micros:06} +{:.6} #{seq} {event:?}",
+                        "{} {seconds}.{micros:06} +{:.6} #{seq} {:?}",
                         name.scheduler,
-                        at.mono as f64 / 1e6
+                        at.mono as f64 / 1e6,
+                        Text(&event)
                     )
                 }
-                other => writeln!(out, "{} {other:?}", name.scheduler),
+                other => writeln!(out, "{} {:?}", name.scheduler, Text(&other)),
             })?;
         }
         out.flush()?;
--- a/crates/records/src/event.rs
+++ b/crates/records/src/event.rs
@@ -168,6 +168,18 @@
     Failed,
 }
 
+impl Kind {
+    /// Its name in exports and listings; it stays when the variant is renamed.
+    pub fn name(self) -> &'static str {
+        match self {
+            Self::Changes => "Changes",
+            Self::Whole => "Whole",
+            Self::Saved => "Saved",
+            Self::Failed => "Failed",
+        }
+    }
+}
+
 /// News of the list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "Listed")]
@@ -332,6 +344,19 @@
     Lost,
 }
 
+impl Refusal {
+    /// Its name in exports and listings; it stays when the variant is renamed.
+    pub fn name(self) -> &'static str {
+        match self {
+            Self::NotAdmitted => "NotAdmitted",
+            Self::GivenUp => "GivenUp",
+            Self::TurnedAway => "TurnedAway",
+            Self::NotConnected => "NotConnected",
+            Self::Lost => "Lost",
+        }
+    }
+}
+
 /// All reasons, in the order of the counts in [`ClassSecond::refused`].
 pub const REFUSALS: [(Refusal, &str); 5] = [
     (Refusal::NotAdmitted, "not admitted"),
@@ -358,6 +383,18 @@
     Other,
 }
 
+impl Failure {
+    /// Its name in exports and listings; it stays when the variant is renamed.
+    pub fn name(self) -> &'static str {
+        match self {
+            Self::Late => "Late",
+            Self::LateMayHaveRun => "LateMayHaveRun",
+            Self::MayHaveRun => "MayHaveRun",
+            Self::Other => "Other",
+        }
+    }
+}
+
 /// All of these, in the order of the counts in [`ClassSecond::failed`].
 pub const FAILURES: [(Failure, &str); 4] = [
     (Failure::Late, "time passed"),
@@ -493,6 +530,16 @@
     Disk,
 }
 
+impl GapCause {
+    /// Its name in exports and listings; it stays when the variant is renamed.
+    pub fn name(self) -> &'static str {
+        match self {
+            Self::Queue => "Queue",
+            Self::Disk => "Disk",
+        }
+    }
+}
+
 /// So many events were lost between these times.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "Gap")]
