--- a/Makefile
+++ b/Makefile
@@ -16,7 +16,7 @@
 	GW_CONFIG=examples/config.json target/release/heathward --nvme examples/nvme.json
 
 toy:
-	cargo build --locked -p heathward-standin
+	cargo build --locked -p heathward-fakes
 	target/debug/heathward-toy-node 127.0.0.1:9100 & target/debug/heathward-toy-node 127.0.0.1:9101; wait
 
 # Figures that a change must keep, each with its bound; exit code 1 when one falls short.
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -4,9 +4,9 @@
 
 use miniserde::json::{self, Value};
 
-use heathward_load::Rules;
-use heathward_module::settings::{ConfigError, Deployment};
-use heathward_wires::nvme::Map;
+use heathward_load_sources::Rules;
+use heathward_policy::settings::{ConfigError, Deployment};
+use heathward_transport::nvme::Map;
 
 use crate::{parse, read, this_program, Operator};
 
--- a/crates/config/src/jsonnet.rs
+++ b/crates/config/src/jsonnet.rs
@@ -8,7 +8,7 @@
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
 
-use heathward_module::settings::ConfigError;
+use heathward_policy::settings::ConfigError;
 use jrsonnet_evaluator::{EvaluationState, FileImportResolver, ManifestFormat};
 use rustix::process::{setrlimit, Resource, Rlimit};
 
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -11,11 +11,11 @@
 use miniserde::json::{self, Value};
 
 use heathward_core::DiscoveryUpdate;
-use heathward_load::Rules;
-use heathward_module::settings::{ConfigError, Deployment, Named, Tree};
-use heathward_module::ListKind;
-use heathward_wires::discovery;
-use heathward_wires::nvme::Map;
+use heathward_load_sources::Rules;
+use heathward_policy::settings::{ConfigError, Deployment, Named, Tree};
+use heathward_policy::ListKind;
+use heathward_transport::discovery;
+use heathward_transport::nvme::Map;
 
 pub use check::{check, deployment, Kind};
 pub use jsonnet::{bound_this_process, evaluate, this_program};
--- a/crates/config/src/operator.rs
+++ b/crates/config/src/operator.rs
@@ -3,12 +3,12 @@
 
 use std::path::{Path, PathBuf};
 
+use heathward_event_log::segment::Rotation;
+use heathward_event_log::Limits;
+use heathward_event_recorder::{Clock, Settings};
 use heathward_logs::{Filter, Format};
-use heathward_module::settings::{ConfigError, Deployment, Named, Tree};
-use heathward_recorder::{Clock, Settings};
-use heathward_records::segment::Rotation;
-use heathward_records::Limits;
-use heathward_wires::nvme::Map;
+use heathward_policy::settings::{ConfigError, Deployment, Named, Tree};
+use heathward_transport::nvme::Map;
 use miniserde::json::{self, Value};
 
 use crate::jsonnet;
--- a/crates/core/src/actor/attempts.rs
+++ b/crates/core/src/actor/attempts.rs
@@ -10,7 +10,7 @@
 use crate::message::Message;
 use crate::observe::{Note, Treated};
 use crate::{Answer, Attempt, Ended};
-use heathward_module::{Effect, End, Event, Micros, NodeId, Outcome, RequestId};
+use heathward_policy::{Effect, End, Event, Micros, NodeId, Outcome, RequestId};
 
 impl Actor {
     /// The one place where attempts go out. Guards against a second one beside another, one after the final
--- a/crates/core/src/actor/handle.rs
+++ b/crates/core/src/actor/handle.rs
@@ -14,8 +14,8 @@
 use crate::message::{Message, Status, Urgent};
 use crate::observe::Observer;
 use crate::{Answer, Call, Command, Draining, Forwarded, Metrics, NotDone, State};
-use heathward_module::settings::{ConfigError, Deployment};
-use heathward_module::RequestId;
+use heathward_policy::settings::{ConfigError, Deployment};
+use heathward_policy::RequestId;
 
 /// The core has stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/core/src/actor/handover.rs
+++ b/crates/core/src/actor/handover.rs
@@ -8,7 +8,7 @@
 use super::{Actor, COMMANDS};
 use crate::observe::{Note, Why};
 use crate::{DiscoveryUpdate, Forwarded, State};
-use heathward_module::ListKind;
+use heathward_policy::ListKind;
 
 impl Actor {
     /// The state for the process that takes over, and the commands that it is told of from now on.
--- a/crates/core/src/actor/list_updates.rs
+++ b/crates/core/src/actor/list_updates.rs
@@ -9,7 +9,7 @@
 use super::Actor;
 use crate::observe::{Note, Why};
 use crate::{DiscoveryUpdate, DrainGate, Member};
-use heathward_module::{Event, ListEntry, ListKind, NodeId, NodeState};
+use heathward_policy::{Event, ListEntry, ListKind, NodeId, NodeState};
 
 impl Actor {
     /// Nothing is sent while the lease on the list does not hold; all goes on once it does.
--- a/crates/core/src/actor/mod.rs
+++ b/crates/core/src/actor/mod.rs
@@ -17,8 +17,8 @@
 use crate::observe::{Note, Observer, Why};
 use crate::stalls::{waiting_updates, Stalls};
 use crate::{Answer, Clock, Counters, Draining, Forwarded, Tries};
-use heathward_module::settings::Deployment;
-use heathward_module::{Action, Event, Micros, RequestId, Scheduler, SettingsError};
+use heathward_policy::settings::Deployment;
+use heathward_policy::{Action, Event, Micros, RequestId, Scheduler, SettingsError};
 
 mod attempts;
 mod commands;
--- a/crates/core/src/actor/nodes.rs
+++ b/crates/core/src/actor/nodes.rs
@@ -10,7 +10,7 @@
 use super::zones::Zones;
 use crate::observe::Treated;
 use crate::{Attempt, DrainGate, Member};
-use heathward_module::{Micros, NodeId, NodeState};
+use heathward_policy::{Micros, NodeId, NodeState};
 
 /// A node that is no longer listed keeps its number for so long: one that comes back is the same to the
 /// module, which forgets it as late.
--- a/crates/core/src/actor/nodes/tests.rs
+++ b/crates/core/src/actor/nodes/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use heathward_module::ShardId;
+use heathward_policy::ShardId;
 
 const SIZE: u32 = 5_100;
 
--- a/crates/core/src/actor/requests.rs
+++ b/crates/core/src/actor/requests.rs
@@ -10,7 +10,7 @@
 use crate::body::OpenId;
 use crate::observe::{self, Note};
 use crate::{Answer, Call};
-use heathward_module::{End, Event, Micros, Request, RequestId};
+use heathward_policy::{End, Event, Micros, Request, RequestId};
 
 /// The module answers at the deadline; whatever it has left open this much later is ended here. Well inside
 /// the slack that the platform grants, and longer than a timer is late.
--- a/crates/core/src/actor/settings.rs
+++ b/crates/core/src/actor/settings.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use super::Actor;
-use heathward_module::settings::{ConfigError, Deployment};
-use heathward_module::ListMode;
+use heathward_policy::settings::{ConfigError, Deployment};
+use heathward_policy::ListMode;
 
 impl Actor {
     /// Open requests go by the places of their class and plan, so that these stay as they are.
--- a/crates/core/src/actor/status.rs
+++ b/crates/core/src/actor/status.rs
@@ -7,7 +7,7 @@
 use super::Actor;
 use crate::observe::{Note, Observer, Treated, Why};
 use crate::{Counters, Member, Metrics};
-use heathward_module::{ListKind, NodeId};
+use heathward_policy::{ListKind, NodeId};
 
 /// How often an observer is told that time has passed.
 const TICK: Duration = Duration::from_millis(100);
--- a/crates/core/src/call.rs
+++ b/crates/core/src/call.rs
@@ -13,7 +13,7 @@
 use super::body::{Reply, Upload};
 use super::counters::{Counters, Tries};
 use super::list_lease::Expiry;
-use heathward_module::{
+use heathward_policy::{
     ClassId, End, KeyId, ListKind, Micros, NodeId, NodeState, PlanId, RequestId, ShardId, VolumeId,
 };
 
--- a/crates/core/src/cancel.rs
+++ b/crates/core/src/cancel.rs
@@ -3,7 +3,7 @@
 
 use std::sync::{Arc, Mutex, PoisonError};
 
-use heathward_module::RequestId;
+use heathward_policy::RequestId;
 use tokio::sync::Notify;
 use tokio_util::sync::CancellationToken;
 
--- a/crates/core/src/clock.rs
+++ b/crates/core/src/clock.rs
@@ -4,7 +4,7 @@
 
 use tokio::time::Instant;
 
-use heathward_module::Micros;
+use heathward_policy::Micros;
 
 /// Reads Unix time once and goes on from there evenly, so that it never steps back.
 #[derive(Clone, Copy, Debug)]
--- a/crates/core/src/counters.rs
+++ b/crates/core/src/counters.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 
-use heathward_module::{ClassId, End};
+use heathward_policy::{ClassId, End};
 
 /// Counts since the start.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,6 +1,6 @@
 //! The module at work: requests, attempts and outcomes, no wire.
 //!
-//! One actor owns the [`Scheduler`](heathward_module::Scheduler), the clock, one timer, the open requests and
+//! One actor owns the [`Scheduler`](heathward_policy::Scheduler), the clock, one timer, the open requests and
 //! the counters. A front hands it a [`Call`] through [`Core`], a tower service, and gets one [`Answer`]; a
 //! node's actor takes [`Attempt`]s from it and gives back [`Ended`]s; discovery brings [`DiscoveryUpdate`].
 
--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -10,8 +10,8 @@
 use super::{
     Answer, Attempt, Call, Command, DiscoveryUpdate, Ended, Forwarded, Member, Metrics, NotDone, State,
 };
-use heathward_module::settings::{ConfigError, Deployment};
-use heathward_module::RequestId;
+use heathward_policy::settings::{ConfigError, Deployment};
+use heathward_policy::RequestId;
 
 /// What the module's actor is told.
 pub enum Message {
--- a/crates/core/src/observe.rs
+++ b/crates/core/src/observe.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use heathward_module::settings::Deployment;
-use heathward_module::{ClassId, End, ListKind, Micros, NodeState, PlanId, RequestId, Standing, VolumeId};
+use heathward_policy::settings::Deployment;
+use heathward_policy::{ClassId, End, ListKind, Micros, NodeState, PlanId, RequestId, Standing, VolumeId};
 use tokio::time::Instant;
 
 use crate::call::Member;
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -7,8 +7,8 @@
 
 use bytes::Bytes;
 use heathward_core::{Call, Work};
-use heathward_module::settings::Deployment;
-use heathward_module::{
+use heathward_policy::settings::Deployment;
+use heathward_policy::{
     ClassId, ClassSettings, KeyId, Micros, PlanId, PlanSettings, Settings, ShardId, VolumeId,
 };
 use tokio::time::Instant;
--- a/crates/core/tests/drains.rs
+++ b/crates/core/tests/drains.rs
@@ -9,7 +9,7 @@
 use heathward_core::{
     report, start, Answer, Attempt, Call, Core, DiscoveryUpdate, Member, Message, Reply, Work,
 };
-use heathward_module::*;
+use heathward_policy::*;
 use rstest::rstest;
 use tokio::sync::mpsc;
 use tokio::time::{sleep, sleep_until, Instant};
--- a/crates/core/tests/leaving.rs
+++ b/crates/core/tests/leaving.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use heathward_core::{start, Answer, Attempt, Core, DiscoveryUpdate, Gone, Member, Message, Work};
-use heathward_module::*;
+use heathward_policy::*;
 use tokio::sync::mpsc;
 use tokio::task::unconstrained;
 use tokio::time::sleep;
--- a/crates/ctl/src/calls.rs
+++ b/crates/ctl/src/calls.rs
@@ -6,7 +6,7 @@
 
 use futures_util::future::join_all;
 use heathward_core::Command;
-use heathward_wires::ops::{call, CallError, Request};
+use heathward_transport::ops::{call, CallError, Request};
 use miniserde::json;
 use tokio::time::{sleep_until, Instant};
 
--- a/crates/ctl/src/console/draw.rs
+++ b/crates/ctl/src/console/draw.rs
@@ -1,7 +1,7 @@
 //! Draws the console. Works at 80×24, and says everything in words and signs: colour only repeats it.
 
+use heathward_event_log::NodeState;
 use heathward_incident::findings::clock;
-use heathward_records::NodeState;
 use ratatui::layout::{Constraint, Layout, Rect};
 use ratatui::style::{Color, Modifier, Style};
 use ratatui::text::{Line, Span};
--- a/crates/ctl/src/console/view.rs
+++ b/crates/ctl/src/console/view.rs
@@ -1,8 +1,8 @@
 //! What the console shows, and what keys do to it. No I/O and no clock.
 
 use heathward_core::Command;
+use heathward_event_log::{Micros, NodeState};
 use heathward_incident::{ClassCounts, Ending, Incident, NodeCounts, SpanSeen, SECOND};
-use heathward_records::{Micros, NodeState};
 
 /// A key, as far as the console has a use for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/ctl/src/folds.rs
+++ b/crates/ctl/src/folds.rs
@@ -6,8 +6,8 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
 
+use heathward_event_log::read::{segments, SegmentFile, SegmentReader};
 use heathward_incident::Fold;
-use heathward_records::read::{segments, SegmentFile, SegmentReader};
 
 /// Boots that are read at a time at most.
 const THREADS: usize = 4;
--- a/crates/ctl/src/follow.rs
+++ b/crates/ctl/src/follow.rs
@@ -4,8 +4,8 @@
 use std::io;
 use std::path::PathBuf;
 
+use heathward_event_log::read::{segments, SegmentFile, SegmentReader};
 use heathward_incident::Fold;
-use heathward_records::read::{segments, SegmentFile, SegmentReader};
 
 /// One boot that is being read.
 struct Reading {
--- a/crates/ctl/src/load.rs
+++ b/crates/ctl/src/load.rs
@@ -1,8 +1,8 @@
 //! Sources of load.
 
 use heathward_config::read;
-use heathward_load::{access_log, har, Rules};
-use heathward_module::settings::ConfigError;
+use heathward_load_sources::{access_log, har, Rules};
+use heathward_policy::settings::ConfigError;
 
 use crate::cli::SourceOf;
 use crate::outcome::Outcome;
--- a/crates/ctl/src/records.rs
+++ b/crates/ctl/src/records.rs
@@ -6,8 +6,8 @@
 use std::io::{self, BufWriter, Write};
 use std::path::{Path, PathBuf};
 
-use heathward_records::read::{segments, Item, SegmentFile, SegmentReader};
-use heathward_records::{Event, Record};
+use heathward_event_log::read::{segments, Item, SegmentFile, SegmentReader};
+use heathward_event_log::{Event, Record};
 
 use self::text::Text;
 use crate::outcome::Outcome;
--- a/crates/ctl/src/records/text.rs
+++ b/crates/ctl/src/records/text.rs
@@ -3,8 +3,8 @@
 
 use std::fmt::{Debug, Formatter, Result};
 
-use heathward_records::read::Item;
-use heathward_records::{
+use heathward_event_log::read::Item;
+use heathward_event_log::{
     Attempted, Class, ClassSecond, Event, Gap, Lifecycle, Listed, ListedNode, NodeChange, NodeSecond,
     NodeState, Opened, Outcome, RequestDone, Stamp, Why,
 };
--- a/crates/ctl/src/report.rs
+++ b/crates/ctl/src/report.rs
@@ -3,8 +3,8 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
+use heathward_event_log::Micros;
 use heathward_incident::{Incident, Window};
-use heathward_records::Micros;
 use heathward_report::{html, Tables, FILES};
 use heathwardctl::folds;
 use time::format_description::well_known::Rfc3339;
--- a/crates/ctl/src/terminal.rs
+++ b/crates/ctl/src/terminal.rs
@@ -6,7 +6,7 @@
 use crossterm::event::{self, Event, KeyCode, KeyEventKind};
 use heathward_core::Command;
 use heathward_incident::{Fold, Incident, Window, SECOND};
-use heathward_wires::ops::Request;
+use heathward_transport::ops::Request;
 use heathwardctl::console::{draw, Effect, Key, Mode, View};
 use heathwardctl::folds;
 use heathwardctl::follow::Follower;
--- a/crates/ctl/tests/console.rs
+++ b/crates/ctl/tests/console.rs
@@ -1,9 +1,9 @@
 //! The console as it looks, at 80×24 and without colour, and what its keys do.
 
 use heathward_core::Command;
+use heathward_event_log::{ClassSecond, Ended, Event, Lifecycle, NodeSecond, NodeState, Why};
+use heathward_fakes::told::{Told, MS, NINE};
 use heathward_incident::{Fold, Incident, Window};
-use heathward_records::{ClassSecond, Ended, Event, Lifecycle, NodeSecond, NodeState, Why};
-use heathward_standin::told::{Told, MS, NINE};
 use heathwardctl::console::{draw, Effect, Key, Mode, View};
 use ratatui::backend::TestBackend;
 use ratatui::Terminal;
--- a/crates/ctl/tests/ctl.rs
+++ b/crates/ctl/tests/ctl.rs
@@ -2,8 +2,8 @@
 
 use std::process::{Command, Output};
 
-use heathward_standin::{http_node, listen, member, nobody, rig, Does, Log, Rig};
-use heathward_wires::ops;
+use heathward_fakes::{http_node, listen, member, nobody, rig, Does, Log, Rig};
+use heathward_transport::ops;
 use rstest::rstest;
 
 fn ctl(arguments: &[&str]) -> Command {
--- a/crates/ctl/tests/stored.rs
+++ b/crates/ctl/tests/stored.rs
@@ -6,13 +6,13 @@
 
 use hdrhistogram::serialization::{Serializer, V2Serializer};
 use hdrhistogram::Histogram;
-use heathward_records::frame::{encode, encode_as, SCHEMA};
-use heathward_records::read::Item;
-use heathward_records::segment::{head, SegmentName};
-use heathward_records::{
+use heathward_event_log::frame::{encode, encode_as, SCHEMA};
+use heathward_event_log::read::Item;
+use heathward_event_log::segment::{head, SegmentName};
+use heathward_event_log::{
     ClassSecond, Ended, Event, Gap, GapCause, Lifecycle, NodeSecond, NodeState, Record, Why,
 };
-use heathward_standin::told::{Told, MS, NINE};
+use heathward_fakes::told::{Told, MS, NINE};
 use rstest::rstest;
 
 fn fixtures() -> PathBuf {
--- a/crates/event-log/tests/records.rs
+++ b/crates/event-log/tests/records.rs
@@ -6,10 +6,10 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::{Duration, Instant};
 
-use heathward_records::frame::{encode, encode_as, Identity, SCHEMA};
-use heathward_records::read::{segments, Item, SegmentFile, SegmentReader};
-use heathward_records::segment::{surplus, Rotation, SegmentName};
-use heathward_records::{
+use heathward_event_log::frame::{encode, encode_as, Identity, SCHEMA};
+use heathward_event_log::read::{segments, Item, SegmentFile, SegmentReader};
+use heathward_event_log::segment::{surplus, Rotation, SegmentName};
+use heathward_event_log::{
     channel, Class, ClassSecond, Disk, Event, Folder, Gap, GapCause, Lifecycle, Limits, NodeChange,
     NodeState, Opened, Record, Sender, Stamp, Why, Writer,
 };
@@ -52,7 +52,7 @@
 
 /// The bytes of a segment of such records, and where each frame ends.
 fn bytes(records: &[Record]) -> (Vec<u8>, Vec<usize>) {
-    let mut out = heathward_records::segment::head(IDENTITY).to_vec();
+    let mut out = heathward_event_log::segment::head(IDENTITY).to_vec();
     let mut ends = Vec::new();
     for record in records {
         let mut payload = Vec::new();
@@ -135,7 +135,7 @@
         encode(&mut frame, IDENTITY, 24, &inner).unwrap();
         let mut payload = vec![b'x'; shift];
         payload.extend_from_slice(&frame);
-        let mut out = heathward_records::segment::head(IDENTITY).to_vec();
+        let mut out = heathward_event_log::segment::head(IDENTITY).to_vec();
         encode(&mut out, IDENTITY, 24, &payload).unwrap();
         // The outer frame's head is broken, so that the reader looks for the next.
         out[30] ^= 1;
@@ -147,7 +147,7 @@
 /// over, a kind of the future is counted, a schema of the future is told of; all others are read.
 #[test]
 fn older_and_newer_versions_are_read_as_far_as_they_can_be() {
-    let mut out = heathward_records::segment::head(IDENTITY).to_vec();
+    let mut out = heathward_event_log::segment::head(IDENTITY).to_vec();
     let mut put = |schema: u8, payload: &[u8]| {
         let offset = out.len() as u64;
         encode_as(&mut out, IDENTITY, offset, schema, payload).unwrap();
--- a/crates/event-log/tests/stored.rs
+++ b/crates/event-log/tests/stored.rs
@@ -3,10 +3,10 @@
 
 use std::path::PathBuf;
 
-use heathward_records::frame::{encode, Identity};
-use heathward_records::read::{segments, Item, SegmentReader};
-use heathward_records::segment::head;
-use heathward_records::{
+use heathward_event_log::frame::{encode, Identity};
+use heathward_event_log::read::{segments, Item, SegmentReader};
+use heathward_event_log::segment::head;
+use heathward_event_log::{
     Attempted, Class, ClassSecond, Ended, Event, Failure, Gap, GapCause, Kind, Lifecycle, Listed, ListedNode,
     NodeChange, NodeSecond, NodeState, Opened, Outcome, Record, Refusal, RequestDone, Stamp, Why,
 };
--- a/crates/event-recorder/src/lib.rs
+++ b/crates/event-recorder/src/lib.rs
@@ -8,12 +8,12 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use heathward_core::observe::{self, Note, Observer, Treated};
-use heathward_module::settings::Deployment;
-use heathward_module::{Effect, End, ListKind, NodeState, RequestId};
-use heathward_records::{
+use heathward_event_log::{
     channel, Attempted, Class, Ended, Event, Failure, Folder, Kind, Lifecycle, Limits, Listed, ListedNode,
     Micros, NodeChange, Opened, Outcome, Refusal, RequestDone, Sender, Stamp, Why, Writer,
 };
+use heathward_policy::settings::Deployment;
+use heathward_policy::{Effect, End, ListKind, NodeState, RequestId};
 use second::Second;
 use tokio::time::Instant;
 
@@ -144,7 +144,7 @@
 /// Who writes, and by which settings.
 fn opened(settings: &Settings, name: &str, boot: u64, deployment: &Deployment) -> Opened {
     let of_module = &deployment.settings;
-    let class = |(name, class): (&String, &heathward_module::ClassSettings)| Class {
+    let class = |(name, class): (&String, &heathward_policy::ClassSettings)| Class {
         name: name.clone(),
         aim: class.aim,
         deadline: class.deadline,
@@ -261,11 +261,11 @@
 /// Nodes of a list in one event: with ids of 128 bytes they fit a frame.
 const LISTED_AT_ONCE: usize = 256;
 
-fn listed(state: NodeState) -> heathward_records::NodeState {
+fn listed(state: NodeState) -> heathward_event_log::NodeState {
     match state {
-        NodeState::Ready => heathward_records::NodeState::InService,
-        NodeState::Draining => heathward_records::NodeState::Draining,
-        NodeState::Gone => heathward_records::NodeState::Gone,
+        NodeState::Ready => heathward_event_log::NodeState::InService,
+        NodeState::Draining => heathward_event_log::NodeState::Draining,
+        NodeState::Gone => heathward_event_log::NodeState::Gone,
     }
 }
 
@@ -278,14 +278,14 @@
     }
 }
 
-fn state(treated: Treated) -> heathward_records::NodeState {
+fn state(treated: Treated) -> heathward_event_log::NodeState {
     match treated {
-        Treated::InService => heathward_records::NodeState::InService,
-        Treated::Cold(since) => heathward_records::NodeState::Cold(since),
-        Treated::Silent => heathward_records::NodeState::Silent,
-        Treated::Suspended => heathward_records::NodeState::Suspended,
-        Treated::Draining => heathward_records::NodeState::Draining,
-        Treated::Gone => heathward_records::NodeState::Gone,
+        Treated::InService => heathward_event_log::NodeState::InService,
+        Treated::Cold(since) => heathward_event_log::NodeState::Cold(since),
+        Treated::Silent => heathward_event_log::NodeState::Silent,
+        Treated::Suspended => heathward_event_log::NodeState::Suspended,
+        Treated::Draining => heathward_event_log::NodeState::Draining,
+        Treated::Gone => heathward_event_log::NodeState::Gone,
     }
 }
 
--- a/crates/event-recorder/src/second.rs
+++ b/crates/event-recorder/src/second.rs
@@ -2,8 +2,8 @@
 
 use hdrhistogram::serialization::{Serializer, V2Serializer};
 use hdrhistogram::Histogram;
-use heathward_records::{ClassSecond, Ended, Event, Failure, Micros, NodeSecond, Outcome, Refusal};
-use heathward_records::{ENDS, FAILURES, REFUSALS};
+use heathward_event_log::{ClassSecond, Ended, Event, Failure, Micros, NodeSecond, Outcome, Refusal};
+use heathward_event_log::{ENDS, FAILURES, REFUSALS};
 
 /// How long a second is; the last of a boot is shorter.
 const SECOND: Micros = 1_000_000;
--- a/crates/event-recorder/tests/recorder.rs
+++ b/crates/event-recorder/tests/recorder.rs
@@ -3,11 +3,11 @@
 use std::time::Duration;
 
 use heathward_core::Command;
-use heathward_recorder::{Clock, Recorder};
-use heathward_records::{
+use heathward_event_log::{
     channel, Ended, Event, Failure, Lifecycle, NodeState, Outcome, Record, Refusal, Waiting, Why,
 };
-use heathward_standin::{http_node, member, nobody, request, rig, Does, Log, Rig};
+use heathward_event_recorder::{Clock, Recorder};
+use heathward_fakes::{http_node, member, nobody, request, rig, Does, Log, Rig};
 use tokio::time::{sleep, Instant};
 
 async fn recorded(members: &[String], requests: bool) -> (Rig, Waiting) {
@@ -21,7 +21,7 @@
 /// All events up to the recorder's end.
 async fn all(rig: &Rig, waiting: &Waiting) -> Vec<Record> {
     rig.core.observe(None).await;
-    let by = Instant::now() + heathward_standin::PATIENCE;
+    let by = Instant::now() + heathward_fakes::PATIENCE;
     let mut records = Vec::new();
     loop {
         records.extend(waiting.try_iter());
--- a/crates/incident/src/audit.rs
+++ b/crates/incident/src/audit.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use heathward_records::{Micros, Opened};
+use heathward_event_log::{Micros, Opened};
 use serde::Serialize;
 
 /// Breaches that are kept of each rule; of more only the number is.
--- a/crates/incident/src/findings.rs
+++ b/crates/incident/src/findings.rs
@@ -1,6 +1,6 @@
 //! What happened, in sentences with times and figures.
 
-use heathward_records::{Ended, Lifecycle, Micros, NodeState, Why, ENDS, FAILURES, REFUSALS};
+use heathward_event_log::{Ended, Lifecycle, Micros, NodeState, Why, ENDS, FAILURES, REFUSALS};
 use serde::Serialize;
 
 use crate::audit::Rule;
--- a/crates/incident/src/fold.rs
+++ b/crates/incident/src/fold.rs
@@ -4,8 +4,8 @@
 
 use hdrhistogram::serialization::Deserializer;
 use hdrhistogram::Histogram;
-use heathward_records::read::Item;
-use heathward_records::{
+use heathward_event_log::read::Item;
+use heathward_event_log::{
     ClassSecond, Ended, Event, Gap, GapCause, Kind, Lifecycle, Listed, Micros, NodeChange, NodeState, Opened,
     Record, RequestDone, Stamp, Why,
 };
--- a/crates/incident/src/series.rs
+++ b/crates/incident/src/series.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use heathward_records::{ClassSecond, Micros, NodeSecond};
+use heathward_event_log::{ClassSecond, Micros, NodeSecond};
 use serde::Serialize;
 
 /// Bins of a series at most; when there are more, each two become one.
@@ -139,10 +139,10 @@
     pub in_aim: u64,
     /// Served after it.
     pub late: u64,
-    /// Refused, by [`heathward_records::REFUSALS`].
+    /// Refused, by [`heathward_event_log::REFUSALS`].
     #[serde(rename = "refused")]
     pub refused: [u64; 5],
-    /// Failed, by [`heathward_records::FAILURES`].
+    /// Failed, by [`heathward_event_log::FAILURES`].
     pub failed: [u64; 4],
     /// Whose client left.
     #[serde(rename = "gone")]
@@ -194,7 +194,7 @@
     /// Units of those that went there while it was cold.
     #[serde(rename = "cold_units")]
     pub cold_units: u64,
-    /// Ends, by [`heathward_records::ENDS`].
+    /// Ends, by [`heathward_event_log::ENDS`].
     #[serde(rename = "ends")]
     pub ends: [u64; 8],
     /// Most that one scheduler had out there at once.
--- a/crates/incident/src/timeline.rs
+++ b/crates/incident/src/timeline.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use heathward_records::{Lifecycle, Micros, NodeState, Opened, Why};
+use heathward_event_log::{Lifecycle, Micros, NodeState, Opened, Why};
 
 use crate::audit::{certainly_too_much, Audit, Rule};
 use crate::clocks::{solve, Bound, Offset, Sighting};
--- a/crates/incident/tests/incident.rs
+++ b/crates/incident/tests/incident.rs
@@ -1,11 +1,11 @@
 //! Reconstruction from records written here: clocks that differ, losses, and each rule broken on purpose.
 
+use heathward_event_log::read::Item;
+use heathward_event_log::{Ended, Event, Gap, GapCause, Lifecycle, NodeSecond, NodeState, Record, Why};
+use heathward_fakes::told::{Told, MS, NINE};
 use heathward_incident::audit::Rule;
 use heathward_incident::findings::What;
 use heathward_incident::{Ending, Fold, Incident, Missing, Window};
-use heathward_records::read::Item;
-use heathward_records::{Ended, Event, Gap, GapCause, Lifecycle, NodeSecond, NodeState, Record, Why};
-use heathward_standin::told::{Told, MS, NINE};
 use rstest::rstest;
 
 fn incident(told: &[Told]) -> Incident {
--- a/crates/load-sources/src/har.rs
+++ b/crates/load-sources/src/har.rs
@@ -7,7 +7,7 @@
 
 use super::{micros, Entry, Recorded, Rules, Skipped};
 use heathward_core::BODY_LIMIT;
-use heathward_module::settings::{Named, Tree};
+use heathward_policy::settings::{Named, Tree};
 
 /// The requests of a HAR file, in its order. A file that is no HAR at all is skipped as a whole, in place 0.
 pub fn har(text: &str, rules: &Rules) -> Vec<Result<Recorded, Skipped>> {
--- a/crates/load-sources/src/lib.rs
+++ b/crates/load-sources/src/lib.rs
@@ -15,8 +15,8 @@
 use tokio::time::Instant;
 
 use heathward_core::{Call, Work};
-use heathward_module::settings::{ConfigError, Deployment};
-use heathward_module::{
+use heathward_policy::settings::{ConfigError, Deployment};
+use heathward_policy::{
     ClassId, ClassSettings, Effect, KeyId, Micros, PlanId, PlanSettings, Settings, ShardId, VolumeId,
 };
 
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -5,7 +5,7 @@
 //! in `choice.rs`; the types that cross its border are in `api.rs`. [`settings`] reads a deployment's.
 //!
 //! ```
-//! use heathward_module::*;
+//! use heathward_policy::*;
 //!
 //! let settings = Settings {
 //!     hosts: 1,
--- a/crates/policy/tests/budget.rs
+++ b/crates/policy/tests/budget.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use heathward_module::*;
+use heathward_policy::*;
 
 /// Offers requests until no more go out at once, and tells how many are out.
 fn fill(h: &mut Host, from: u64) -> usize {
--- a/crates/policy/tests/cold.rs
+++ b/crates/policy/tests/cold.rs
@@ -3,7 +3,7 @@
 
 mod common;
 use common::{entry, req, settings};
-use heathward_module::*;
+use heathward_policy::*;
 
 const START: Micros = 40_000_000;
 const COLD: Micros = 16_000_000;
--- a/crates/policy/tests/common/day.rs
+++ b/crates/policy/tests/common/day.rs
@@ -4,7 +4,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-use heathward_module::*;
+use heathward_policy::*;
 
 const SECOND: Micros = 1_000_000;
 const START: Micros = 40 * SECOND;
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A host for tests: feeds a scheduler and keeps what it did.
 #![allow(dead_code)]
 
-use heathward_module::*;
+use heathward_policy::*;
 
 pub struct Host {
     pub scheduler: Scheduler,
--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -3,7 +3,7 @@
 
 mod common;
 use common::{entry, req, settings};
-use heathward_module::*;
+use heathward_policy::*;
 
 const HOSTS: u32 = 100;
 const NODES: u32 = 60;
--- a/crates/policy/tests/limits.rs
+++ b/crates/policy/tests/limits.rs
@@ -4,7 +4,7 @@
 
 mod common;
 use common::{req, settings, Host};
-use heathward_module::*;
+use heathward_policy::*;
 use rstest::rstest;
 
 /// Limit and store of a volume, units a second and units.
--- a/crates/policy/tests/memory.rs
+++ b/crates/policy/tests/memory.rs
@@ -3,7 +3,7 @@
 
 mod common;
 use common::{entry, req, settings, Host};
-use heathward_module::*;
+use heathward_policy::*;
 
 /// From the design page: the lookback, after twice which what is not recent is forgotten.
 const LOOKBACK: Micros = 30_000_000;
--- a/crates/policy/tests/property.rs
+++ b/crates/policy/tests/property.rs
@@ -3,7 +3,7 @@
 
 mod common;
 use common::{deployment, entry, settings};
-use heathward_module::*;
+use heathward_policy::*;
 use rstest::rstest;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/policy/tests/replay.rs
+++ b/crates/policy/tests/replay.rs
@@ -13,7 +13,7 @@
 use common::{deployment, settings, GRANITE_SHELF, PREDIO_NORTE};
 use day::{Day, Plan};
 use fnv::FnvHasher;
-use heathward_module::*;
+use heathward_policy::*;
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::hash::Hasher;
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use heathward_module::*;
+use heathward_policy::*;
 
 /// Longer than two units take at full speed: from such answers nobody can tell that a node is warm.
 const COLD_ANSWER: Micros = 60_000;
--- a/crates/policy/tests/settings.rs
+++ b/crates/policy/tests/settings.rs
@@ -2,8 +2,8 @@
 
 mod common;
 use common::{GRANITE_SHELF, PREDIO_NORTE};
-use heathward_module::settings::{Deployment, Tree};
-use heathward_module::*;
+use heathward_policy::settings::{Deployment, Tree};
+use heathward_policy::*;
 use rstest::rstest;
 
 /// Reads and checks them as the configuration does; the field at fault, or what it is.
--- a/crates/policy/tests/throng.rs
+++ b/crates/policy/tests/throng.rs
@@ -5,7 +5,7 @@
 mod common;
 
 use common::{deployment, entry, req, Host, GRANITE_SHELF, PREDIO_NORTE};
-use heathward_module::*;
+use heathward_policy::*;
 use rstest::rstest;
 
 /// Hosts start, and are warm before the node goes down.
--- a/crates/report/src/charts.rs
+++ b/crates/report/src/charts.rs
@@ -1,8 +1,8 @@
 //! Charts over time, as SVG that stands in the page.
 
+use heathward_event_log::{Micros, NodeState};
 use heathward_incident::findings::clock;
 use heathward_incident::{ClassCounts, HoleSeen, Incident, Series, Sum, Times};
-use heathward_records::{Micros, NodeState};
 use plotters::coord::types::RangedCoordf64;
 use plotters::prelude::*;
 
--- a/crates/report/src/html.rs
+++ b/crates/report/src/html.rs
@@ -1,9 +1,9 @@
 //! The page.
 
+use heathward_event_log::{Micros, NodeState, ENDS, FAILURES, REFUSALS};
 use heathward_incident::audit::Rule;
 use heathward_incident::findings::{clock, known_to, What};
 use heathward_incident::{Incident, NodeCounts, Sum};
-use heathward_records::{Micros, NodeState, ENDS, FAILURES, REFUSALS};
 use maud::{html, Markup, PreEscaped, DOCTYPE};
 use plotters::style::RGBColor;
 
--- a/crates/report/src/tables.rs
+++ b/crates/report/src/tables.rs
@@ -2,10 +2,10 @@
 
 use std::fmt::Write;
 
+use heathward_event_log::{Micros, NodeState, Why, ENDS, FAILURES, REFUSALS};
 use heathward_incident::audit::{Checked, Rule};
 use heathward_incident::findings::Finding;
 use heathward_incident::{ClassCounts, Ending, Incident, Missing, NodeCounts};
-use heathward_records::{Micros, NodeState, Why, ENDS, FAILURES, REFUSALS};
 use serde::Serialize;
 
 /// Names of the CSV files, in the order of [`Tables::csv`].
--- a/crates/scheduler/src/listing.rs
+++ b/crates/scheduler/src/listing.rs
@@ -1,7 +1,7 @@
 //! Lists a source of load, and sends nothing.
 
 use heathward_config::Source;
-use heathward_load::{self as load, Rules};
+use heathward_load_sources::{self as load, Rules};
 
 /// Writes what a source of load asks for, a line each, and what was skipped of it.
 pub fn print(source: &Source, rules: &Rules) {
--- a/crates/scheduler/src/records.rs
+++ b/crates/scheduler/src/records.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use heathward_core::Core;
-use heathward_recorder::{Recorder, Settings, LAST_WRITES};
-use heathward_records::Writer;
+use heathward_event_log::Writer;
+use heathward_event_recorder::{Recorder, Settings, LAST_WRITES};
 use tokio::time::{sleep_until, Instant};
 
 /// How often the writer's end is looked for.
--- a/crates/scheduler/src/start.rs
+++ b/crates/scheduler/src/start.rs
@@ -6,10 +6,10 @@
 use std::sync::Arc;
 
 use heathward_core::{self as core, Core, Member, Message};
-use heathward_module::settings::Deployment;
-use heathward_wires::http::closing_places;
-use heathward_wires::node::{self, HttpLink, Limits, Pool};
-use heathward_wires::nvme::{Map, NvmeLink, Target};
+use heathward_policy::settings::Deployment;
+use heathward_transport::http::closing_places;
+use heathward_transport::node::{self, HttpLink, Limits, Pool};
+use heathward_transport::nvme::{Map, NvmeLink, Target};
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::sync::mpsc;
 
--- a/crates/scheduler/src/takeover.rs
+++ b/crates/scheduler/src/takeover.rs
@@ -6,7 +6,7 @@
 use std::path::PathBuf;
 
 use heathward_core::Core;
-use heathward_wires::handover::{self, PartnerPhase, Taken};
+use heathward_transport::handover::{self, PartnerPhase, Taken};
 use tokio::net::{UnixListener, UnixStream};
 use tokio::sync::mpsc;
 
--- a/crates/scheduler/tests/capacity.rs
+++ b/crates/scheduler/tests/capacity.rs
@@ -3,8 +3,8 @@
 
 use std::path::Path;
 
-use heathward_scale::bounds::exceeded;
-use heathward_scale::processes::{all, Form, BOUNDS};
+use heathward_scale_tests::bounds::exceeded;
+use heathward_scale_tests::processes::{all, Form, BOUNDS};
 
 #[test]
 fn counts_grow_no_faster_than_their_bounds() {
--- a/crates/scheduler/tests/faults.rs
+++ b/crates/scheduler/tests/faults.rs
@@ -2,13 +2,13 @@
 
 use std::path::{Path, PathBuf};
 
-use heathward_rig::audit::Rule;
-use heathward_rig::fleet::{play, Outcome};
-use heathward_rig::scenario::Scenario;
+use heathward_fault_injection::audit::Rule;
+use heathward_fault_injection::fleet::{play, Outcome};
+use heathward_fault_injection::scenario::Scenario;
 use rstest::rstest;
 
 fn scenario(name: &str) -> Scenario {
-    let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../rig/scenarios");
+    let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../testing/fault-injection/scenarios");
     Scenario::load(&Path::new(path).join(format!("{name}.jsonnet"))).unwrap_or_else(|wrong| panic!("{wrong}"))
 }
 
--- a/crates/scheduler/tests/incident.rs
+++ b/crates/scheduler/tests/incident.rs
@@ -4,15 +4,15 @@
 use std::process::Command;
 use std::time::Duration;
 
+use heathward_event_log::Lifecycle;
+use heathward_fakes::staged::{stage, unaccounted, untrue, Truth, NODES};
+use heathward_fakes::{
+    answer, config_text, http_node, member, request, reserved, Does, Log, Program, PATIENCE,
+};
 use heathward_incident::audit::Rule;
 use heathward_incident::findings::What;
 use heathward_incident::{Fold, Incident, Missing, Window};
-use heathward_records::Lifecycle;
 use heathward_report::{html, Tables, FILES};
-use heathward_standin::staged::{stage, unaccounted, untrue, Truth, NODES};
-use heathward_standin::{
-    answer, config_text, http_node, member, request, reserved, Does, Log, Program, PATIENCE,
-};
 use heathwardctl::folds;
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
--- a/crates/scheduler/tests/net/closing.rs
+++ b/crates/scheduler/tests/net/closing.rs
@@ -3,14 +3,14 @@
 use std::net::SocketAddr;
 
 use heathward_core::Answers;
-use heathward_wires::http::{self, ConnectionTable, Front};
+use heathward_transport::http::{self, ConnectionTable, Front};
 use rstest::rstest;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::sync::watch;
 use tokio::time::{timeout, Duration, Instant};
 
-use heathward_standin::*;
+use heathward_fakes::*;
 
 /// A front of so many places before that core, and what tells it to stop.
 async fn front(rig: &Rig, places: usize) -> (SocketAddr, ConnectionTable, watch::Sender<bool>) {
--- a/crates/scheduler/tests/net/crowd.rs
+++ b/crates/scheduler/tests/net/crowd.rs
@@ -10,7 +10,7 @@
 use tokio::time::{sleep, timeout, Instant};
 
 use super::process::{file, listening};
-use heathward_standin::*;
+use heathward_fakes::*;
 
 /// Descriptors that the process may hold: the system enforces it.
 const DESCRIPTORS: usize = 64;
--- a/crates/scheduler/tests/net/departure.rs
+++ b/crates/scheduler/tests/net/departure.rs
@@ -7,9 +7,9 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use heathward_standin::nvme::{capsule, read_of, Host, FRONT, NONE, SMALL};
-use heathward_standin::*;
-use heathward_wires::nvme::{serve, Body, Map, Subsystem};
+use heathward_fakes::nvme::{capsule, read_of, Host, FRONT, NONE, SMALL};
+use heathward_fakes::*;
+use heathward_transport::nvme::{serve, Body, Map, Subsystem};
 use rstest::rstest;
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
@@ -270,7 +270,7 @@
         Cancels::Abort => {
             let abort = Body::Abort { queue: 1, cid: 3 };
             let admin = admin.as_mut().unwrap();
-            let (completion, _) = heathward_standin::nvme::ask(admin, 6, abort, NONE, Bytes::new()).await;
+            let (completion, _) = heathward_fakes::nvme::ask(admin, 6, abort, NONE, Bytes::new()).await;
             assert_eq!(completion.result, 0, "aborted");
         }
         Cancels::Queue => drop(io.take()),
--- a/crates/scheduler/tests/net/fleet.rs
+++ b/crates/scheduler/tests/net/fleet.rs
@@ -9,7 +9,7 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, Duration, Instant};
 
-use heathward_standin::*;
+use heathward_fakes::*;
 
 const MANY: u32 = 1024;
 
--- a/crates/scheduler/tests/net/handover.rs
+++ b/crates/scheduler/tests/net/handover.rs
@@ -6,14 +6,14 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 
 use heathward_core::{DiscoveryUpdate, Member, State};
-use heathward_module::{ListKind, NodeState, ShardId};
-use heathward_wires::handover::{decode, encode};
+use heathward_policy::{ListKind, NodeState, ShardId};
+use heathward_transport::handover::{decode, encode};
 use rstest::rstest;
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpSocket, TcpStream, UnixListener};
 use tokio::time::{sleep, timeout, Duration, Instant};
 
-use heathward_standin::*;
+use heathward_fakes::*;
 
 #[test]
 fn the_state_comes_back_as_it_was() {
--- a/crates/scheduler/tests/net/http.rs
+++ b/crates/scheduler/tests/net/http.rs
@@ -4,17 +4,17 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use heathward_core::{Answers, Counters, Message};
-use heathward_module::{End, ListMode};
-use heathward_startup::Place;
-use heathward_wires::backoff::Pace;
-use heathward_wires::discovery;
+use heathward_discovery_pacing::Place;
+use heathward_policy::{End, ListMode};
+use heathward_transport::backoff::Pace;
+use heathward_transport::discovery;
 use rstest::rstest;
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpSocket, TcpStream};
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout, Instant};
 
-use heathward_standin::*;
+use heathward_fakes::*;
 
 fn count(counters: &Counters, end: End) -> u64 {
     let at = Counters::ENDS.iter().position(|(known, _)| *known == end).unwrap();
--- a/crates/scheduler/tests/net/leaving.rs
+++ b/crates/scheduler/tests/net/leaving.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 
 use heathward_core::DrainGate;
-use heathward_module::End;
-use heathward_wires::node::{HttpLink, Job};
+use heathward_policy::End;
+use heathward_transport::node::{HttpLink, Job};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::sync::mpsc;
@@ -12,7 +12,7 @@
 use tokio::time::{timeout, Instant};
 use tower::Service;
 
-use heathward_standin::*;
+use heathward_fakes::*;
 
 /// A node's machine whose queue of connections is full: none comes up until it takes what waits there.
 async fn full_node() -> (TcpListener, SocketAddr, Vec<TcpStream>) {
--- a/crates/scheduler/tests/net/nvme.rs
+++ b/crates/scheduler/tests/net/nvme.rs
@@ -6,15 +6,15 @@
 
 use bytes::Bytes;
 use heathward_core::Answers;
-use heathward_module::End;
-use heathward_wires::nvme::{serve, Blocks, Body, Fatal, Map, Pdu, Sgl, Status, Subsystem, Wire};
+use heathward_policy::End;
+use heathward_transport::nvme::{serve, Blocks, Body, Fatal, Map, Pdu, Sgl, Status, Subsystem, Wire};
 use rstest::rstest;
 use tokio::net::TcpStream;
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout, Instant};
 
-use heathward_standin::nvme::*;
-use heathward_standin::*;
+use heathward_fakes::nvme::*;
+use heathward_fakes::*;
 
 const LARGE: usize = 32 * 1024;
 
--- a/crates/scheduler/tests/net/ops.rs
+++ b/crates/scheduler/tests/net/ops.rs
@@ -1,16 +1,16 @@
 //! The second address: one test with real sockets for each rule.
 
 use heathward_core::{DrainGate, Message};
-use heathward_module::End;
-use heathward_wires::node::{HttpLink, Job};
-use heathward_wires::{discovery, ops};
+use heathward_policy::End;
+use heathward_transport::node::{HttpLink, Job};
+use heathward_transport::{discovery, ops};
 use rstest::rstest;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::time::{timeout, Duration, Instant};
 use tower::Service;
 
-use heathward_standin::*;
+use heathward_fakes::*;
 
 /// A scheduler before such nodes, and its second address with room for so many callers.
 async fn attended(members: &[String], most: usize) -> (Rig, std::net::SocketAddr) {
--- a/crates/scheduler/tests/net/parsers.rs
+++ b/crates/scheduler/tests/net/parsers.rs
@@ -4,19 +4,19 @@
 
 use bytes::{Bytes, BytesMut};
 use heathward_core::DrainGate;
-use heathward_load::{access_log, har, Recorded, Rules};
-use heathward_module::settings::Deployment;
-use heathward_module::{KeyId, ListKind, NodeState, ShardId, VolumeId};
-use heathward_wires::discovery;
-use heathward_wires::http::retry_after;
-use heathward_wires::node::Written;
-use heathward_wires::nvme::{
+use heathward_load_sources::{access_log, har, Recorded, Rules};
+use heathward_policy::settings::Deployment;
+use heathward_policy::{KeyId, ListKind, NodeState, ShardId, VolumeId};
+use heathward_transport::discovery;
+use heathward_transport::http::retry_after;
+use heathward_transport::node::Written;
+use heathward_transport::nvme::{
     Blocks, Body, Command, Completion, Connect, ConnectData, Fatal, Map, Pdu, Sgl, Status, MOST_DATA,
 };
 use rstest::rstest;
 use tokio::time::Instant;
 
-use heathward_standin::*;
+use heathward_fakes::*;
 
 #[rstest]
 #[case::whole("GET / HTTP/1.1\r\na: b\r\n\r\n", 0, true)]
--- a/crates/scheduler/tests/net/pieces.rs
+++ b/crates/scheduler/tests/net/pieces.rs
@@ -5,7 +5,7 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 
-use heathward_standin::*;
+use heathward_fakes::*;
 
 const HEALTH: &str = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
 
--- a/crates/scheduler/tests/net/process.rs
+++ b/crates/scheduler/tests/net/process.rs
@@ -6,13 +6,13 @@
 use std::process::{Child, ChildStderr, Command, Stdio};
 use std::time::Duration;
 
-use heathward_wires::nvme::{Pdu, Wire};
+use heathward_transport::nvme::{Pdu, Wire};
 use rstest::rstest;
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout, Instant};
 
-use heathward_standin::*;
+use heathward_fakes::*;
 
 pub fn file(name: &str, text: &str) -> PathBuf {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}-{}.json", std::process::id()));
--- a/crates/scheduler/tests/net/reload.rs
+++ b/crates/scheduler/tests/net/reload.rs
@@ -8,7 +8,7 @@
 use tokio::time::{sleep, timeout, Instant};
 
 use super::process::{file, listening, signal, start};
-use heathward_standin::*;
+use heathward_fakes::*;
 
 /// Who tells of the drain, and when.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/scheduler/tests/net/shutdown.rs
+++ b/crates/scheduler/tests/net/shutdown.rs
@@ -9,7 +9,7 @@
 use tokio::time::{timeout, Duration, Instant};
 
 use super::process::{file, listening, signal, start};
-use heathward_standin::*;
+use heathward_fakes::*;
 
 /// What came of a request that was written whole.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/scheduler/tests/net/size.rs
+++ b/crates/scheduler/tests/net/size.rs
@@ -9,7 +9,7 @@
 use tokio::sync::oneshot;
 use tokio::time::{sleep, timeout};
 
-use heathward_standin::*;
+use heathward_fakes::*;
 
 const LONG: usize = 3 << 20;
 
--- a/crates/scheduler/tests/net/told.rs
+++ b/crates/scheduler/tests/net/told.rs
@@ -4,17 +4,17 @@
 use std::time::Duration;
 
 use heathward_core::Message;
-use heathward_module::ListMode;
-use heathward_startup::Place;
-use heathward_wires::backoff::Pace;
-use heathward_wires::discovery;
+use heathward_discovery_pacing::Place;
+use heathward_policy::ListMode;
+use heathward_transport::backoff::Pace;
+use heathward_transport::discovery;
 use rstest::rstest;
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
 
-use heathward_standin::*;
+use heathward_fakes::*;
 
 /// How a call ends that brings no list.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/scheduler/tests/net/writer.rs
+++ b/crates/scheduler/tests/net/writer.rs
@@ -7,9 +7,9 @@
 
 use bytes::Bytes;
 use heathward_core::{list_lease::Expiry, DrainGate, Message};
-use heathward_module::End;
-use heathward_standin::{attempt, config_text, listen, PATIENCE};
-use heathward_wires::node::{self, Connection, Counted, Done, Job, Limits, Pool, Written};
+use heathward_fakes::{attempt, config_text, listen, PATIENCE};
+use heathward_policy::End;
+use heathward_transport::node::{self, Connection, Counted, Done, Job, Limits, Pool, Written};
 use rstest::rstest;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
--- a/crates/scheduler/tests/pinned/http_answers.rs
+++ b/crates/scheduler/tests/pinned/http_answers.rs
@@ -4,13 +4,13 @@
 use std::time::Duration;
 
 use heathward_core::{Command, Message};
-use heathward_wires::discovery;
+use heathward_transport::discovery;
 use rstest::rstest;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::time::{timeout, Instant};
 
-use heathward_standin::*;
+use heathward_fakes::*;
 
 use crate::{assert_matches_fixture, masked};
 
--- a/crates/scheduler/tests/pinned/node_requests.rs
+++ b/crates/scheduler/tests/pinned/node_requests.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Write;
 
-use heathward_standin::*;
+use heathward_fakes::*;
 
 use crate::{assert_matches_fixture, masked};
 
--- a/crates/scheduler/tests/throng.rs
+++ b/crates/scheduler/tests/throng.rs
@@ -4,9 +4,9 @@
 
 use std::path::{Path, PathBuf};
 
-use heathward_rig::audit::{most_cold, Entry, Rule};
-use heathward_rig::fleet::{play, Outcome, RULES};
-use heathward_rig::scenario::Scenario;
+use heathward_fault_injection::audit::{most_cold, Entry, Rule};
+use heathward_fault_injection::fleet::{play, Outcome, RULES};
+use heathward_fault_injection::scenario::Scenario;
 use rstest::rstest;
 
 /// Requests a second at all hosts together, however many there are.
@@ -24,7 +24,7 @@
 #[rstest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn the_sum_of_many_processes_stays_within_what_a_cold_node_bears(#[values(20, 30)] hosts: u32) {
-    let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../rig/scenarios/throng.jsonnet");
+    let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../testing/fault-injection/scenarios/throng.jsonnet");
     let mut scenario = Scenario::load(Path::new(path)).unwrap_or_else(|wrong| panic!("{wrong}"));
     (scenario.hosts, scenario.rate) = (hosts, ASKED / f64::from(hosts));
     let mut outcome = played(&scenario).await;
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -6,7 +6,7 @@
 use std::io::{self, BufRead, BufWriter, Write};
 use std::process::ExitCode;
 
-use heathward_module::{Action, Scheduler};
+use heathward_policy::{Action, Scheduler};
 use wire::{Fault, Message, Names, Reader};
 
 /// One simulated host: its scheduler and the names it was told.
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -6,8 +6,8 @@
 use std::hash::Hasher;
 use std::io::BufRead;
 
-use heathward_module::settings::{ConfigError, Deployment, Named};
-use heathward_module::{
+use heathward_policy::settings::{ConfigError, Deployment, Named};
+use heathward_policy::{
     Action, ClassId, End, Event, KeyId, ListEntry, ListKind, Micros, NodeId, NodeState, Outcome, PlanId,
     Request, RequestId, Scheduler, ShardId, VolumeId,
 };
--- a/crates/transport/src/backoff.rs
+++ b/crates/transport/src/backoff.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use heathward_module::ListMode;
-use heathward_startup::{Calls, Failure, Place};
+use heathward_discovery_pacing::{Calls, Failure, Place};
+use heathward_policy::ListMode;
 
 /// The spans over which the call to one's own agent after a first failure and after many is drawn.
 const SPANS: (Duration, Duration) = (Duration::from_millis(50), Duration::from_millis(1000));
--- a/crates/transport/src/discovery.rs
+++ b/crates/transport/src/discovery.rs
@@ -24,8 +24,8 @@
 use tokio::time::{sleep_until, Instant};
 
 use heathward_core::{DiscoveryUpdate, Member, Message};
-use heathward_module::{ListKind, ListMode, NodeState, ShardId};
-use heathward_startup::Failure;
+use heathward_discovery_pacing::Failure;
+use heathward_policy::{ListKind, ListMode, NodeState, ShardId};
 
 use crate::backoff::{Ended, Pace};
 
--- a/crates/transport/src/http/decode.rs
+++ b/crates/transport/src/http/decode.rs
@@ -10,8 +10,8 @@
 
 use super::headers;
 use heathward_core::{Call, Pieces, Upload, Work};
-use heathward_module::settings::Deployment;
-use heathward_module::{ClassId, Effect, KeyId, Micros, PlanId, ShardId, VolumeId};
+use heathward_policy::settings::Deployment;
+use heathward_policy::{ClassId, Effect, KeyId, Micros, PlanId, ShardId, VolumeId};
 
 /// An answer leaves this long before the client gives up: on a loaded core the way back took up to 2 ms.
 const MARGIN: Duration = Duration::from_millis(3);
--- a/crates/transport/src/node/http.rs
+++ b/crates/transport/src/node/http.rs
@@ -22,7 +22,7 @@
 use super::{Connection, Counted, Done, Job, Written};
 use crate::http::{headers, HEAD_LIMIT, LONGEST_BODY};
 use heathward_core::{stream, Attempt, BrokenOff, Feed, Passing, Pieces, Reply, Upload, Work, BODY_LIMIT};
-use heathward_module::End;
+use heathward_policy::End;
 
 type Driver = http1::Connection<TokioIo<Counted>, Sending>;
 
--- a/crates/transport/src/node/mod.rs
+++ b/crates/transport/src/node/mod.rs
@@ -17,8 +17,8 @@
 use tokio::time::Instant;
 
 use heathward_core::{report, Attempt, Message, Reply};
-use heathward_module::settings::Deployment;
-use heathward_module::End;
+use heathward_policy::settings::Deployment;
+use heathward_policy::End;
 
 use pool::{Parked, Permit};
 
--- a/crates/transport/src/nvme/identify.rs
+++ b/crates/transport/src/nvme/identify.rs
@@ -4,7 +4,7 @@
 
 use super::map::{Map, Namespace};
 use super::pdu::MOST_DATA;
-use heathward_module::Micros;
+use heathward_policy::Micros;
 
 /// Size of every answer to Identify.
 const PAGE: usize = 4096;
--- a/crates/transport/src/nvme/initiator.rs
+++ b/crates/transport/src/nvme/initiator.rs
@@ -18,7 +18,7 @@
 use super::wire::{Broken, Wire};
 use crate::node::{Connection, Done, Job};
 use heathward_core::{Attempt, Work};
-use heathward_module::End;
+use heathward_policy::End;
 
 /// Entries of a queue, from 0: a queue carries one command at a time.
 const QUEUE_SIZE: u16 = 1;
--- a/crates/transport/src/nvme/map.rs
+++ b/crates/transport/src/nvme/map.rs
@@ -6,8 +6,8 @@
 
 use super::command::Blocks;
 use super::pdu::MOST_DATA;
-use heathward_module::settings::{ConfigError, Deployment};
-use heathward_module::{ClassId, KeyId, PlanId, ShardId, VolumeId};
+use heathward_policy::settings::{ConfigError, Deployment};
+use heathward_policy::{ClassId, KeyId, PlanId, ShardId, VolumeId};
 
 /// As the file has it.
 #[derive(Deserialize)]
--- a/crates/transport/src/nvme/subsystem.rs
+++ b/crates/transport/src/nvme/subsystem.rs
@@ -14,7 +14,7 @@
 use super::map::Map;
 use super::pdu::MOST_DATA;
 use heathward_core::{Answer, Call, Core, Work};
-use heathward_module::{Effect, KeyId};
+use heathward_policy::{Effect, KeyId};
 
 /// Controller ids from here on are reserved.
 const LAST_ID: u16 = 0xfff0;
--- a/crates/transport/tests/stored/handover.rs
+++ b/crates/transport/tests/stored/handover.rs
@@ -1,8 +1,8 @@
 //! The state that one process hands to the next, as one line.
 
 use heathward_core::{DiscoveryUpdate, Member, State};
-use heathward_module::{ListKind, NodeState, ShardId};
-use heathward_wires::handover::{decode, encode};
+use heathward_policy::{ListKind, NodeState, ShardId};
+use heathward_transport::handover::{decode, encode};
 
 const STATE: &str = include_str!("fixtures/handover-state.json");
 
--- a/crates/transport/tests/stored/ops.rs
+++ b/crates/transport/tests/stored/ops.rs
@@ -1,7 +1,7 @@
 //! The second address: each command line, each reply, and what its caller prints of a call that failed.
 
 use heathward_core::{Answers, Command, Counters, Metrics, NotDone};
-use heathward_wires::ops::{CallError, Reply, Request};
+use heathward_transport::ops::{CallError, Reply, Request};
 
 const REQUESTS: &str = include_str!("fixtures/ops-requests.txt");
 const REPLIES: &str = include_str!("fixtures/ops-replies.txt");
--- a/testing/bench-journal/tests/regression.rs
+++ b/testing/bench-journal/tests/regression.rs
@@ -1,7 +1,7 @@
 //! Made-up entries: what a state owes, and which falls are larger than chance.
 
-use heathward_regression::entry::File;
-use heathward_regression::{owed, Entry, Row, State, Table, Verdict, RUNS};
+use heathward_bench_journal::entry::File;
+use heathward_bench_journal::{owed, Entry, Row, State, Table, Verdict, RUNS};
 use rstest::rstest;
 
 fn file(path: &str, text: &str) -> File {
--- a/testing/fakes/src/bin/heathward-toy-node.rs
+++ b/testing/fakes/src/bin/heathward-toy-node.rs
@@ -1,6 +1,6 @@
 //! A toy storage node: keeps what is written in memory, and drops repeats of a keyed write for 2.5 s.
 //!
-//! `cargo run -p heathward-standin --bin heathward-toy-node -- 127.0.0.1:9100`
+//! `cargo run -p heathward-fakes --bin heathward-toy-node -- 127.0.0.1:9100`
 
 use std::collections::HashMap;
 use std::convert::Infallible;
--- a/testing/fakes/src/hour.rs
+++ b/testing/fakes/src/hour.rs
@@ -6,9 +6,9 @@
 
 use hdrhistogram::serialization::{Serializer, V2Serializer};
 use hdrhistogram::Histogram;
-use heathward_records::read::Item;
-use heathward_records::segment::{head, SegmentName};
-use heathward_records::{frame, ClassSecond, Ended, Event, NodeSecond, NodeState, Record, Why};
+use heathward_event_log::read::Item;
+use heathward_event_log::segment::{head, SegmentName};
+use heathward_event_log::{frame, ClassSecond, Ended, Event, NodeSecond, NodeState, Record, Why};
 
 use crate::told::{Told, MS, NINE};
 
--- a/testing/fakes/src/node.rs
+++ b/testing/fakes/src/node.rs
@@ -7,7 +7,7 @@
 
 use bytes::Bytes;
 use heathward_core::{Attempt, DrainGate, Tries, Work};
-use heathward_module::{KeyId, NodeId, RequestId, VolumeId};
+use heathward_policy::{KeyId, NodeId, RequestId, VolumeId};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::time::{sleep, Instant};
--- a/testing/fakes/src/nvme.rs
+++ b/testing/fakes/src/nvme.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex};
 
 use bytes::{Bytes, BytesMut};
-use heathward_wires::nvme::{
+use heathward_transport::nvme::{
     Blocks, Body, Command, Completion, Connect, ConnectData, Pdu, Sgl, Status, Wire,
 };
 use tokio::net::TcpStream;
--- a/testing/fakes/src/program.rs
+++ b/testing/fakes/src/program.rs
@@ -5,7 +5,7 @@
 use std::process::{Child, Command, Stdio};
 use std::sync::mpsc::{channel, Receiver};
 
-use heathward_wires::ops;
+use heathward_transport::ops;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::time::{timeout, Instant};
--- a/testing/fakes/src/rig.rs
+++ b/testing/fakes/src/rig.rs
@@ -6,9 +6,9 @@
 
 use heathward_config::{self as config, Config};
 use heathward_core::{self as core, Core, Counters, Member, Message};
-use heathward_wires::http::{self, ConnectionTable, Front};
-use heathward_wires::node::{self, HttpLink, Limits, Pool};
-use heathward_wires::nvme::{Map, NvmeLink};
+use heathward_transport::http::{self, ConnectionTable, Front};
+use heathward_transport::node::{self, HttpLink, Limits, Pool};
+use heathward_transport::nvme::{Map, NvmeLink};
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, watch};
--- a/testing/fakes/src/told.rs
+++ b/testing/fakes/src/told.rs
@@ -1,11 +1,11 @@
 //! Records of schedulers that never ran, written here event by event.
 
-use heathward_incident::Fold;
-use heathward_records::read::Item;
-use heathward_records::{
+use heathward_event_log::read::Item;
+use heathward_event_log::{
     Attempted, Class, ClassSecond, Ended, Event, Kind, Lifecycle, Listed, ListedNode, NodeChange, NodeState,
     Opened, Outcome, Record, RequestDone, Stamp, Why,
 };
+use heathward_incident::Fold;
 
 /// 09:00 on the first of December 2026, microseconds.
 pub const NINE: u64 = 1_796_115_600_000_000;
--- a/testing/fault-injection/src/clients.rs
+++ b/testing/fault-injection/src/clients.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use heathward_standin::{header, read_message};
+use heathward_fakes::{header, read_message};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Exp};
--- a/testing/fault-injection/src/fleet.rs
+++ b/testing/fault-injection/src/fleet.rs
@@ -5,7 +5,7 @@
 use std::process::Command;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use heathward_standin::{config_text, Program};
+use heathward_fakes::{config_text, Program};
 use tokio::sync::watch;
 use tokio::task::{spawn_blocking, AbortHandle};
 use tokio::time::{sleep, sleep_until, Instant};
@@ -405,7 +405,7 @@
         let asked = async {
             let mut stream = tokio::net::TcpStream::connect(listen).await.ok()?;
             tokio::io::AsyncWriteExt::write_all(&mut stream, ask.as_bytes()).await.ok()?;
-            let (head, ..) = heathward_standin::read_message(&mut stream).await?;
+            let (head, ..) = heathward_fakes::read_message(&mut stream).await?;
             head.contains(" 200").then_some(())
         };
         if asked.await.is_some() {
--- a/testing/fault-injection/src/lib.rs
+++ b/testing/fault-injection/src/lib.rs
@@ -12,4 +12,4 @@
 pub mod rogue;
 pub mod scenario;
 
-pub use heathward_scale::{callers, service};
+pub use heathward_scale_tests::{callers, service};
--- a/testing/fault-injection/src/lists.rs
+++ b/testing/fault-injection/src/lists.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-use heathward_standin::{member, read_message};
+use heathward_fakes::{member, read_message};
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 use tokio::sync::watch;
--- a/testing/fault-injection/src/node.rs
+++ b/testing/fault-injection/src/node.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use heathward_standin::{header, read_message};
+use heathward_fakes::{header, read_message};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::sync::Semaphore;
--- a/testing/fault-injection/src/rogue.rs
+++ b/testing/fault-injection/src/rogue.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use heathward_standin::read_message;
+use heathward_fakes::read_message;
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::sleep;
--- a/testing/fault-injection/tests/auditor.rs
+++ b/testing/fault-injection/tests/auditor.rs
@@ -2,15 +2,15 @@
 
 use std::time::Duration;
 
-use heathward_rig::audit::{judge, Arrived, Cold, Entry, Rule, Rules};
-use heathward_rig::clients::{Clients, Load};
-use heathward_rig::fleet::RULES;
-use heathward_rig::link::Link;
-use heathward_rig::lists::{Lists, Ways};
-use heathward_rig::node::{Ability, Node};
-use heathward_rig::play::Play;
-use heathward_rig::rogue::{rogue, Planted};
-use heathward_rig::scenario::Scenario;
+use heathward_fault_injection::audit::{judge, Arrived, Cold, Entry, Rule, Rules};
+use heathward_fault_injection::clients::{Clients, Load};
+use heathward_fault_injection::fleet::RULES;
+use heathward_fault_injection::link::Link;
+use heathward_fault_injection::lists::{Lists, Ways};
+use heathward_fault_injection::node::{Ability, Node};
+use heathward_fault_injection::play::Play;
+use heathward_fault_injection::rogue::{rogue, Planted};
+use heathward_fault_injection::scenario::Scenario;
 use rstest::rstest;
 use tokio::sync::watch;
 use tokio::time::sleep;
--- a/testing/fault-injection/tests/verdict.rs
+++ b/testing/fault-injection/tests/verdict.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Write;
 
-use heathward_rig::audit::{judge, Arrived, Cold, Entry, Rules};
+use heathward_fault_injection::audit::{judge, Arrived, Cold, Entry, Rules};
 
 const MS: u64 = 1000;
 
--- a/testing/measure/src/capacity.rs
+++ b/testing/measure/src/capacity.rs
@@ -8,11 +8,11 @@
 use std::path::Path;
 use std::time::Instant;
 
-use heathward_scale::bounds::{check_all, Bounds};
-use heathward_scale::chart;
-use heathward_scale::costs::{all, bounds as cost_bounds};
-use heathward_scale::processes::{self, Form};
-use heathward_scale::series::{write_csv, Series};
+use heathward_scale_tests::bounds::{check_all, Bounds};
+use heathward_scale_tests::chart;
+use heathward_scale_tests::costs::{all, bounds as cost_bounds};
+use heathward_scale_tests::processes::{self, Form};
+use heathward_scale_tests::series::{write_csv, Series};
 
 use crate::{program, Figures, Want};
 
--- a/testing/measure/src/coldstart.rs
+++ b/testing/measure/src/coldstart.rs
@@ -4,11 +4,11 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use heathward_rig::audit::most_cold;
-use heathward_rig::callers::{busiest, fleet, start, worst, Constants};
-use heathward_rig::fleet::{play, Outcome, RULES};
-use heathward_rig::scenario::Scenario;
-use heathward_rig::service::Costs;
+use heathward_fault_injection::audit::most_cold;
+use heathward_fault_injection::callers::{busiest, fleet, start, worst, Constants};
+use heathward_fault_injection::fleet::{play, Outcome, RULES};
+use heathward_fault_injection::scenario::Scenario;
+use heathward_fault_injection::service::Costs;
 
 use crate::{program, Figures, Want};
 
--- a/testing/measure/src/experiment.rs
+++ b/testing/measure/src/experiment.rs
@@ -6,10 +6,10 @@
 use std::path::{Path, PathBuf};
 
 use clap::Parser;
-use heathward_rig::audit::most_cold;
-use heathward_rig::compare::{difference, Interval};
-use heathward_rig::fleet::{play, Outcome, RULES};
-use heathward_rig::scenario::Scenario;
+use heathward_fault_injection::audit::most_cold;
+use heathward_fault_injection::compare::{difference, Interval};
+use heathward_fault_injection::fleet::{play, Outcome, RULES};
+use heathward_fault_injection::scenario::Scenario;
 use plotters::prelude::*;
 use serde::Serialize;
 
--- a/testing/measure/src/fleet.rs
+++ b/testing/measure/src/fleet.rs
@@ -5,9 +5,7 @@
 use std::path::Path;
 use std::process::Command;
 
-use heathward_standin::{
-    answer, config_text, http_node, member, request, Does, Held, Log, Program, PATIENCE,
-};
+use heathward_fakes::{answer, config_text, http_node, member, request, Does, Held, Log, Program, PATIENCE};
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout, Duration};
--- a/testing/measure/src/journal.rs
+++ b/testing/measure/src/journal.rs
@@ -6,8 +6,8 @@
 use std::io::{self, BufWriter};
 use std::path::Path;
 
-use heathward_regression::table::gate;
-use heathward_regression::{Entry, Fall, Row, Table, Torn};
+use heathward_bench_journal::table::gate;
+use heathward_bench_journal::{Entry, Fall, Row, Table, Torn};
 use plotters::prelude::*;
 
 /// Days with fewer versions than this tell no course, and are left out of the chart.
--- a/testing/measure/src/regression.rs
+++ b/testing/measure/src/regression.rs
@@ -5,7 +5,7 @@
 use std::process::{Command, ExitCode};
 use std::{fs, io};
 
-use heathward_regression::{owed, Owed, Run, State, Verdict};
+use heathward_bench_journal::{owed, Owed, Run, State, Verdict};
 use serde::Deserialize;
 
 use crate::journal;
--- a/testing/measure/src/report.rs
+++ b/testing/measure/src/report.rs
@@ -7,15 +7,15 @@
 use std::time::{Duration, Instant};
 
 use heathward_core::observe::{Note, Observer};
-use heathward_incident::{Incident, Missing, Window};
-use heathward_module::settings::Deployment;
-use heathward_recorder::{Clock, Recorder};
-use heathward_records::segment::Rotation;
-use heathward_records::{channel, Disk, Limits, Opened, Writer};
-use heathward_standin::staged::{stage, unaccounted, untrue, SCHEDULERS};
-use heathward_standin::{
+use heathward_event_log::segment::Rotation;
+use heathward_event_log::{channel, Disk, Limits, Opened, Writer};
+use heathward_event_recorder::{Clock, Recorder};
+use heathward_fakes::staged::{stage, unaccounted, untrue, SCHEDULERS};
+use heathward_fakes::{
     answer, config_text, hour, http_node, member, request, rig, Does, Log, Program, PATIENCE,
 };
+use heathward_incident::{Incident, Missing, Window};
+use heathward_policy::settings::Deployment;
 use heathwardctl::folds;
 use rustix::thread::{sched_setaffinity, CpuSet};
 use tokio::io::AsyncWriteExt;
--- a/testing/measure/src/slowstart.rs
+++ b/testing/measure/src/slowstart.rs
@@ -3,7 +3,7 @@
 
 use std::time::Instant;
 
-use heathward_scale::slow_start::{
+use heathward_scale_tests::slow_start::{
     cases, play, slice_pairs, Case, CaseFigures, Condition, Deployment, FLEET_SIZES,
 };
 
--- a/testing/scale-tests/src/callers.rs
+++ b/testing/scale-tests/src/callers.rs
@@ -6,7 +6,7 @@
 use std::ops::Add;
 use std::time::Duration;
 
-use heathward_startup::{Calls, Failure, Place};
+use heathward_discovery_pacing::{Calls, Failure, Place};
 
 use crate::service::{Costs, Ending, Service};
 
--- a/testing/scale-tests/src/cold_start.rs
+++ b/testing/scale-tests/src/cold_start.rs
@@ -1,7 +1,7 @@
 //! A whole fleet before nodes that all start cold at once: what the nodes are sent, how much of what they may
 //! get is used, and when the fleet serves again.
 
-use heathward_module::{Micros, Settings, SettingsError};
+use heathward_policy::{Micros, Settings, SettingsError};
 
 use crate::fleet::{ColdUse, Fault, Fleet, FleetSettings, Rates, Report, Slice};
 
--- a/testing/scale-tests/src/costs/all.rs
+++ b/testing/scale-tests/src/costs/all.rs
@@ -4,7 +4,7 @@
 
 use std::path::Path;
 
-use heathward_module::Settings;
+use heathward_policy::Settings;
 
 use super::cold_start::{by_schedulers, Cut};
 use super::decision::Nodes;
--- a/testing/scale-tests/src/costs/cold_start.rs
+++ b/testing/scale-tests/src/costs/cold_start.rs
@@ -4,7 +4,7 @@
 //! The fleet keeps its proportions: 5,100 nodes to 4,500 schedulers, and the load of a node. Counts in
 //! virtual time: the same each time.
 
-use heathward_module::{Micros, Settings, SettingsError};
+use heathward_policy::{Micros, Settings, SettingsError};
 
 use crate::cold_start::{cold_start, ColdStart, ColdStartReport};
 use crate::deployments::{NODES, SCHEDULERS};
--- a/testing/scale-tests/src/costs/decision.rs
+++ b/testing/scale-tests/src/costs/decision.rs
@@ -4,7 +4,7 @@
 //! One scheduler before all nodes is the whole of what it decides by: others couple to it through what the
 //! nodes answer alone, which is the same at each size here.
 
-use heathward_module::{Micros, Settings};
+use heathward_policy::{Micros, Settings};
 
 use super::driver::{Driver, Spent, Target};
 use super::{NODE_SIZES, SCHEDULER_SIZES};
--- a/testing/scale-tests/src/costs/driver.rs
+++ b/testing/scale-tests/src/costs/driver.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use fastrand::Rng;
-use heathward_module::{
+use heathward_policy::{
     Action, ClassId, End, Event, ListEntry, ListKind, Micros, NodeId, NodeState, Outcome, PlanId, Request,
     RequestId, Scheduler, Settings, ShardId, VolumeId,
 };
--- a/testing/scale-tests/src/costs/list_change.rs
+++ b/testing/scale-tests/src/costs/list_change.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use heathward_module::{ListKind, Settings};
+use heathward_policy::{ListKind, Settings};
 
 use super::driver::{entry, Driver};
 use super::NODE_SIZES;
--- a/testing/scale-tests/src/costs/list_service.rs
+++ b/testing/scale-tests/src/costs/list_service.rs
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-use heathward_module::Micros;
+use heathward_policy::Micros;
 
 use super::driver::entry;
 use super::NODE_SIZES;
--- a/testing/scale-tests/src/costs/memory.rs
+++ b/testing/scale-tests/src/costs/memory.rs
@@ -3,7 +3,7 @@
 //! Resident memory is told by the growth of this process, so each figure wants a process of its own: memory
 //! that was freed before is used again and does not show.
 
-use heathward_module::{Settings, VolumeId};
+use heathward_policy::{Settings, VolumeId};
 
 use super::driver::Driver;
 use super::NODE_SIZES;
--- a/testing/scale-tests/src/deployments.rs
+++ b/testing/scale-tests/src/deployments.rs
@@ -1,7 +1,7 @@
 //! Settings of two deployments in service, and of one at the planned size.
 
-use heathward_module::settings::{Deployment, Tree};
-use heathward_module::{ClassSettings, Effect, Group, PlanSettings, Settings};
+use heathward_policy::settings::{Deployment, Tree};
+use heathward_policy::{ClassSettings, Effect, Group, PlanSettings, Settings};
 
 use crate::node::NodeSettings;
 
--- a/testing/scale-tests/src/events.rs
+++ b/testing/scale-tests/src/events.rs
@@ -3,7 +3,7 @@
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
-use heathward_module::Micros;
+use heathward_policy::Micros;
 
 struct Entry<E> {
     at: Micros,
--- a/testing/scale-tests/src/fleet.rs
+++ b/testing/scale-tests/src/fleet.rs
@@ -9,7 +9,7 @@
 
 use fastrand::Rng;
 use fnv::FnvHasher;
-use heathward_module::{
+use heathward_policy::{
     Action, ClassId, End, Event, ListEntry, ListKind, Micros, NodeId, NodeState, Outcome, Request, RequestId,
     SettingsError, ShardId,
 };
--- a/testing/scale-tests/src/fleet/faults.rs
+++ b/testing/scale-tests/src/fleet/faults.rs
@@ -1,6 +1,6 @@
 //! What can go wrong in a hollow fleet.
 
-use heathward_module::Micros;
+use heathward_policy::Micros;
 
 use super::{scheduler, Fleet, Happening};
 use crate::node::Health;
--- a/testing/scale-tests/src/fleet/scheduler.rs
+++ b/testing/scale-tests/src/fleet/scheduler.rs
@@ -2,7 +2,7 @@
 
 use fastrand::Rng;
 use fnv::FnvHashMap;
-use heathward_module::{Micros, NodeId, PlanId, Scheduler, Settings, SettingsError, VolumeId};
+use heathward_policy::{Micros, NodeId, PlanId, Scheduler, Settings, SettingsError, VolumeId};
 use tokio::time::Instant;
 
 use super::{ClassId, FleetSettings, Rates, Request, RequestId, ShardId, Slice};
--- a/testing/scale-tests/src/fleet/settings.rs
+++ b/testing/scale-tests/src/fleet/settings.rs
@@ -1,6 +1,6 @@
 //! What a hollow fleet is made of, and how much of it is played.
 
-use heathward_module::{Micros, Settings};
+use heathward_policy::{Micros, Settings};
 
 use crate::deployments::{self, node_of};
 use crate::lists::ListWay;
--- a/testing/scale-tests/src/lease.rs
+++ b/testing/scale-tests/src/lease.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use heathward_core::list_lease;
-use heathward_module::Micros;
+use heathward_policy::Micros;
 use tokio::time::Instant;
 
 /// Whether a scheduler may still send by the list that it has.
--- a/testing/scale-tests/src/lists.rs
+++ b/testing/scale-tests/src/lists.rs
@@ -4,9 +4,9 @@
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
-use heathward_module::{ListEntry, Micros};
-use heathward_standin::member;
-use heathward_startup::{Calls, Failure, Place};
+use heathward_discovery_pacing::{Calls, Failure, Place};
+use heathward_fakes::member;
+use heathward_policy::{ListEntry, Micros};
 
 use crate::events::EventQueue;
 use crate::service::{Costs, Ending, Service};
--- a/testing/scale-tests/src/node.rs
+++ b/testing/scale-tests/src/node.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use heathward_module::{Micros, Settings};
+use heathward_policy::{Micros, Settings};
 
 /// What a node can do.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/testing/scale-tests/src/processes/fleet.rs
+++ b/testing/scale-tests/src/processes/fleet.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use heathward_standin::{Program, PATIENCE};
+use heathward_fakes::{Program, PATIENCE};
 use tokio::time::{sleep, Instant};
 
 use super::load::micros;
--- a/testing/scale-tests/src/processes/load.rs
+++ b/testing/scale-tests/src/processes/load.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use heathward_standin::{answer, request, Program};
+use heathward_fakes::{answer, request, Program};
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 
--- a/testing/scale-tests/src/processes/services.rs
+++ b/testing/scale-tests/src/processes/services.rs
@@ -6,7 +6,7 @@
 use std::process::Command;
 use std::thread::{self, JoinHandle};
 
-use heathward_standin::{config_text, http_node, member, Discovery, Does, Listed, Log, Program};
+use heathward_fakes::{config_text, http_node, member, Discovery, Does, Listed, Log, Program};
 use tokio::sync::oneshot;
 
 /// Listeners behind all listed storage nodes: a system has fewer ports than the largest list has entries.
--- a/testing/scale-tests/src/processes/usage.rs
+++ b/testing/scale-tests/src/processes/usage.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use heathward_standin::Program;
+use heathward_fakes::Program;
 
 /// Units in which `/proc/PID/stat` counts processor time, a second: `USER_HZ` of the kernel's interface.
 const TICKS_PER_SECOND: u64 = 100;
--- a/testing/scale-tests/src/slow_start.rs
+++ b/testing/scale-tests/src/slow_start.rs
@@ -13,7 +13,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
 
-use heathward_module::{Micros, Settings, SettingsError};
+use heathward_policy::{Micros, Settings, SettingsError};
 
 use crate::cold_start::{cold_start, Begin, ColdStart, ColdStartReport};
 use crate::deployments::{granite_shelf, planned_size, predio_norte, NODES, SCHEDULERS};
--- a/testing/scale-tests/tests/bounds.rs
+++ b/testing/scale-tests/tests/bounds.rs
@@ -1,8 +1,8 @@
 //! Bounds on known series.
 
-use heathward_scale::bounds::{check_all, exceeded, Bound};
-use heathward_scale::processes::BOUNDS;
-use heathward_scale::series::Series;
+use heathward_scale_tests::bounds::{check_all, exceeded, Bound};
+use heathward_scale_tests::processes::BOUNDS;
+use heathward_scale_tests::series::Series;
 use rstest::rstest;
 
 fn series(full_size: f64) -> Series {
--- a/testing/scale-tests/tests/callers.rs
+++ b/testing/scale-tests/tests/callers.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use heathward_scale::callers::{fleet, start, worst, Constants};
-use heathward_scale::service::Costs;
+use heathward_scale_tests::callers::{fleet, start, worst, Constants};
+use heathward_scale_tests::service::Costs;
 use rstest::rstest;
 
 const SEEDS: u64 = 60;
--- a/testing/scale-tests/tests/chart.rs
+++ b/testing/scale-tests/tests/chart.rs
@@ -1,7 +1,7 @@
 //! The chart of all series.
 
-use heathward_scale::chart::draw;
-use heathward_scale::series::Series;
+use heathward_scale_tests::chart::draw;
+use heathward_scale_tests::series::Series;
 
 fn series(name: &str, full_size: f64, values: &[(f64, f64)]) -> Series {
     let mut series = Series::new(name, "nodes", "us", full_size);
--- a/testing/scale-tests/tests/costs.rs
+++ b/testing/scale-tests/tests/costs.rs
@@ -1,17 +1,17 @@
 //! The series of costs: that they measure what they name. Counts alone; times want a release build.
 
-use heathward_module::Settings;
-use heathward_scale::bounds::exceeded;
-use heathward_scale::costs::all::{cold_starts, decisions, list_calls, lists};
-use heathward_scale::costs::bounds::BOUNDS;
-use heathward_scale::costs::cold_start::{by_schedulers, nodes_of, Cut};
-use heathward_scale::costs::decision::{five_seconds, Nodes};
-use heathward_scale::costs::driver::Target;
-use heathward_scale::costs::list_service::{course, whole_list_bytes};
-use heathward_scale::costs::memory::{node_entries, volume_entries, Use};
-use heathward_scale::deployments::{planned_size, predio_norte};
-use heathward_scale::fleet::Slice;
-use heathward_scale::processes::Form;
+use heathward_policy::Settings;
+use heathward_scale_tests::bounds::exceeded;
+use heathward_scale_tests::costs::all::{cold_starts, decisions, list_calls, lists};
+use heathward_scale_tests::costs::bounds::BOUNDS;
+use heathward_scale_tests::costs::cold_start::{by_schedulers, nodes_of, Cut};
+use heathward_scale_tests::costs::decision::{five_seconds, Nodes};
+use heathward_scale_tests::costs::driver::Target;
+use heathward_scale_tests::costs::list_service::{course, whole_list_bytes};
+use heathward_scale_tests::costs::memory::{node_entries, volume_entries, Use};
+use heathward_scale_tests::deployments::{planned_size, predio_norte};
+use heathward_scale_tests::fleet::Slice;
+use heathward_scale_tests::processes::Form;
 use rstest::rstest;
 
 const SECOND: u64 = 1_000_000;
--- a/testing/scale-tests/tests/fleet.rs
+++ b/testing/scale-tests/tests/fleet.rs
@@ -1,9 +1,9 @@
 //! The hollow fleet: one verdict for a seed, no request without an end, slices that agree, faults that show.
 
-use heathward_module::Micros;
-use heathward_scale::cold_start::{cold_start, Begin, ColdStart, ColdStartReport};
-use heathward_scale::deployments::{granite_shelf, planned_size, predio_norte};
-use heathward_scale::fleet::{Fault, Fleet, FleetSettings, Rates, Report, Slice};
+use heathward_policy::Micros;
+use heathward_scale_tests::cold_start::{cold_start, Begin, ColdStart, ColdStartReport};
+use heathward_scale_tests::deployments::{granite_shelf, planned_size, predio_norte};
+use heathward_scale_tests::fleet::{Fault, Fleet, FleetSettings, Rates, Report, Slice};
 use rstest::rstest;
 
 const SECOND: Micros = 1_000_000;
--- a/testing/scale-tests/tests/lists.rs
+++ b/testing/scale-tests/tests/lists.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-use heathward_module::{ListEntry, Micros, NodeId, NodeState, ShardId};
-use heathward_scale::lists::{entry_line, line_bytes, Delivery, ListPlane, ListWay, TrueList};
-use heathward_scale::service::Costs;
+use heathward_policy::{ListEntry, Micros, NodeId, NodeState, ShardId};
+use heathward_scale_tests::lists::{entry_line, line_bytes, Delivery, ListPlane, ListWay, TrueList};
+use heathward_scale_tests::service::Costs;
 
 const SECOND: Micros = 1_000_000;
 
--- a/testing/scale-tests/tests/node.rs
+++ b/testing/scale-tests/tests/node.rs
@@ -1,6 +1,6 @@
 //! The hollow storage node: its ability, its queue, and the rule on what it may be sent while it is cold.
 
-use heathward_scale::node::{Admission, Health, HollowNode, NodeSettings, SlowStart};
+use heathward_scale_tests::node::{Admission, Health, HollowNode, NodeSettings, SlowStart};
 
 const SLOW: SlowStart = SlowStart {
     share: 0.25,
--- a/testing/scale-tests/tests/processes.rs
+++ b/testing/scale-tests/tests/processes.rs
@@ -3,8 +3,8 @@
 use std::net::{TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-use heathward_scale::processes::sockets::{connected_inodes, descriptors_besides};
-use heathward_scale::processes::usage::{cpu, cpu_in};
+use heathward_scale_tests::processes::sockets::{connected_inodes, descriptors_besides};
+use heathward_scale_tests::processes::usage::{cpu, cpu_in};
 
 #[test]
 fn a_name_with_spaces_and_parentheses_shifts_no_field() {
--- a/testing/scale-tests/tests/series.rs
+++ b/testing/scale-tests/tests/series.rs
@@ -1,6 +1,6 @@
 //! Fits against curves that are known.
 
-use heathward_scale::series::{write_csv, Fit, FitError, Series};
+use heathward_scale_tests::series::{write_csv, Fit, FitError, Series};
 
 fn series(of: impl Fn(f64) -> f64) -> Series {
     let mut series = Series::new("known", "nodes", "us", 1_000.0);
--- a/testing/scale-tests/tests/slow_start.rs
+++ b/testing/scale-tests/tests/slow_start.rs
@@ -1,10 +1,10 @@
 //! The slow start by counts, in a short form: a few seeds of each fleet size in a slice, and two
 //! planted faults that have to be seen.
 
-use heathward_module::Micros;
-use heathward_scale::cold_start::{cold_start, ColdStart};
-use heathward_scale::fleet::Slice;
-use heathward_scale::slow_start::{
+use heathward_policy::Micros;
+use heathward_scale_tests::cold_start::{cold_start, ColdStart};
+use heathward_scale_tests::fleet::Slice;
+use heathward_scale_tests::slow_start::{
     cases, play, Case, CaseFigures, Condition, Deployment, FleetSize, FLEET_SIZES,
 };
 use rstest::rstest;
