--- a/crates/transport/src/node/http.rs
+++ b/crates/transport/src/node/http.rs
@@ -21,8 +21,11 @@
 
 use super::{Connection, Counted, Done, Job, Written};
 use crate::http::{headers, HEAD_LIMIT, LONGEST_BODY};
-use heathward_core::{stream, Attempt, BrokenOff, Feed, Passing, Pieces, Reply, Upload, Work, BODY_LIMIT};
-use heathward_policy::End;
+use heathward_core::{
+    body_channel, Attempt, BodyInterrupted, BodySender, BodyStream, NodeReply, NodeRequest, StreamedReply,
+    Upload, MAX_BUFFERED_BODY_BYTES,
+};
+use heathward_policy::AttemptEnd;
 
 type Driver = http1::Connection<TokioIo<Counted>, Sending>;
 
@@ -30,17 +33,17 @@
 struct Sending {
     held: Option<Bytes>,
     /// The rest, its length where that is told, and whom to tell that it has ended.
-    rest: Option<(Pieces, Option<u64>, Arc<Written>)>,
+    rest: Option<(BodyStream, Option<u64>, Arc<Written>)>,
 }
 
 impl Body for Sending {
     type Data = Bytes;
-    type Error = BrokenOff;
+    type Error = BodyInterrupted;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyInterrupted>>> {
         if let Some(held) = self.held.take() {
             return Poll::Ready(Some(Ok(Frame::data(held))));
         }
@@ -73,7 +76,7 @@
 /// An answer as it came.
 enum Came {
     /// Whole.
-    Whole(End, Bytes),
+    Whole(AttemptEnd, Bytes),
     /// Served, and longer than what is held: its length where it is told, what has come, and what is to come.
     Long(Option<u64>, Bytes, Incoming),
 }
@@ -143,21 +146,23 @@
         }
         let rejected = head.headers.get(headers::REJECTED).is_some_and(|v| v == "1");
         let end = match head.status {
-            StatusCode::OK => End::Served,
-            StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if rejected => End::Full,
-            _ => End::Error,
+            StatusCode::OK => AttemptEnd::Served,
+            StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if rejected => AttemptEnd::Rejected,
+            _ => AttemptEnd::Error,
         };
         let length = body.size_hint().exact();
         let mut held = BytesMut::new();
         loop {
-            if end == End::Served && length.map_or(held.len(), |l| l as usize) > BODY_LIMIT {
+            if end == AttemptEnd::Served
+                && length.map_or(held.len(), |l| l as usize) > MAX_BUFFERED_BODY_BYTES
+            {
                 return Some(Came::Long(length, held.freeze(), body));
             }
             match timeout_at(Instant::now() + REST, self.drive(body.frame())).await.ok()? {
                 Some(frame) => held.extend_from_slice(frame.ok()?.data_ref().unwrap_or(&Bytes::new())),
                 None => return Some(Came::Whole(end, held.freeze())),
             }
-            if end != End::Served && held.len() > BODY_LIMIT {
+            if end != AttemptEnd::Served && held.len() > MAX_BUFFERED_BODY_BYTES {
                 return None;
             }
         }
@@ -165,20 +170,20 @@
 
     /// Passes the rest of an answer on, for as long as it moves; gives the connection back if it can carry
     /// another attempt.
-    async fn pass(mut self, held: Bytes, mut body: Incoming, feed: Feed) -> Option<Self> {
+    async fn pass(mut self, held: Bytes, mut body: Incoming, feed: BodySender) -> Option<Self> {
         let mut passed = held.len() as u64;
-        if !held.is_empty() && !feed.more(held).await {
+        if !held.is_empty() && !feed.send(held).await {
             return None;
         }
         while let Some(frame) = timeout_at(Instant::now() + STALL, self.drive(body.frame())).await.ok()? {
             let Ok(piece) = frame.ok()?.into_data() else { continue };
             passed += piece.len() as u64;
-            if passed > LONGEST_BODY || !feed.more(piece).await {
+            if passed > LONGEST_BODY || !feed.send(piece).await {
                 return None;
             }
         }
         let sound = self.sound().await;
-        feed.end().await;
+        feed.finish().await;
         sound.then_some(self)
     }
 
@@ -231,32 +236,32 @@
     let Job { attempt, mut idle, connect_by } = job;
     loop {
         let reused = idle.is_some();
-        let reached = timeout_at(connect_by.min(attempt.reach), reach(address, idle.take()));
+        let reached = timeout_at(connect_by.min(attempt.connect_deadline), reach(address, idle.take()));
         let reached = tokio::select! {
             biased;
             // Whoever has left waits for no connection, and holds none.
-            () = attempt.cancel.cancelled() => return Done::lost(End::NotSent),
+            () = attempt.cancel.cancelled() => return Done::lost(AttemptEnd::NotSent),
             reached = reached => reached,
         };
         let mut connection = match reached {
             Ok(Some(connection)) => connection,
             // One that has grown stale takes nothing of a request.
             Ok(None) if reused => continue,
-            _ => return Done::lost(End::NotConnected),
+            _ => return Done::lost(AttemptEnd::NotConnected),
         };
-        if !attempt.may_begin() {
-            return Done::back(End::NotSent, Bytes::new(), connection);
+        if !attempt.may_start() {
+            return Done::back(AttemptEnd::NotSent, Bytes::new(), connection);
         }
         let (Ok(request), length) = encode(&attempt, address, &connection.written) else {
-            return Done::lost(End::NotSent);
+            return Done::lost(AttemptEnd::NotSent);
         };
         let written = connection.written.clone();
         written.begin(length, attempt.clone());
         let tried = connection.exchange(request);
         let expired = async {
-            match &attempt.work.rest {
+            match &attempt.node_request.upload {
                 Some(upload) => upload.expired().await,
-                None => sleep_until(attempt.until).await,
+                None => sleep_until(attempt.deadline).await,
             }
         };
         let unwanted = async {
@@ -269,52 +274,61 @@
         let tried = tokio::select! {
             biased;
             tried = tried => Ok(tried),
-            () = unwanted => return Done::lost(End::NotSent),
+            () = unwanted => return Done::lost(AttemptEnd::NotSent),
             () = expired => Err(()),
         };
         match tried {
             Ok(Some(Came::Whole(end, body))) => {
                 let idle = if connection.sound().await { Some(connection) } else { None };
-                return Done { end, body: Reply::Whole(body), idle, rest: None };
+                return Done { end, body: NodeReply::Buffered(body), idle, rest: None };
             }
             Ok(Some(Came::Long(length, held, body))) => {
-                let (feed, pieces) = stream();
+                let (feed, pieces) = body_channel();
                 let rest = connection.pass(held, body, feed);
-                let body = Reply::Passing(Passing::new(length, pieces));
-                return Done { end: End::Served, body, idle: None, rest: Some(Box::pin(rest)) };
+                let body = NodeReply::Streamed(StreamedReply::new(length, pieces));
+                return Done { end: AttemptEnd::Served, body, idle: None, rest: Some(Box::pin(rest)) };
             }
             // It was not to go any more.
-            Ok(_) if written.withheld() => return Done::lost(End::NotSent),
+            Ok(_) if written.withheld() => return Done::lost(AttemptEnd::NotSent),
             // Guards against taking a connection that had grown stale for a node that is down: the node has
             // not had the request, so that this is still the same attempt.
             Ok(_) if reused && !written.whole() && repeatable(&attempt) => {}
-            Ok(_) if !written.whole() => return Done::lost(End::NotConnected),
-            Ok(_) if written.broken() => return Done::lost(End::Reset),
+            Ok(_) if !written.whole() => return Done::lost(AttemptEnd::NotConnected),
+            Ok(_) if written.broken() => return Done::lost(AttemptEnd::Reset),
             // The node is there and has said something that makes no sense. Guards against taking it for one
             // that went down and is cold now: it may have run the request, and that is all.
-            Ok(_) => return Done::lost(End::Error),
+            Ok(_) => return Done::lost(AttemptEnd::Error),
             // A node that has stopped taking a long body has not had it.
-            Err(()) if attempt.work.rest.is_some() && !written.whole() => {
-                return Done::lost(End::NotConnected);
+            Err(()) if attempt.node_request.upload.is_some() && !written.whole() => {
+                return Done::lost(AttemptEnd::NotConnected);
             }
-            Err(()) => return Done::lost(End::TimedOut),
+            Err(()) => return Done::lost(AttemptEnd::TimedOut),
         }
     }
 }
 
 /// Nothing of it has been taken that can't be sent again.
 fn repeatable(attempt: &Attempt) -> bool {
-    attempt.work.rest.as_ref().is_none_or(Upload::untouched)
+    attempt.node_request.upload.as_ref().is_none_or(Upload::is_unsent)
 }
 
 type Encoded = Result<Request<Sending>, hyper::http::Error>;
 
 /// The request, and the length of its body where that is told.
 fn encode(attempt: &Attempt, address: SocketAddr, written: &Arc<Written>) -> (Encoded, Option<usize>) {
-    let Work { call, class, write, target, once, body, rest, .. } = &*attempt.work;
-    let left = attempt.until.saturating_duration_since(Instant::now());
-    let left = rest.as_ref().map_or(left, Upload::budget).as_millis();
-    let length = rest.as_ref().map_or(Some(body.len()), |upload| upload.length().map(|l| l as usize));
+    let NodeRequest {
+        client_request_id: call,
+        class_name: class,
+        is_write: write,
+        target,
+        idempotency_key: once,
+        body,
+        upload: rest,
+        ..
+    } = &*attempt.node_request;
+    let left = attempt.deadline.saturating_duration_since(Instant::now());
+    let left = rest.as_ref().map_or(left, Upload::time_budget).as_millis();
+    let length = rest.as_ref().map_or(Some(body.len()), |upload| upload.content_length().map(|l| l as usize));
     let method = if *write { Method::PUT } else { Method::GET };
     let mut request = Request::builder().method(method).uri(&**target);
     request = request.header(HOST, address.to_string());
@@ -326,7 +340,9 @@
     if let Some(length) = length.filter(|_| *write || !body.is_empty()) {
         request = request.header(CONTENT_LENGTH, length);
     }
-    let pieces = rest.as_ref().and_then(|upload| Some((upload.take()?, upload.length(), written.clone())));
+    let pieces = rest
+        .as_ref()
+        .and_then(|upload| Some((upload.take_body()?, upload.content_length(), written.clone())));
     let sending = Sending { held: (!body.is_empty()).then(|| body.clone()), rest: pieces };
     (request.body(sending), length)
 }
--- a/crates/transport/src/node/mod.rs
+++ b/crates/transport/src/node/mod.rs
@@ -16,9 +16,9 @@
 use tokio::sync::{mpsc, Notify};
 use tokio::time::Instant;
 
-use heathward_core::{report, Attempt, Message, Reply};
+use heathward_core::{report_attempt_end, Attempt, CoreMessage, NodeReply};
 use heathward_policy::settings::Deployment;
-use heathward_policy::End;
+use heathward_policy::AttemptEnd;
 
 use pool::{Parked, Permit};
 
@@ -58,9 +58,9 @@
 /// How it went. A connection that is not given back is closed by now.
 pub struct Done<C> {
     /// How the attempt ended.
-    pub end: End,
-    /// What came with [`End::Served`].
-    pub body: Reply,
+    pub end: AttemptEnd,
+    /// What came with [`AttemptEnd::Served`].
+    pub body: NodeReply,
     /// The connection, if it can carry another.
     pub idle: Option<C>,
     /// What passes the rest of an answer on, and gives the connection back then.
@@ -69,13 +69,13 @@
 
 impl<C> Done<C> {
     /// An attempt that brought nothing back and whose connection is closed.
-    pub fn lost(end: End) -> Self {
-        Self { end, body: Reply::Whole(Bytes::new()), idle: None, rest: None }
+    pub fn lost(end: AttemptEnd) -> Self {
+        Self { end, body: NodeReply::Buffered(Bytes::new()), idle: None, rest: None }
     }
 
     /// One that is over, on a connection that can carry another.
-    pub fn back(end: End, body: Bytes, connection: C) -> Self {
-        Self { end, body: Reply::Whole(body), idle: Some(connection), rest: None }
+    pub fn back(end: AttemptEnd, body: Bytes, connection: C) -> Self {
+        Self { end, body: NodeReply::Buffered(body), idle: Some(connection), rest: None }
     }
 }
 
@@ -95,9 +95,9 @@
 impl Limits {
     /// Those of a deployment: `open` descriptors in all, `most_idle` idle connections for each node.
     pub fn new(deployment: &Deployment, open: usize, most_idle: usize) -> Self {
-        let idle = Duration::from_micros(deployment.idle);
+        let idle = Duration::from_micros(deployment.idle_timeout);
         let idle = idle.saturating_sub(IDLE_LEAD.min(idle / 2));
-        Self { connect: Duration::from_micros(deployment.connect.max(1)), idle, open, most_idle }
+        Self { connect: Duration::from_micros(deployment.connect_timeout.max(1)), idle, open, most_idle }
     }
 }
 
@@ -118,7 +118,7 @@
 }
 
 /// Starts a node's actor over a link: a tower service that carries one attempt on one connection.
-pub fn spawn<L, C>(link: L, pool: Pool, core: mpsc::Sender<Message>) -> mpsc::Sender<Attempt>
+pub fn spawn<L, C>(link: L, pool: Pool, core: mpsc::Sender<CoreMessage>) -> mpsc::Sender<Attempt>
 where
     L: tower::Service<Job<C>, Response = Done<C>, Error = std::convert::Infallible> + Send + 'static,
     L::Future: Send + 'static,
@@ -141,7 +141,7 @@
 struct Actor<L, C> {
     link: L,
     pool: Pool,
-    core: mpsc::Sender<Message>,
+    core: mpsc::Sender<CoreMessage>,
     /// The newest last.
     idle: VecDeque<Idle<C>>,
     running: FuturesUnordered<BoxFuture<'static, Finished<C>>>,
@@ -187,7 +187,7 @@
         };
         if permit.is_none() {
             // No descriptor for it: it never ran, and that says nothing about the node.
-            let done = Done::lost(End::NotSent);
+            let done = Done::lost(AttemptEnd::NotSent);
             return self.running.push(Box::pin(async move { Finished::Attempt(attempt, done, None) }));
         }
         let fresh = idle.is_none();
@@ -227,7 +227,7 @@
                 None => self.keep(done.idle, permit, listed),
             }
         }
-        report(&self.core, &attempt, done.end, done.body).await;
+        report_attempt_end(&self.core, &attempt, done.end, done.body).await;
     }
 
     /// Keeps a connection for another attempt.
--- a/crates/transport/src/node/wire.rs
+++ b/crates/transport/src/node/wire.rs
@@ -39,7 +39,7 @@
 
 impl Written {
     /// An attempt begins whose body holds so many bytes, where that is told; else it goes in chunks.
-    /// Once it [may not begin](Attempt::may_begin), its first byte is not written any more; once it is
+    /// Once it [may not begin](Attempt::may_start), its first byte is not written any more; once it is
     /// cancelled, no byte is.
     pub fn begin(&self, body: impl Into<Option<usize>>, attempt: Attempt) {
         let body = body.into().unwrap_or(UNTOLD);
@@ -91,7 +91,7 @@
         }
         let begun = self.begun.load(Ordering::Relaxed);
         let withheld = self.lock().as_ref().is_some_and(|attempt| match begun {
-            false => !attempt.may_begin(),
+            false => !attempt.may_start(),
             true => !self.whole() && attempt.cancel.is_cancelled(),
         });
         let stale = !begun && self.used.load(Ordering::Relaxed) && !quiet(stream);
@@ -120,7 +120,7 @@
             self.body.store(left, Ordering::Relaxed);
             if left == 0 && !self.whole.swap(true, Ordering::Relaxed) {
                 if let Some(attempt) = &*self.lock() {
-                    attempt.tries.count();
+                    attempt.written_attempts.increment();
                 }
             }
         }
--- a/crates/transport/src/nvme/controller.rs
+++ b/crates/transport/src/nvme/controller.rs
@@ -17,7 +17,7 @@
 use super::pdu::{Fatal, Pdu, MOST_DATA};
 use super::subsystem::{lock, AbortOne, Controller, Subsystem};
 use super::wire::{Broken, Wire};
-use heathward_core::{Answer, Call, Reply};
+use heathward_core::{Answer, ClientRequest, NodeReply};
 
 /// A host has so long to open a queue, and to take in why its connection ends.
 const HANDSHAKE: Duration = Duration::from_secs(5);
@@ -67,7 +67,7 @@
     };
     if let Err(Broken::Fatal(fatal)) = queue.run(&mut stopping).await {
         // Commands that are open end with their queue; the host is told why.
-        queue.subsystem.core.malformed();
+        queue.subsystem.core.count_malformed_request();
         queue.running.clear();
         let _ = timeout_at(Instant::now() + HANDSHAKE, queue.wire.terminate(fatal)).await;
     }
@@ -379,7 +379,7 @@
         match begun {
             Ok(()) => Ok(()),
             Err(status) => {
-                self.subsystem.core.malformed();
+                self.subsystem.core.count_malformed_request();
                 self.complete(cid, 0, status).await
             }
         }
@@ -423,15 +423,15 @@
         }
     }
 
-    fn begin(&mut self, cid: u16, read: Option<usize>, call: Call) {
+    fn begin(&mut self, cid: u16, read: Option<usize>, call: ClientRequest) {
         let (answer, handle) = abortable(self.subsystem.core.clone().call(call));
         self.open.insert(cid, Some(handle));
         self.running.push(Box::pin(async move {
             // A core that has stopped promises nothing.
-            let failed = Answer::Failed { ran: true, late: false };
+            let failed = Answer::Failed { possibly_executed: true, deadline_passed: false };
             let answer = match answer.await {
-                Ok(Ok(Answer::Served(reply))) => match reply.whole(MOST_DATA).await {
-                    Some(body) => Ok(Answer::Served(Reply::Whole(body))),
+                Ok(Ok(Answer::Served(reply))) => match reply.collect(MOST_DATA).await {
+                    Some(body) => Ok(Answer::Served(NodeReply::Buffered(body))),
                     None => Ok(failed),
                 },
                 other => other.map(|a| a.unwrap_or(failed)),
@@ -443,7 +443,7 @@
     async fn finish(&mut self, Finished { cid, read, answer }: Finished) -> Result<(), Broken> {
         self.open.remove(&cid);
         match (read, &answer) {
-            (Some(size), Ok(Answer::Served(Reply::Whole(body)))) => {
+            (Some(size), Ok(Answer::Served(NodeReply::Buffered(body)))) => {
                 let mut data = BytesMut::from(&body[..body.len().min(size)]);
                 // What was never written reads as zeros.
                 data.resize(size, 0);
--- a/crates/transport/src/nvme/initiator.rs
+++ b/crates/transport/src/nvme/initiator.rs
@@ -17,8 +17,8 @@
 use super::pdu::{Pdu, MOST_DATA};
 use super::wire::{Broken, Wire};
 use crate::node::{Connection, Done, Job};
-use heathward_core::{Attempt, Work};
-use heathward_policy::End;
+use heathward_core::{Attempt, NodeRequest};
+use heathward_policy::AttemptEnd;
 
 /// Entries of a queue, from 0: a queue carries one command at a time.
 const QUEUE_SIZE: u16 = 1;
@@ -86,8 +86,8 @@
     /// One read or write, from its first byte to its completion. Once its client has left, no more of it is
     /// written; what is written whole goes on.
     async fn exchange(&mut self, attempt: &Attempt, blocks: Blocks, data: Bytes, size: usize) -> Exchange {
-        let Attempt { tries, cancel, .. } = attempt;
-        let write = attempt.work.write;
+        let Attempt { written_attempts: tries, cancel, .. } = attempt;
+        let write = attempt.node_request.is_write;
         self.cid = self.cid.wrapping_add(1);
         let (cid, length) = (self.cid, size as u32);
         let carried = write && size <= self.in_capsule;
@@ -99,7 +99,7 @@
         // Until all the data of a write is out, it can't have run.
         let (mut whole, mut sent) = (!write || carried, 0);
         if whole {
-            tries.count();
+            tries.increment();
         }
         let mut page = BytesMut::new();
         loop {
@@ -133,7 +133,7 @@
                     }
                     whole = sent == size;
                     if whole {
-                        tries.count();
+                        tries.increment();
                     }
                 }
                 Ok(Pdu::C2hData { cid: of, offset, data, .. })
@@ -204,9 +204,9 @@
     }
 
     /// The blocks of a work, and how many bytes they hold.
-    fn blocks(&self, work: &Work) -> Option<(Blocks, usize)> {
+    fn blocks(&self, work: &NodeRequest) -> Option<(Blocks, usize)> {
         let block = self.map.block as usize;
-        let size = match (work.write, work.length) {
+        let size = match (work.is_write, work.read_length) {
             (true, _) => work.body.len(),
             (false, Some(length)) => length,
             (false, None) => (work.units.saturating_mul(self.map.unit_blocks)) as usize * block,
@@ -219,10 +219,10 @@
     /// One attempt. As over HTTP, what is given up on is closed before the end is told.
     async fn run(self, job: Job<NvmeConnection>) -> Done<NvmeConnection> {
         let Job { attempt, mut idle, connect_by } = job;
-        let (work, until) = (&attempt.work, attempt.until);
-        let Some((blocks, size)) = self.blocks(work) else { return Done::lost(End::NotSent) };
+        let (work, until) = (&attempt.node_request, attempt.deadline);
+        let Some((blocks, size)) = self.blocks(work) else { return Done::lost(AttemptEnd::NotSent) };
         let mut data = BytesMut::from(&*work.body);
-        if work.write {
+        if work.is_write {
             data.resize(size, 0);
         }
         let data = data.freeze();
@@ -232,51 +232,51 @@
                 Some(connection) => connection,
                 None => {
                     let opened = NvmeConnection::open(self.address, &self.subsystem);
-                    let opened = timeout_at(connect_by.min(attempt.reach), opened);
+                    let opened = timeout_at(connect_by.min(attempt.connect_deadline), opened);
                     let opened = tokio::select! {
                         biased;
                         // Whoever has left waits for no connection, and holds none.
-                        () = attempt.cancel.cancelled() => return Done::lost(End::NotSent),
+                        () = attempt.cancel.cancelled() => return Done::lost(AttemptEnd::NotSent),
                         opened = opened => opened,
                     };
                     match opened {
                         Ok(Ok(connection)) => connection,
-                        _ => return Done::lost(End::NotConnected),
+                        _ => return Done::lost(AttemptEnd::NotConnected),
                     }
                 }
             };
             if reused && !connection.io.quiet().await {
                 continue;
             }
-            if !attempt.may_begin() {
-                return Done::back(End::NotSent, Bytes::new(), connection);
+            if !attempt.may_start() {
+                return Done::back(AttemptEnd::NotSent, Bytes::new(), connection);
             }
             let exchange = connection.exchange(&attempt, blocks, data.clone(), size);
             return match timeout_at(until, exchange).await {
                 Ok(Ok((status, body))) => Done::back(end_of(status), body, connection),
                 // Its client has left, and the target has not had the command whole.
                 Ok(Err(BrokeOff { whole: false, .. })) if attempt.cancel.is_cancelled() => {
-                    Done::lost(End::NotSent)
+                    Done::lost(AttemptEnd::NotSent)
                 }
                 // The target has not had the command whole: on an old queue it is still the same attempt.
                 Ok(Err(BrokeOff { whole: false, .. })) if reused => continue,
-                Ok(Err(BrokeOff { whole: false, .. })) => Done::lost(End::NotConnected),
+                Ok(Err(BrokeOff { whole: false, .. })) => Done::lost(AttemptEnd::NotConnected),
                 // As over HTTP: it may have run, and the target did not go down.
-                Ok(Err(BrokeOff { spoilt: true, .. })) => Done::lost(End::Error),
-                Ok(Err(BrokeOff { .. })) => Done::lost(End::Reset),
-                Err(_) => Done::lost(End::TimedOut),
+                Ok(Err(BrokeOff { spoilt: true, .. })) => Done::lost(AttemptEnd::Error),
+                Ok(Err(BrokeOff { .. })) => Done::lost(AttemptEnd::Reset),
+                Err(_) => Done::lost(AttemptEnd::TimedOut),
             };
         }
     }
 }
 
 /// Only a namespace that is not ready has surely run nothing and will later; all else may have run.
-fn end_of(status: Status) -> End {
+fn end_of(status: Status) -> AttemptEnd {
     let plain = Status { delay: 0, final_: false, ..status };
     match plain {
-        Status::SUCCESS => End::Served,
-        Status::NOT_READY => End::Full,
-        _ => End::Error,
+        Status::SUCCESS => AttemptEnd::Served,
+        Status::NOT_READY => AttemptEnd::Rejected,
+        _ => AttemptEnd::Error,
     }
 }
 
--- a/crates/transport/src/nvme/map.rs
+++ b/crates/transport/src/nvme/map.rs
@@ -100,13 +100,15 @@
 impl Map {
     /// Decodes the file.
     pub fn parse(text: &str, deployment: &Deployment) -> Result<Self, ConfigError> {
-        let broken =
-            |_| ConfigError { field: "nvme".to_owned(), why: "not JSON, or a field is missing".to_owned() };
+        let broken = |_| ConfigError {
+            field: "nvme".to_owned(),
+            reason: "not JSON, or a field is missing".to_owned(),
+        };
         let file: File = json::from_str(text).map_err(broken)?;
         let class = |field: &str, name: &str, write: bool| {
-            let at = deployment.classes.iter().position(|c| c == name);
-            let at = at.filter(|at| deployment.writes[*at] == write);
-            let at = at.ok_or_else(|| ConfigError::value(field, name))?;
+            let at = deployment.class_names.iter().position(|c| c == name);
+            let at = at.filter(|at| deployment.class_writes[*at] == write);
+            let at = at.ok_or_else(|| ConfigError::invalid(field, name))?;
             Ok(Class { id: ClassId(at as u16), name: name.into() })
         };
         let (read, write) = (class("read", &file.read, false)?, class("write", &file.write, true)?);
@@ -114,7 +116,7 @@
             if sound {
                 Ok(())
             } else {
-                Err(ConfigError::value(field, &value.to_string()))
+                Err(ConfigError::invalid(field, &value.to_string()))
             }
         };
         let block = file.block;
@@ -122,15 +124,15 @@
         fits(file.queues > 0, "queues", file.queues.into())?;
         fits((2..=1024).contains(&file.depth), "depth", file.depth.into())?;
         let units = (MOST_DATA as u32 / block).div_ceil(file.unit_blocks.max(1));
-        let most = deployment.settings.most_units;
+        let most = deployment.settings.max_units;
         fits(file.unit_blocks > 0 && units <= most, "unit_blocks", file.unit_blocks.into())?;
         let mut namespaces = Vec::new();
         for (at, from) in file.namespaces.into_iter().enumerate() {
             let field = |name: &str| format!("namespaces.{at}.{name}");
-            let plan = deployment.plans.iter().position(|p| *p == from.plan);
-            let plan = plan.ok_or_else(|| ConfigError::value(&field("plan"), &from.plan))?;
+            let plan = deployment.plan_names.iter().position(|p| *p == from.plan);
+            let plan = plan.ok_or_else(|| ConfigError::invalid(&field("plan"), &from.plan))?;
             let volume = u64::from_str_radix(&from.volume, 16);
-            let volume = volume.map_err(|_| ConfigError::value(&field("volume"), &from.volume))?;
+            let volume = volume.map_err(|_| ConfigError::invalid(&field("volume"), &from.volume))?;
             fits((1..0xffff_ffff).contains(&from.nsid), &field("nsid"), from.nsid.into())?;
             fits(from.hosts > 0, &field("hosts"), from.hosts.into())?;
             fits(from.blocks > 0, &field("blocks"), from.blocks)?;
@@ -148,13 +150,14 @@
         }
         namespaces.sort_by_key(|n| n.nsid);
         let twice = namespaces.windows(2).find(|pair| pair[0].nsid == pair[1].nsid);
-        twice.map_or(Ok(()), |pair| Err(ConfigError::value("namespaces.nsid", &pair[0].nsid.to_string())))?;
+        twice
+            .map_or(Ok(()), |pair| Err(ConfigError::invalid("namespaces.nsid", &pair[0].nsid.to_string())))?;
         let subsystem = file.subsystem;
         if !subsystem.starts_with("nqn.") || subsystem.len() > 223 {
-            return Err(ConfigError::value("subsystem", &subsystem));
+            return Err(ConfigError::invalid("subsystem", &subsystem));
         }
         Ok(Self {
-            listen: file.listen.parse().map_err(|_| ConfigError::value("listen", &file.listen))?,
+            listen: file.listen.parse().map_err(|_| ConfigError::invalid("listen", &file.listen))?,
             subsystem,
             queues: file.queues,
             depth: file.depth,
--- a/crates/transport/src/nvme/subsystem.rs
+++ b/crates/transport/src/nvme/subsystem.rs
@@ -13,8 +13,8 @@
 use super::identify;
 use super::map::Map;
 use super::pdu::MOST_DATA;
-use heathward_core::{Answer, Call, Core, Work};
-use heathward_policy::{Effect, KeyId};
+use heathward_core::{Answer, ClientRequest, CoreHandle, NodeRequest};
+use heathward_policy::{Idempotency, KeyId};
 
 /// Controller ids from here on are reserved.
 const LAST_ID: u16 = 0xfff0;
@@ -25,7 +25,7 @@
 /// The front's one subsystem, which its queues share.
 pub struct Subsystem {
     pub(super) map: Arc<Map>,
-    pub(super) core: Core,
+    pub(super) core: CoreHandle,
     /// Ids of calls start at a random number, so that a restart repeats none.
     pub(super) calls: Mutex<fastrand::Rng>,
     pub(super) controllers: Mutex<HashMap<u16, Arc<Controller>>>,
@@ -55,7 +55,7 @@
 
 impl Subsystem {
     /// The subsystem before that core.
-    pub fn new(map: Arc<Map>, core: Core, seed: u64) -> Arc<Self> {
+    pub fn new(map: Arc<Map>, core: CoreHandle, seed: u64) -> Arc<Self> {
         let (calls, controllers) = (Mutex::new(fastrand::Rng::with_seed(seed)), Mutex::default());
         Arc::new(Self { map, core, calls, controllers })
     }
@@ -71,34 +71,34 @@
     }
 
     /// The typed request behind a read or a write whose last byte has just come.
-    pub(super) fn call(&self, write: bool, blocks: Blocks, body: Bytes) -> Result<Call, Status> {
+    pub(super) fn call(&self, write: bool, blocks: Blocks, body: Bytes) -> Result<ClientRequest, Status> {
         let namespace = self.map.namespace(blocks.nsid).ok_or(Status::INVALID_NAMESPACE)?;
         let class = if write { &self.map.write } else { &self.map.read };
         let deployment = self.core.deployment();
         let settings = &deployment.settings.classes[class.id.0 as usize];
         let call = format!("{:016x}", lock(&self.calls).u64(..));
-        let keyed = settings.effect == Effect::Keyed;
-        let work = Work {
-            class: class.name.clone(),
-            write,
+        let keyed = settings.idempotency == Idempotency::WithKey;
+        let work = NodeRequest {
+            class_name: class.name.clone(),
+            is_write: write,
             target: format!("/{}/{:016x}/{:016x}", class.name, namespace.volume.0, blocks.first).into(),
-            once: keyed.then(|| call.as_str().into()),
-            call: call.into(),
+            idempotency_key: keyed.then(|| call.as_str().into()),
+            client_request_id: call.into(),
             volume: namespace.volume,
             key: KeyId(blocks.first),
             units: self.map.units(blocks.count),
-            length: Some(blocks.count as usize * self.map.block as usize),
+            read_length: Some(blocks.count as usize * self.map.block as usize),
             body,
-            rest: None,
+            upload: None,
         };
-        Ok(Call {
+        Ok(ClientRequest {
             class: class.id,
             plan: namespace.plan,
             shard: Some(namespace.shard(blocks.first)),
-            hosts: namespace.hosts,
-            repeat: false,
+            schedulers: namespace.hosts,
+            is_client_retry: false,
             deadline: Instant::now() + Duration::from_micros(settings.deadline),
-            work: Arc::new(work),
+            node_request: Arc::new(work),
         })
     }
 
@@ -125,13 +125,13 @@
     /// How a command ends with that answer.
     pub(super) fn status(&self, write: bool, answer: &Result<Answer, Aborted>) -> Status {
         match answer {
-            Err(Aborted) | Ok(Answer::Failed { late: true, .. }) => Status::ABORTED,
+            Err(Aborted) | Ok(Answer::Failed { deadline_passed: true, .. }) => Status::ABORTED,
             Ok(Answer::Served(_)) => Status::SUCCESS,
-            Ok(Answer::Refused { retry_after }) => {
+            Ok(Answer::Shed { retry_after }) => {
                 Status { delay: identify::delay_for(*retry_after, self.delays()), ..Status::INTERRUPTED }
             }
             Ok(Answer::Duplicate) => Status::CID_CONFLICT,
-            Ok(Answer::Failed { ran: true, .. }) if write => Status::INTERNAL.last(),
+            Ok(Answer::Failed { possibly_executed: true, .. }) if write => Status::INTERNAL.last(),
             Ok(Answer::Failed { .. }) => Status::INTERNAL,
         }
     }
--- a/crates/transport/tests/stored/handover.rs
+++ b/crates/transport/tests/stored/handover.rs
@@ -1,29 +1,36 @@
 //! The state that one process hands to the next, as one line.
 
-use heathward_core::{DiscoveryUpdate, Member, State};
-use heathward_policy::{ListKind, NodeState, ShardId};
+use heathward_core::{Endpoint, EndpointUpdate, HandoverState};
+use heathward_policy::{EndpointUpdateKind, NodeState, ShardId};
 use heathward_transport::handover::{decode, encode};
 
 const STATE: &str = include_str!("fixtures/handover-state.json");
 
-fn member(id: &str, address: &str, zone: &str, shard: u32, state: NodeState, started: Option<u64>) -> Member {
-    Member {
+fn member(
+    id: &str,
+    address: &str,
+    zone: &str,
+    shard: u32,
+    state: NodeState,
+    started: Option<u64>,
+) -> Endpoint {
+    Endpoint {
         id: id.into(),
         address: address.parse().unwrap(),
         zone: zone.into(),
         shard: ShardId(shard),
         state,
-        started,
+        started_at: started,
     }
 }
 
 /// Every field filled: nodes in every state, with and without a start, a zone, and of both kinds of address.
-fn state() -> State {
-    State {
-        list: DiscoveryUpdate {
+fn state() -> HandoverState {
+    HandoverState {
+        endpoint_list: EndpointUpdate {
             revision: 9_007_199_254_740_993,
-            kind: ListKind::Whole,
-            members: vec![
+            kind: EndpointUpdateKind::Snapshot,
+            endpoints: vec![
                 member("s-ready", "127.0.0.1:9001", "a", 0, NodeState::Ready, None),
                 member(
                     "s-draining",
@@ -33,12 +40,19 @@
                     NodeState::Draining,
                     Some(1_700_000_000_123_456),
                 ),
-                member("s-gone", "[::1]:65535", "", u32::MAX, NodeState::Gone, Some(1_700_000_000_123_000)),
+                member(
+                    "s-gone",
+                    "[::1]:65535",
+                    "",
+                    u32::MAX,
+                    NodeState::Removed,
+                    Some(1_700_000_000_123_000),
+                ),
                 member("s-\"quoted\"\\\u{e9}\n", "127.0.0.1:9002", "a", 1, NodeState::Ready, Some(1)),
             ],
         },
         suspended: vec!["s-ready".into(), "s-unlisted".into()],
-        cold: vec![("s-ready".into(), 1_700_000_000_123_456), ("s-draining".into(), u64::MAX)],
+        slow_start: vec![("s-ready".into(), 1_700_000_000_123_456), ("s-draining".into(), u64::MAX)],
         paused: true,
     }
 }
--- a/crates/transport/tests/stored/ops.rs
+++ b/crates/transport/tests/stored/ops.rs
@@ -1,7 +1,7 @@
 //! The second address: each command line, each reply, and what its caller prints of a call that failed.
 
-use heathward_core::{Answers, Command, Counters, Metrics, NotDone};
-use heathward_transport::ops::{CallError, Reply, Request};
+use heathward_core::{AnswerCounts, CommandError, CoreMetrics, Counters, OperatorCommand};
+use heathward_transport::admin::{CallError, Reply, Request};
 
 const REQUESTS: &str = include_str!("fixtures/ops-requests.txt");
 const REPLIES: &str = include_str!("fixtures/ops-replies.txt");
@@ -13,10 +13,10 @@
     [
         Request::Status,
         Request::Metrics,
-        Request::Command(Command::Pause),
-        Request::Command(Command::Resume),
-        Request::Command(Command::Suspend("s-5be2a07c".into())),
-        Request::Command(Command::Restore("s-5be2a07c".into())),
+        Request::Command(OperatorCommand::Pause),
+        Request::Command(OperatorCommand::Resume),
+        Request::Command(OperatorCommand::Suspend("s-5be2a07c".into())),
+        Request::Command(OperatorCommand::Restore("s-5be2a07c".into())),
     ]
 }
 
@@ -37,9 +37,9 @@
     let replies = [
         Reply::Ok,
         Reply::NotReady,
-        Reply::NotDone(NotDone::UnknownNode),
-        Reply::NotDone(NotDone::TooMany),
-        Reply::NotDone(NotDone::Unsure),
+        Reply::CommandFailed(CommandError::UnknownNode),
+        Reply::CommandFailed(CommandError::TooManySuspended),
+        Reply::CommandFailed(CommandError::PeerUnresponsive),
     ];
     assert_eq!(replies.iter().map(Reply::to_string).collect::<String>(), REPLIES);
 }
@@ -58,22 +58,22 @@
         long.as_bytes(),
         b"status",
     ];
-    let replies = lines.map(|line| Reply::Unreadable(Request::parse(line).unwrap_err()).to_string());
+    let replies = lines.map(|line| Reply::Malformed(Request::parse(line).unwrap_err()).to_string());
     assert_eq!(replies.concat(), UNREADABLE);
 }
 
 #[test]
 fn metrics_are_written_as_stored() {
     let counters = Counters {
-        tries: 11,
-        answers: vec![
-            Answers { served: 21, refused: 22, failed: 23 },
-            Answers { served: 31, refused: 32, failed: 33 },
+        attempts_written: 11,
+        answers_by_class: vec![
+            AnswerCounts { served: 21, shed: 22, failed: 23 },
+            AnswerCounts { served: 31, shed: 32, failed: 33 },
         ],
-        configured: (41, 42),
+        configuration_reloads: (41, 42),
         ..Counters::default()
     };
-    let metrics = Metrics { counters, active: 51, listed: 52, avoided: 53 };
+    let metrics = CoreMetrics { counters, active_requests: 51, listed_nodes: 52, avoided_nodes: 53 };
     // The third class has had no answer yet.
     let classes = ["consulta", "pedido", "informe"].map(str::to_owned).to_vec();
     assert_eq!(Reply::Metrics(Box::new(metrics), classes).to_string(), METRICS);
@@ -82,9 +82,9 @@
 #[test]
 fn each_error_of_a_call_is_written_as_stored() {
     let errors = [
-        CallError::Refused("unknown storage node".to_owned()),
-        CallError::Unanswered("not in time".to_owned()),
-        CallError::Unreadable,
+        CallError::Rejected("unknown storage node".to_owned()),
+        CallError::NoAnswer("not in time".to_owned()),
+        CallError::Malformed,
     ];
     assert_eq!(errors.iter().map(|error| format!("{error}\n")).collect::<String>(), CALL_ERRORS);
 }
--- a/testing/fakes/src/node.rs
+++ b/testing/fakes/src/node.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use heathward_core::{Attempt, DrainGate, Tries, Work};
+use heathward_core::{Attempt, NodeRequest, SendGate, WrittenAttempts};
 use heathward_policy::{KeyId, NodeId, RequestId, VolumeId};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -43,30 +43,30 @@
 }
 
 /// An attempt of a read that nobody has decided on, given up then: for tests of what writes and what dials.
-pub fn attempt(gate: DrainGate, until: Instant) -> Attempt {
-    let work = Work {
-        call: "0000000000000001".into(),
-        class: "consulta".into(),
-        write: false,
+pub fn attempt(gate: SendGate, until: Instant) -> Attempt {
+    let work = NodeRequest {
+        client_request_id: "0000000000000001".into(),
+        class_name: "consulta".into(),
+        is_write: false,
         target: "/consulta/0/0".into(),
-        once: None,
+        idempotency_key: None,
         volume: VolumeId(1),
         key: KeyId(1),
         units: 1,
-        length: None,
+        read_length: None,
         body: Bytes::new(),
-        rest: None,
+        upload: None,
     };
     Attempt {
         request: RequestId(1),
         number: 0,
         node: NodeId(0),
-        until,
-        reach: until,
-        work: work.into(),
-        gate,
+        deadline: until,
+        connect_deadline: until,
+        node_request: work.into(),
+        send_gate: gate,
         cancel: Default::default(),
-        tries: Tries::default(),
+        written_attempts: WrittenAttempts::default(),
     }
 }
 
--- a/testing/fakes/src/program.rs
+++ b/testing/fakes/src/program.rs
@@ -5,7 +5,7 @@
 use std::process::{Child, Command, Stdio};
 use std::sync::mpsc::{channel, Receiver};
 
-use heathward_transport::ops;
+use heathward_transport::admin;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::time::{timeout, Instant};
@@ -77,9 +77,9 @@
     }
 
     /// Has a command carried out.
-    pub async fn command(&self, command: heathward_core::Command) {
+    pub async fn command(&self, command: heathward_core::OperatorCommand) {
         let deadline = Instant::now() + PATIENCE;
-        ops::call(self.ops.unwrap(), &ops::Request::Command(command), deadline).await.expect("done");
+        admin::call(self.ops.unwrap(), &admin::Request::Command(command), deadline).await.expect("done");
     }
 
     /// Its process.
--- a/testing/fakes/src/rig.rs
+++ b/testing/fakes/src/rig.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use heathward_config::{self as config, Config};
-use heathward_core::{self as core, Core, Counters, Member, Message};
+use heathward_core::{self as core, CoreHandle, CoreMessage, Counters, Endpoint};
 use heathward_transport::http::{self, ConnectionTable, Front};
 use heathward_transport::node::{self, HttpLink, Limits, Pool};
 use heathward_transport::nvme::{Map, NvmeLink};
@@ -55,7 +55,7 @@
 /// The scheduler before such nodes.
 pub struct Rig {
     /// The core.
-    pub core: Core,
+    pub core: CoreHandle,
     /// Where its HTTP front listens.
     pub front: SocketAddr,
     /// Ends it when dropped.
@@ -69,11 +69,11 @@
 
 /// With that configuration.
 pub async fn rig_of(text: &str, nvme: Option<Arc<Map>>) -> Rig {
-    let Config { seed, known, deployment, .. } = config::parse(text).unwrap();
+    let Config { seed, cached_endpoints: known, deployment, .. } = config::parse_configuration(text).unwrap();
     let deployment = Arc::new(deployment);
     let (_, limits) = watch::channel(Limits::new(&deployment, NODE_SOCKETS, 4));
     let pool = Pool::new(limits);
-    let dial = move |member: &Member, core: mpsc::Sender<Message>| {
+    let dial = move |member: &Endpoint, core: mpsc::Sender<CoreMessage>| {
         if let Some(map) = &nvme {
             if let Some(target) = map.targets.iter().find(|t| *t.node == *member.id) {
                 let link = NvmeLink::new(member.address, &target.subsystem, map.clone());
@@ -82,8 +82,8 @@
         }
         node::spawn(HttpLink::new(member.address), pool.clone(), core)
     };
-    let core = core::start(deployment.clone(), seed, Box::new(dial)).unwrap();
-    core.discovery_mailbox().send(Message::Update(known)).await.unwrap();
+    let core = core::start_core(deployment.clone(), seed, Box::new(dial)).unwrap();
+    core.discovery_sender().send(CoreMessage::EndpointUpdate(known)).await.unwrap();
     let (listener, front) = listen().await;
     let (stop, stopping) = watch::channel(false);
     tokio::spawn(http::serve(
--- a/testing/fakes/src/staged.rs
+++ b/testing/fakes/src/staged.rs
@@ -176,7 +176,7 @@
     sleep_until(at(2000)).await;
     truth.suspended.0 = now();
     for program in &programs {
-        program.command(heathward_core::Command::Suspend("s1".into())).await;
+        program.command(heathward_core::OperatorCommand::Suspend("s1".into())).await;
     }
 
     sleep_until(at(2500)).await;
@@ -202,7 +202,7 @@
     sleep_until(at(7500)).await;
     // The one that was killed knows nothing of it, and says no.
     for program in [&programs[0], &programs[2]] {
-        program.command(heathward_core::Command::Restore("s1".into())).await;
+        program.command(heathward_core::OperatorCommand::Restore("s1".into())).await;
     }
     truth.suspended.1 = now();
 
--- a/testing/fault-injection/src/scenario.rs
+++ b/testing/fault-injection/src/scenario.rs
@@ -119,7 +119,7 @@
     /// What is wrong, and where.
     pub fn load(path: &Path) -> Result<Self, Wrong> {
         let text = heathward_config::evaluate(path);
-        let text = text.map_err(|error| Wrong { place: error.field, why: error.why })?;
+        let text = text.map_err(|error| Wrong { place: error.field, why: error.reason })?;
         Self::parse(&text)
     }
 
--- a/testing/measure/src/report.rs
+++ b/testing/measure/src/report.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::{Duration, Instant};
 
-use heathward_core::observe::{Note, Observer};
+use heathward_core::observe::{Observation, Observer};
 use heathward_event_log::segment::Rotation;
 use heathward_event_log::{channel, Disk, Limits, Opened, Writer};
 use heathward_event_recorder::{Clock, Recorder};
@@ -264,16 +264,16 @@
 struct Timed(Recorder, Arc<Mutex<Duration>>);
 
 impl Observer for Timed {
-    fn note(&mut self, at: tokio::time::Instant, note: Note<'_>) {
+    fn observe(&mut self, at: tokio::time::Instant, note: Observation<'_>) {
         let begin = Instant::now();
-        self.0.note(at, note);
+        self.0.observe(at, note);
         let took = begin.elapsed();
         let mut longest = self.1.lock().expect("no holder panics");
         *longest = took.max(*longest);
     }
 
-    fn settings(&mut self, deployment: &Deployment) {
-        self.0.settings(deployment);
+    fn settings_changed(&mut self, deployment: &Deployment) {
+        self.0.settings_changed(deployment);
     }
 }
 
@@ -287,13 +287,13 @@
     let limits = Limits { rotation, total: 1 << 30 };
     let writer = Writer::start(disk.clone(), waiting, Opened::default(), limits).expect("a thread to spare");
     let recorder = Recorder::new(sender, Clock::default(), true);
-    rig.core.observe(Some(Box::new(Timed(recorder, longest.clone())))).await;
+    rig.core.set_observer(Some(Box::new(Timed(recorder, longest.clone())))).await;
     let mut stream = TcpStream::connect(rig.front).await.expect("a front that listens");
     for id in 0..2000 {
         stream.write_all(request("consulta", id, 0, 900, "").as_bytes()).await.expect("it takes requests");
         answer(&mut stream).await;
     }
-    rig.core.observe(None).await;
+    rig.core.set_observer(None).await;
     disk.release();
     assert!(writer.finish(Instant::now() + PATIENCE), "the writer did not end");
     let longest = *longest.lock().expect("no holder panics");
--- a/testing/scale-tests/src/callers.rs
+++ b/testing/scale-tests/src/callers.rs
@@ -6,7 +6,7 @@
 use std::ops::Add;
 use std::time::Duration;
 
-use heathward_discovery_pacing::{Calls, Failure, Place};
+use heathward_discovery_pacing::{CallFailure, CallPacer, FleetPosition};
 
 use crate::service::{Costs, Ending, Service};
 
@@ -18,16 +18,16 @@
     /// How long the first call waits.
     fn first(&mut self) -> Duration;
     /// How long the next waits after one that failed.
-    fn failed(&mut self, how: Failure, since: Duration) -> Duration;
+    fn failed(&mut self, how: CallFailure, since: Duration) -> Duration;
 }
 
-impl Law for Calls {
+impl Law for CallPacer {
     fn first(&mut self) -> Duration {
-        Calls::first(self)
+        CallPacer::first_delay(self)
     }
 
-    fn failed(&mut self, how: Failure, since: Duration) -> Duration {
-        Calls::failed(self, how, since)
+    fn failed(&mut self, how: CallFailure, since: Duration) -> Duration {
+        CallPacer::on_failure(self, how, since)
     }
 }
 
@@ -51,7 +51,7 @@
         Duration::ZERO
     }
 
-    fn failed(&mut self, _: Failure, _: Duration) -> Duration {
+    fn failed(&mut self, _: CallFailure, _: Duration) -> Duration {
         let longest = Duration::from_secs(1).max(Duration::from_millis(120) * self.hosts);
         let first = Duration::from_millis(50).max(Duration::from_millis(40) * self.hosts);
         let span = first.saturating_mul(1 << self.failures.min(20)).min(longest);
@@ -88,21 +88,24 @@
         for (at, host, how) in service.advance(now) {
             match how {
                 Ending::Served => done.push(at),
-                _ => calls.push(Reverse((at + laws[host].failed(Failure::Waited, at - since[host]), host))),
+                _ => calls
+                    .push(Reverse((at + laws[host].failed(CallFailure::TimedOut, at - since[host]), host))),
             }
         }
         while let Some(Reverse((at, host))) = calls.peek().copied().filter(|Reverse((at, _))| *at <= now) {
             calls.pop();
             if at < down {
-                let again = laws[host].failed(Failure::Absent, Duration::ZERO);
+                let again = laws[host].failed(CallFailure::Unreachable, Duration::ZERO);
                 calls.push(Reverse((at + again.max(Duration::from_millis(1)), host)));
                 continue;
             }
             made.push(at);
             since[host] = at;
             if service.call(at, host, 0).is_err() {
-                calls
-                    .push(Reverse((at + laws[host].failed(Failure::TurnedAway(None), Duration::ZERO), host)));
+                calls.push(Reverse((
+                    at + laws[host].failed(CallFailure::Rejected(None), Duration::ZERO),
+                    host,
+                )));
             }
         }
     }
@@ -153,11 +156,14 @@
 }
 
 /// The law for so many hosts, which have been answered `known` times after so long.
-pub fn fleet(hosts: u32, seed: u64, known: (u32, Duration)) -> Vec<Calls> {
+pub fn fleet(hosts: u32, seed: u64, known: (u32, Duration)) -> Vec<CallPacer> {
     let one = |host| {
-        let mut calls = Calls::new(Place { host, hosts }, seed * 10_000 + u64::from(host));
+        let mut calls = CallPacer::new(
+            FleetPosition { scheduler_index: host, schedulers: hosts },
+            seed * 10_000 + u64::from(host),
+        );
         for _ in 0..known.0 {
-            calls.answered(known.1);
+            calls.on_answer(known.1);
         }
         calls
     };
--- a/testing/scale-tests/src/cold_start.rs
+++ b/testing/scale-tests/src/cold_start.rs
@@ -118,7 +118,7 @@
     set.same_host = start.same_host;
     set.node.ability *= start.ability_factor;
     set.all_cold = start.begin == Begin::Everything;
-    let cold_time = set.settings.cold_time;
+    let cold_time = set.settings.slow_start_duration;
     let span = if start.span > 0 { start.span } else { cold_time * 3 / 2 };
     let ran = match start.begin {
         Begin::Everything => 0,
--- a/testing/scale-tests/src/costs/all.rs
+++ b/testing/scale-tests/src/costs/all.rs
@@ -31,7 +31,7 @@
 
 /// Settings of the planned size, for one of all its schedulers.
 fn one_of_all() -> Settings {
-    Settings { hosts: SCHEDULERS, host: 0, ..planned_size() }
+    Settings { schedulers: SCHEDULERS, scheduler_index: 0, ..planned_size() }
 }
 
 /// Arrivals and requests at one scheduler, by nodes. Times, so none in the short form.
--- a/testing/scale-tests/src/costs/decision.rs
+++ b/testing/scale-tests/src/costs/decision.rs
@@ -76,7 +76,7 @@
     let name = format!("{name}-sent-of-5000-at-{nodes}-nodes");
     let mut series = Series::new(&name, "schedulers", "requests", f64::from(SCHEDULERS));
     for hosts in SCHEDULER_SIZES {
-        let settings = Settings { hosts, host: 0, ..settings.clone() };
+        let settings = Settings { schedulers: hosts, scheduler_index: 0, ..settings.clone() };
         let spent = five_seconds(&settings, nodes, Nodes::Cold, Target::Pinned, ARRIVALS, 1);
         series.push(f64::from(hosts), spent.sent as f64);
     }
--- a/testing/scale-tests/src/costs/driver.rs
+++ b/testing/scale-tests/src/costs/driver.rs
@@ -4,8 +4,8 @@
 
 use fastrand::Rng;
 use heathward_policy::{
-    Action, ClassId, End, Event, ListEntry, ListKind, Micros, NodeId, NodeState, Outcome, PlanId, Request,
-    RequestId, Scheduler, Settings, ShardId, VolumeId,
+    Action, AttemptEnd, AttemptOutcome, ClassId, EndpointEntry, EndpointUpdateKind, Event, Micros, NodeId,
+    NodeState, PlanId, Request, RequestId, Scheduler, Settings, ShardId, VolumeId,
 };
 
 use crate::events::EventQueue;
@@ -74,8 +74,14 @@
 }
 
 /// An entry of a node in service.
-pub fn entry(node: u32, started: Option<Micros>) -> ListEntry {
-    ListEntry { node: NodeId(node), shard: ShardId(node), zone: node % 10, state: NodeState::Ready, started }
+pub fn entry(node: u32, started: Option<Micros>) -> EndpointEntry {
+    EndpointEntry {
+        node: NodeId(node),
+        shard: ShardId(node),
+        zone: node % 10,
+        state: NodeState::Ready,
+        started_at: started,
+    }
 }
 
 impl Driver {
@@ -100,7 +106,7 @@
             actions: Vec::new(),
         };
         let entries = (0..nodes).map(|node| entry(node, cold.then_some(now))).collect();
-        driver.list(ListKind::Whole, entries);
+        driver.list(EndpointUpdateKind::Snapshot, entries);
         driver
     }
 
@@ -120,8 +126,8 @@
     }
 
     /// A line of the list comes; gives the time that it took.
-    pub fn list(&mut self, kind: ListKind, entries: Vec<ListEntry>) -> Duration {
-        let took = self.handle(Event::List { kind, entries });
+    pub fn list(&mut self, kind: EndpointUpdateKind, entries: Vec<EndpointEntry>) -> Duration {
+        let took = self.handle(Event::EndpointUpdate { kind, entries });
         self.act();
         took
     }
@@ -160,15 +166,15 @@
             plan: PlanId(0),
             volume,
             units: self.rng.u32(1..=3),
-            left: self.set.classes[0].deadline,
+            time_budget: self.set.classes[0].deadline,
             shard,
             key: None,
-            hosts: 1,
-            repeat: false,
-            passes: false,
+            schedulers: 1,
+            is_client_retry: false,
+            is_streaming: false,
         };
         self.spent.arrivals += 1;
-        let took = self.handle(Event::Arrival(request));
+        let took = self.handle(Event::RequestArrived(request));
         self.spent.arriving += took;
         self.act();
     }
@@ -180,7 +186,7 @@
             self.now = at;
             match due {
                 Due::Wake(token) if token == self.wake => {
-                    let took = self.handle(Event::Wake { token });
+                    let took = self.handle(Event::TimerFired { token });
                     self.spent.wakes += took;
                     self.spent.woken += 1;
                 }
@@ -211,7 +217,7 @@
                     self.queue.push(self.now + SERVICE, due);
                     self.spent.sent += 1;
                 }
-                Action::Wake { token, at } => {
+                Action::SetTimer { token, at } => {
                     self.wake = token;
                     self.queue.push(at, Due::Wake(token));
                 }
@@ -222,15 +228,15 @@
 }
 
 fn served(request: u64, node: NodeId, attempt: u32, took: Micros) -> Event {
-    Event::Outcome(Outcome {
+    Event::AttemptEnded(AttemptOutcome {
         request: RequestId(request),
         attempt,
         node,
-        end: End::Served,
-        closed: true,
-        took,
-        used: None,
-        elsewhere: None,
-        busy: None,
+        end: AttemptEnd::Served,
+        request_closed: true,
+        latency: took,
+        volume_usage_percent: None,
+        served_elsewhere: None,
+        utilization: None,
     })
 }
--- a/testing/scale-tests/src/costs/list_change.rs
+++ b/testing/scale-tests/src/costs/list_change.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use heathward_policy::{ListKind, Settings};
+use heathward_policy::{EndpointUpdateKind, Settings};
 
 use super::driver::{entry, Driver};
 use super::NODE_SIZES;
@@ -24,7 +24,7 @@
             for change in 0..CHANGES {
                 driver.pass(1_000);
                 let started = Some(driver.now());
-                took += driver.list(ListKind::Changes, vec![entry(change % nodes, started)]);
+                took += driver.list(EndpointUpdateKind::Changes, vec![entry(change % nodes, started)]);
             }
             took.as_secs_f64() * 1e6 / f64::from(CHANGES)
         };
@@ -42,7 +42,8 @@
             let mut took = Duration::ZERO;
             for _ in 0..WHOLE_LISTS {
                 driver.pass(1_000);
-                took += driver.list(ListKind::Whole, (0..nodes).map(|node| entry(node, None)).collect());
+                took += driver
+                    .list(EndpointUpdateKind::Snapshot, (0..nodes).map(|node| entry(node, None)).collect());
             }
             took.as_secs_f64() * 1e6 / f64::from(WHOLE_LISTS)
         };
--- a/testing/scale-tests/src/costs/memory.rs
+++ b/testing/scale-tests/src/costs/memory.rs
@@ -60,7 +60,7 @@
     let mut series = Series::new(name, "nodes", "entries", f64::from(NODES));
     for nodes in NODE_SIZES {
         let driver = scheduler(settings, nodes, done);
-        series.push(f64::from(nodes), driver.module().kept().nodes as f64);
+        series.push(f64::from(nodes), driver.module().entry_counts().nodes as f64);
     }
     series
 }
@@ -71,7 +71,7 @@
     for volumes in [100_u64, 500, 1_000, 5_000] {
         let mut driver = Driver::new(settings, 10, false, 1);
         (0..volumes).for_each(|volume| driver.ask_for(VolumeId(volume), 1_000));
-        series.push(volumes as f64, driver.module().kept().volumes as f64);
+        series.push(volumes as f64, driver.module().entry_counts().volumes as f64);
     }
     series
 }
--- a/testing/scale-tests/src/deployments.rs
+++ b/testing/scale-tests/src/deployments.rs
@@ -1,7 +1,7 @@
 //! Settings of two deployments in service, and of one at the planned size.
 
-use heathward_policy::settings::{Deployment, Tree};
-use heathward_policy::{ClassSettings, Effect, Group, PlanSettings, Settings};
+use heathward_policy::settings::{Deployment, JsonSource};
+use heathward_policy::{ClassSettings, DeduplicationScope, Idempotency, PlanSettings, Settings};
 
 use crate::node::NodeSettings;
 
@@ -35,7 +35,7 @@
 
 fn read(text: &str) -> Settings {
     let value = miniserde::json::from_str(text).expect("a deployment's file is JSON");
-    Deployment::read(&Tree(&value)).expect("a deployment's file is sound").settings
+    Deployment::read(&JsonSource(&value)).expect("a deployment's file is sound").settings
 }
 
 /// The planned size by arithmetic. A warm node does [`HEADROOM`] times its 882 statements a second, 2.2 units
@@ -45,27 +45,32 @@
 /// writes. A volume's plan gives it more than it asks for, so that plans cut nothing.
 pub fn planned_size() -> Settings {
     let base = predio_norte();
-    let seconds = base.fall_time as f64 / 1e6;
+    let seconds = base.overload_window as f64 / 1e6;
     let class = ClassSettings {
-        aim: 150_000,
+        latency_objective: 150_000,
         deadline: 1_000_000,
-        worth: 2.0,
-        late_worth: 0.2,
+        priority_weight: 2.0,
+        late_weight_fraction: 0.2,
         ..ClassSettings::default()
     };
-    let write =
-        ClassSettings { worth: 3.0, effect: Effect::Keyed, group: Group::Shard, window: 2_500_000, ..class };
+    let write = ClassSettings {
+        priority_weight: 3.0,
+        idempotency: Idempotency::WithKey,
+        deduplication_scope: DeduplicationScope::Shard,
+        deduplication_window: 2_500_000,
+        ..class
+    };
     Settings {
         classes: vec![class, write],
         plans: vec![PlanSettings {
-            rate: 110.0,
-            reserve: 110.0,
-            weight: 1.0,
-            price: 1.0,
+            usual_rate: 110.0,
+            reserved_rate: 110.0,
+            shared_weight: 1.0,
+            priority_factor: 1.0,
             ..PlanSettings::default()
         }],
         mean_units: MEAN_UNITS,
-        cold_units: base.cold_share * node_ability() * seconds,
+        slow_start_units: base.slow_start_fraction * node_ability() * seconds,
         ..base
     }
 }
@@ -78,8 +83,11 @@
 /// A node that does what the settings say at the least: what it bears as it starts, over its share then. Its
 /// queue holds what it can serve within the longest aim, 16 requests at the least.
 pub fn node_of(settings: &Settings) -> NodeSettings {
-    let ability = settings.cold_units / settings.cold_share.max(0.01) / (settings.fall_time as f64 / 1e6);
-    let longest = settings.classes.iter().map(|class| class.aim).max().unwrap_or_default() as f64 / 1e6;
+    let ability = settings.slow_start_units
+        / settings.slow_start_fraction.max(0.01)
+        / (settings.overload_window as f64 / 1e6);
+    let longest =
+        settings.classes.iter().map(|class| class.latency_objective).max().unwrap_or_default() as f64 / 1e6;
     let queue = (ability * longest / settings.mean_units).ceil().max(16.0) as usize;
     NodeSettings { ability, queue, falls: false }
 }
--- a/testing/scale-tests/src/fleet.rs
+++ b/testing/scale-tests/src/fleet.rs
@@ -10,8 +10,8 @@
 use fastrand::Rng;
 use fnv::FnvHasher;
 use heathward_policy::{
-    Action, ClassId, End, Event, ListEntry, ListKind, Micros, NodeId, NodeState, Outcome, Request, RequestId,
-    SettingsError, ShardId,
+    Action, AttemptEnd, AttemptOutcome, ClassId, EndpointEntry, EndpointUpdateKind, Event, Micros, NodeId,
+    NodeState, Request, RequestId, SettingsError, ShardId,
 };
 use tokio::time::Instant;
 
@@ -47,7 +47,7 @@
     LeaseCheck { scheduler: u32, generation: u32 },
     AtNode(Attempt),
     Done { node: u32, number: u64 },
-    Ended { attempt: Attempt, end: End },
+    Ended { attempt: Attempt, end: AttemptEnd },
     NodesReturn { nodes: Vec<u32> },
     Fault(Fault),
 }
@@ -150,7 +150,7 @@
 
     /// What it came to so far.
     pub fn report(&self) -> Report {
-        let kept = self.schedulers.iter().map(|scheduler| scheduler.module.kept());
+        let kept = self.schedulers.iter().map(|scheduler| scheduler.module.entry_counts());
         Report {
             seconds: self.seconds.clone(),
             lost: self.lost,
@@ -174,7 +174,7 @@
             Happening::Wake { scheduler, generation, token } => {
                 let of = &self.schedulers[scheduler as usize];
                 if of.generation == generation && of.wake == Some(token) {
-                    self.handle(scheduler, Event::Wake { token });
+                    self.handle(scheduler, Event::TimerFired { token });
                 }
             }
             Happening::LeaseCheck { scheduler, generation } => self.check_lease(scheduler, generation),
@@ -220,7 +220,7 @@
             let node = self.hollow(NodeId(shard));
             self.nodes[node].asked(now, request.units);
         }
-        self.handle(number, Event::Arrival(request));
+        self.handle(number, Event::RequestArrived(request));
     }
 
     fn take_line(&mut self, delivery: Delivery) {
@@ -232,18 +232,18 @@
         scheduler.lease.heard(self.now);
         scheduler.version = Some(delivery.version);
         let (kind, entries) = match delivery.after {
-            None => (ListKind::Whole, self.lists.truth().whole(delivery.version)),
-            Some(after) => (ListKind::Changes, self.lists.truth().between(after, delivery.version)),
+            None => (EndpointUpdateKind::Snapshot, self.lists.truth().whole(delivery.version)),
+            Some(after) => (EndpointUpdateKind::Changes, self.lists.truth().between(after, delivery.version)),
         };
         if !delivery.is_empty() || delivery.after.is_none() {
             let entries = self.by_lease(number, entries);
-            self.handle(number, Event::List { kind, entries });
+            self.handle(number, Event::EndpointUpdate { kind, entries });
         }
         self.lease_changed(number);
     }
 
     /// Entries as the core tells them to its module: nothing is ready while the list must not be used.
-    fn by_lease(&self, number: u32, mut entries: Vec<ListEntry>) -> Vec<ListEntry> {
+    fn by_lease(&self, number: u32, mut entries: Vec<EndpointEntry>) -> Vec<EndpointEntry> {
         if !self.schedulers[number as usize].lease.holds(self.now) {
             let ready = entries.iter_mut().filter(|entry| entry.state == NodeState::Ready);
             ready.for_each(|entry| entry.state = NodeState::Draining);
@@ -271,7 +271,7 @@
         }
         if let Some(version) = scheduler.version {
             let entries = self.by_lease(number, self.lists.truth().whole(version));
-            self.handle(number, Event::List { kind: ListKind::Changes, entries });
+            self.handle(number, Event::EndpointUpdate { kind: EndpointUpdateKind::Changes, entries });
         }
     }
 
@@ -294,10 +294,12 @@
     fn act(&mut self, number: u32, action: Action, events: &mut Vec<Event>) {
         let now = self.now;
         match action {
-            Action::Send { request, node, give_up } => self.send(number, request, node, give_up, events),
-            Action::Refuse { request, .. } => self.answer(number, request, Answer::Refused, events),
+            Action::Send { request, node, timeout: give_up } => {
+                self.send(number, request, node, give_up, events)
+            }
+            Action::Shed { request, .. } => self.answer(number, request, Answer::Refused, events),
             Action::Fail { request } => self.answer(number, request, Answer::Failed, events),
-            Action::Wake { token, at } => {
+            Action::SetTimer { token, at } => {
                 let scheduler = &mut self.schedulers[number as usize];
                 scheduler.wake = Some(token);
                 let generation = scheduler.generation;
@@ -334,7 +336,7 @@
         open.attempts += 1;
         if open.answered || !scheduler.lease.holds(now) {
             self.not_sent += 1;
-            return events.push(outcome(&attempt, End::NotSent, now, false));
+            return events.push(outcome(&attempt, AttemptEnd::NotSent, now, false));
         }
         open.out = Some((attempt.number, node));
         for part in [now, u64::from(number), u64::from(node.0), request.0] {
@@ -363,16 +365,16 @@
         let out = open.out.take();
         scheduler.open.remove(&request.0);
         if let Some((attempt, node)) = out.filter(|_| answer != Answer::Served) {
-            events.push(Event::Outcome(Outcome {
+            events.push(Event::AttemptEnded(AttemptOutcome {
                 request,
                 attempt,
                 node,
-                end: End::Cancelled,
-                closed: true,
-                took: 0,
-                used: None,
-                elsewhere: None,
-                busy: None,
+                end: AttemptEnd::Cancelled,
+                request_closed: true,
+                latency: 0,
+                volume_usage_percent: None,
+                served_elsewhere: None,
+                utilization: None,
             }));
         }
     }
@@ -391,11 +393,11 @@
         let (answered, end) = match admission {
             Admission::ServedAt(done) => {
                 self.queue.push(done, Happening::Done { node: place as u32, number });
-                (attempt.give_up_at, End::TimedOut)
+                (attempt.give_up_at, AttemptEnd::TimedOut)
             }
-            Admission::Full => (now + self.travel(), End::Full),
-            Admission::NotConnected => (now + self.travel(), End::NotConnected),
-            Admission::Silent => (attempt.give_up_at, End::TimedOut),
+            Admission::Full => (now + self.travel(), AttemptEnd::Rejected),
+            Admission::NotConnected => (now + self.travel(), AttemptEnd::NotConnected),
+            Admission::Silent => (attempt.give_up_at, AttemptEnd::TimedOut),
         };
         if answered < Micros::MAX {
             self.queue.push(answered.min(attempt.give_up_at), Happening::Ended { attempt, end });
@@ -406,12 +408,12 @@
         if let Some(attempt) = self.nodes[node as usize].finish(self.now, number) {
             let at = self.now + self.travel();
             if at <= attempt.give_up_at {
-                self.queue.push(at, Happening::Ended { attempt, end: End::Served });
+                self.queue.push(at, Happening::Ended { attempt, end: AttemptEnd::Served });
             }
         }
     }
 
-    fn ended(&mut self, attempt: Attempt, end: End) {
+    fn ended(&mut self, attempt: Attempt, end: AttemptEnd) {
         let scheduler = &mut self.schedulers[attempt.scheduler as usize];
         if scheduler.generation != attempt.generation || !scheduler.up {
             return;
@@ -419,17 +421,17 @@
         let open = scheduler.open.get_mut(&attempt.request);
         let Some(open) = open.filter(|open| open.out == Some((attempt.number, attempt.node))) else { return };
         open.out = None;
-        if end == End::Served {
+        if end == AttemptEnd::Served {
             self.answer(attempt.scheduler, RequestId(attempt.request), Answer::Served, &mut Vec::new());
         }
-        let closed = end == End::Served;
+        let closed = end == AttemptEnd::Served;
         self.handle(attempt.scheduler, outcome(&attempt, end, self.now, closed));
     }
 
     fn reset(&mut self, lost: Vec<Attempt>) {
         for attempt in lost {
             let at = (self.now + self.travel()).min(attempt.give_up_at);
-            self.queue.push(at, Happening::Ended { attempt, end: End::Reset });
+            self.queue.push(at, Happening::Ended { attempt, end: AttemptEnd::Reset });
         }
     }
 
@@ -482,20 +484,26 @@
     Failed,
 }
 
-fn listed(set: &FleetSettings, node: u32, state: NodeState, started: Option<Micros>) -> ListEntry {
-    ListEntry { node: NodeId(node), shard: ShardId(node), zone: node % set.zones.max(1), state, started }
+fn listed(set: &FleetSettings, node: u32, state: NodeState, started: Option<Micros>) -> EndpointEntry {
+    EndpointEntry {
+        node: NodeId(node),
+        shard: ShardId(node),
+        zone: node % set.zones.max(1),
+        state,
+        started_at: started,
+    }
 }
 
-fn outcome(attempt: &Attempt, end: End, now: Micros, closed: bool) -> Event {
-    Event::Outcome(Outcome {
+fn outcome(attempt: &Attempt, end: AttemptEnd, now: Micros, closed: bool) -> Event {
+    Event::AttemptEnded(AttemptOutcome {
         request: RequestId(attempt.request),
         attempt: attempt.number,
         node: attempt.node,
         end,
-        closed,
-        took: now.saturating_sub(attempt.sent),
-        used: None,
-        elsewhere: None,
-        busy: None,
+        request_closed: closed,
+        latency: now.saturating_sub(attempt.sent),
+        volume_usage_percent: None,
+        served_elsewhere: None,
+        utilization: None,
     })
 }
--- a/testing/scale-tests/src/fleet/faults.rs
+++ b/testing/scale-tests/src/fleet/faults.rs
@@ -89,7 +89,9 @@
                     let scheduler = &mut self.schedulers[number as usize];
                     scheduler.hosts_factor = factor;
                     // Settings that the module refuses leave the old ones in force.
-                    let _ = scheduler.module.resettle(scheduler::module_settings(&self.set, number, factor));
+                    let _ = scheduler
+                        .module
+                        .update_settings(scheduler::module_settings(&self.set, number, factor));
                 }
             }
         }
--- a/testing/scale-tests/src/fleet/scheduler.rs
+++ b/testing/scale-tests/src/fleet/scheduler.rs
@@ -45,7 +45,7 @@
 pub(super) fn module_settings(set: &FleetSettings, number: u32, hosts_factor: f64) -> Settings {
     let hosts = (f64::from(set.schedulers) * hosts_factor).round().max(1.0) as u32;
     let host = if set.same_host { 0 } else { number % hosts };
-    Settings { hosts, host, ..set.settings.clone() }
+    Settings { schedulers: hosts, scheduler_index: host, ..set.settings.clone() }
 }
 
 /// Requests a second at each scheduler that is played.
@@ -73,7 +73,7 @@
         epoch: Instant,
     ) -> Result<Self, SettingsError> {
         let mut rng = Rng::with_seed(seed);
-        let plan_rate = set.settings.plans.iter().map(|plan| plan.rate).sum::<f64>()
+        let plan_rate = set.settings.plans.iter().map(|plan| plan.usual_rate).sum::<f64>()
             / set.settings.plans.len().max(1) as f64;
         let of_volume = (plan_rate * set.volume_load / set.settings.mean_units).max(f64::MIN_POSITIVE);
         let module = Scheduler::new(module_settings(set, number, set.hosts_factor), rng.u64(..))?;
@@ -135,13 +135,13 @@
             class: ClassId(class as u16),
             plan: PlanId((volume % set.settings.plans.len().max(1) as u64) as u16),
             volume: VolumeId((u64::from(self.number) << 24) | volume),
-            units: draw_units(rng, set.settings.mean_units, set.settings.most_units),
-            left: set.settings.classes[class].deadline,
+            units: draw_units(rng, set.settings.mean_units, set.settings.max_units),
+            time_budget: set.settings.classes[class].deadline,
             shard: (!free).then_some(shard),
             key: None,
-            hosts: 1,
-            repeat: false,
-            passes: false,
+            schedulers: 1,
+            is_client_retry: false,
+            is_streaming: false,
         }
     }
 }
--- a/testing/scale-tests/src/lists.rs
+++ b/testing/scale-tests/src/lists.rs
@@ -4,9 +4,9 @@
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
-use heathward_discovery_pacing::{Calls, Failure, Place};
+use heathward_discovery_pacing::{CallFailure, CallPacer, FleetPosition};
 use heathward_fakes::member;
-use heathward_policy::{ListEntry, Micros};
+use heathward_policy::{EndpointEntry, Micros};
 
 use crate::events::EventQueue;
 use crate::service::{Costs, Ending, Service};
@@ -38,15 +38,15 @@
 /// The list as it is, with all that has changed since the beginning.
 #[derive(Clone, Debug)]
 pub struct TrueList {
-    entries: Vec<ListEntry>,
+    entries: Vec<EndpointEntry>,
     /// The entries of each version after 0.
-    changes: Vec<Vec<ListEntry>>,
-    first: Vec<ListEntry>,
+    changes: Vec<Vec<EndpointEntry>>,
+    first: Vec<EndpointEntry>,
 }
 
 impl TrueList {
     /// Version 0, in order of the nodes' numbers from 0.
-    pub fn new(entries: Vec<ListEntry>) -> Self {
+    pub fn new(entries: Vec<EndpointEntry>) -> Self {
         Self { first: entries.clone(), entries, changes: Vec::new() }
     }
 
@@ -56,7 +56,7 @@
     }
 
     /// Entries change; gives the new version.
-    pub fn change(&mut self, entries: Vec<ListEntry>) -> usize {
+    pub fn change(&mut self, entries: Vec<EndpointEntry>) -> usize {
         for entry in &entries {
             self.entries[entry.node.0 as usize] = *entry;
         }
@@ -65,12 +65,12 @@
     }
 
     /// The entries as they are.
-    pub fn entries(&self) -> &[ListEntry] {
+    pub fn entries(&self) -> &[EndpointEntry] {
         &self.entries
     }
 
     /// The whole list of a version.
-    pub fn whole(&self, version: usize) -> Vec<ListEntry> {
+    pub fn whole(&self, version: usize) -> Vec<EndpointEntry> {
         if version == self.version() {
             return self.entries.clone();
         }
@@ -82,7 +82,7 @@
     }
 
     /// What has changed after one version up to another.
-    pub fn between(&self, after: usize, version: usize) -> Vec<ListEntry> {
+    pub fn between(&self, after: usize, version: usize) -> Vec<EndpointEntry> {
         self.changes[after..version].iter().flatten().copied().collect()
     }
 }
@@ -180,7 +180,7 @@
 
 #[derive(Clone, Debug)]
 struct Client {
-    calls: Calls,
+    calls: CallPacer,
     rng: fastrand::Rng,
     generation: u32,
     up: bool,
@@ -217,7 +217,7 @@
     pub fn new(way: ListWay, truth: TrueList, schedulers: u32, hosts: u32, seed: u64) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
         let client = |host: u32| Client {
-            calls: Calls::new(Place { host, hosts }, rng.u64(..)),
+            calls: CallPacer::new(FleetPosition { scheduler_index: host, schedulers: hosts }, rng.u64(..)),
             rng: rng.fork(),
             generation: 0,
             up: false,
@@ -265,7 +265,7 @@
         client.generation += 1;
         (client.up, client.watching) = (true, false);
         (client.version, client.heard) = (None, None);
-        let wait = if shared { client.calls.first() } else { Duration::ZERO };
+        let wait = if shared { client.calls.first_delay() } else { Duration::ZERO };
         self.call_later(now, scheduler, wait);
     }
 
@@ -294,14 +294,14 @@
         for scheduler in 0..self.clients.len() as u32 {
             let client = &mut self.clients[scheduler as usize];
             if std::mem::take(&mut client.watching) {
-                let wait = client.calls.answered(client.answered_after);
+                let wait = client.calls.on_answer(client.answered_after);
                 self.call_later(now, scheduler, wait);
             }
         }
     }
 
     /// Entries change now; watches that are open bring it.
-    pub fn change(&mut self, now: Micros, entries: Vec<ListEntry>) -> usize {
+    pub fn change(&mut self, now: Micros, entries: Vec<EndpointEntry>) -> usize {
         let version = self.truth.change(entries);
         if now >= self.down_until {
             self.push_all(now);
@@ -389,7 +389,7 @@
                 client.answered_after = spent;
                 self.open_watch(at, scheduler);
             } else {
-                let wait = client.calls.failed(Failure::Waited, spent);
+                let wait = client.calls.on_failure(CallFailure::TimedOut, spent);
                 self.costs.failed_calls += 1;
                 self.call_later(at, scheduler, wait);
             }
@@ -443,7 +443,7 @@
         let version = client.heard;
         *ListCosts::at(&mut self.costs.calls, at) += 1;
         if at < self.down_until {
-            let wait = client.calls.failed(Failure::Absent, Duration::ZERO);
+            let wait = client.calls.on_failure(CallFailure::Unreachable, Duration::ZERO);
             self.costs.failed_calls += 1;
             return self.call_later(at, scheduler, wait.max(Duration::from_millis(1)));
         }
@@ -453,8 +453,9 @@
         let entries = self.entries_of(version, self.truth.version()) as u32;
         let of = scheduler as usize % self.servers.len();
         if self.servers[of].call(Duration::from_micros(at), (scheduler, generation), entries).is_err() {
-            let wait =
-                self.clients[scheduler as usize].calls.failed(Failure::TurnedAway(None), Duration::ZERO);
+            let wait = self.clients[scheduler as usize]
+                .calls
+                .on_failure(CallFailure::Rejected(None), Duration::ZERO);
             self.costs.failed_calls += 1;
             self.call_later(at, scheduler, wait);
         }
--- a/testing/scale-tests/src/node.rs
+++ b/testing/scale-tests/src/node.rs
@@ -36,11 +36,11 @@
     /// The part of the settings that concerns it.
     pub fn new(settings: &Settings) -> Self {
         Self {
-            share: settings.cold_share.clamp(0.01, 1.0),
-            time: settings.cold_time,
-            window: settings.fall_time.max(1),
-            bears: settings.cold_units / settings.mean_units,
-            multiple: settings.tip_multiple.max(1.0),
+            share: settings.slow_start_fraction.clamp(0.01, 1.0),
+            time: settings.slow_start_duration,
+            window: settings.overload_window.max(1),
+            bears: settings.slow_start_units / settings.mean_units,
+            multiple: settings.overload_multiple.max(1.0),
             mean_units: settings.mean_units,
         }
     }
--- a/testing/scale-tests/src/slow_start.rs
+++ b/testing/scale-tests/src/slow_start.rs
@@ -165,8 +165,8 @@
             Self::UnevenRates => start.rates = Rates::Uneven(4.0),
             Self::Overload(load) => (start.load, start.span) = (load, OVERLOAD_SPAN),
             Self::NodesServeAll => {
-                start.ability_factor = start.settings.tip_multiple;
-                (start.load, start.span) = (start.settings.tip_multiple, OVERLOAD_SPAN);
+                start.ability_factor = start.settings.overload_multiple;
+                (start.load, start.span) = (start.settings.overload_multiple, OVERLOAD_SPAN);
             }
             Self::HostsHalved => start.hosts_factor = 0.5,
             Self::HostsDoubled => start.hosts_factor = 2.0,
--- a/testing/scale-tests/tests/costs.rs
+++ b/testing/scale-tests/tests/costs.rs
@@ -29,7 +29,7 @@
 #[test]
 fn cold_nodes_get_less_from_each_of_more_schedulers() {
     let sent = |hosts| {
-        let settings = Settings { hosts, host: 0, ..planned_size() };
+        let settings = Settings { schedulers: hosts, scheduler_index: 0, ..planned_size() };
         five_seconds(&settings, 60, Nodes::Cold, Target::Pinned, 1_000, 1).sent
     };
     let (few, many) = (sent(30), sent(300));
--- a/testing/scale-tests/tests/fleet.rs
+++ b/testing/scale-tests/tests/fleet.rs
@@ -149,7 +149,11 @@
 #[test]
 fn the_planned_size_asks_what_was_planned() {
     let settings = planned_size();
-    assert!((settings.cold_units - 0.24 * 1.25 * 882.353 * 2.2 * 2.0).abs() < 0.1, "{}", settings.cold_units);
+    assert!(
+        (settings.slow_start_units - 0.24 * 1.25 * 882.353 * 2.2 * 2.0).abs() < 0.1,
+        "{}",
+        settings.slow_start_units
+    );
     let set = FleetSettings::new(4_500, 5_100, Slice::Nodes { one_in: 1_700 }, settings);
     assert!((set.rate_per_scheduler - 1_000.0).abs() < 1e-6, "{}", set.rate_per_scheduler);
     let begin = set.begin;
--- a/testing/scale-tests/tests/lists.rs
+++ b/testing/scale-tests/tests/lists.rs
@@ -2,14 +2,20 @@
 
 use std::time::Duration;
 
-use heathward_policy::{ListEntry, Micros, NodeId, NodeState, ShardId};
+use heathward_policy::{EndpointEntry, Micros, NodeId, NodeState, ShardId};
 use heathward_scale_tests::lists::{entry_line, line_bytes, Delivery, ListPlane, ListWay, TrueList};
 use heathward_scale_tests::service::Costs;
 
 const SECOND: Micros = 1_000_000;
 
-fn entry(node: u32, started: Option<Micros>) -> ListEntry {
-    ListEntry { node: NodeId(node), shard: ShardId(node), zone: 0, state: NodeState::Ready, started }
+fn entry(node: u32, started: Option<Micros>) -> EndpointEntry {
+    EndpointEntry {
+        node: NodeId(node),
+        shard: ShardId(node),
+        zone: 0,
+        state: NodeState::Ready,
+        started_at: started,
+    }
 }
 
 fn truth(nodes: u32) -> TrueList {
