--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -11,8 +11,18 @@
 //!     schedulers: 1,
 //!     mean_units: 2.0,
 //!     max_units: 8,
-//!     classes: vec![ClassSettings { latency_objective: 300_000, deadline: 2_000_000, priority_weight: 1.0, ..Default::default() }],
-//!     plans: vec![PlanSettings { usual_rate: 10.0, reserved_rate: 10.0, shared_weight: 1.0, ..Default::default() }],
+//!     classes: vec![ClassSettings {
+//!         latency_objective: 300_000,
+//!         deadline: 2_000_000,
+//!         priority_weight: 1.0,
+//!         ..Default::default()
+//!     }],
+//!     plans: vec![PlanSettings {
+//!         usual_rate: 10.0,
+//!         reserved_rate: 10.0,
+//!         shared_weight: 1.0,
+//!         ..Default::default()
+//!     }],
 //!     ..Settings::default()
 //! };
 //! let mut scheduler = Scheduler::new(settings, 7).expect("sound settings");
@@ -20,10 +30,20 @@
 //! let entry = EndpointEntry {
 //!     node: NodeId(1), shard: ShardId(0), zone: 0, state: NodeState::Ready, started_at: None,
 //! };
-//! scheduler.handle(1_000, Event::EndpointUpdate { kind: EndpointUpdateKind::Cached, entries: vec![entry] }, &mut actions);
+//! let update = Event::EndpointUpdate { kind: EndpointUpdateKind::Cached, entries: vec![entry] };
+//! scheduler.handle(1_000, update, &mut actions);
 //! let request = Request {
-//!     id: RequestId(1), class: ClassId(0), plan: PlanId(0), volume: VolumeId(9), units: 2, time_budget: 2_000_000,
-//!     shard: Some(ShardId(0)), key: None, schedulers: 1, is_client_retry: false, is_streaming: false,
+//!     id: RequestId(1),
+//!     class: ClassId(0),
+//!     plan: PlanId(0),
+//!     volume: VolumeId(9),
+//!     units: 2,
+//!     time_budget: 2_000_000,
+//!     shard: Some(ShardId(0)),
+//!     key: None,
+//!     schedulers: 1,
+//!     is_client_retry: false,
+//!     is_streaming: false,
 //! };
 //! scheduler.handle(2_000, Event::RequestArrived(request), &mut actions);
 //! assert!(actions.iter().any(|a| matches!(a, Action::Send { node: NodeId(1), .. })));
