--- a/crates/incident/src/findings.rs
+++ b/crates/incident/src/findings.rs
@@ -6,7 +6,7 @@
 use crate::audit::Rule;
 use crate::fold::Missing;
 use crate::series::{ClassCounts, Sum, SECOND};
-use crate::timeline::{Ending, Incident, NodeTable};
+use crate::timeline::{Boot, Ending, Incident, NodeTable};
 
 /// Schedulers that come to the same within that have seen the same.
 const TOGETHER: Micros = 2_000_000;
@@ -235,98 +235,115 @@
 
 fn schedulers(incident: &Incident, all: &mut Vec<Finding>) {
     for (place, boot) in incident.boots.iter().enumerate() {
-        let name = &boot.scheduler;
-        let mut say = |at: Micros, until: Option<Micros>, what: What, text: String| {
-            all.push(Finding { at, until, what, subject: name.clone(), text });
-        };
-        say(boot.from, None, What::Started, format!("{name} began at {}.", clock(boot.from)));
-        let next = incident.boots.iter().filter(|b| b.scheduler == *name && b.from > boot.from);
-        let next = next.map(|b| b.from).min();
-        match (boot.ending, next) {
-            (Ending::Running, _) => {}
-            (Ending::Planned, _) => {
-                say(boot.to, None, What::Ended, format!("{name} ended by plan at {}.", clock(boot.to)));
-            }
-            (Ending::Cut, Some(back)) => {
-                let away = back.saturating_sub(boot.to) as f64 / 1e6;
-                let text = format!(
-                    "{name} ended without a last word after {}, and began again {away:.1} s later.",
-                    clock(boot.to)
-                );
-                say(boot.to, Some(back), What::Killed, text);
-            }
-            // Its records go on to the end of all: it may be running.
-            (Ending::Cut, None) if boot.to + 3 * SECOND >= last_word(incident) => {}
-            (Ending::Cut, None) => {
-                let text = format!("{name} ended without a last word after {}.", clock(boot.to));
-                say(boot.to, None, What::Killed, text);
-            }
-        }
-        let (mut paused, mut stopped) = (None, None);
-        for (at, what) in &boot.lifecycle {
-            match what {
-                Lifecycle::TookOver => {
-                    say(
-                        *at,
-                        None,
-                        What::TookOver,
-                        format!("A new process of {name} took over at {}.", clock(*at)),
-                    );
-                }
-                Lifecycle::Reloaded(false) => {
-                    let text =
-                        format!("{name} did not take a configuration at {}; the old one stood.", clock(*at));
-                    say(*at, None, What::Refused, text);
-                }
-                Lifecycle::Stopped(silence) => stopped = Some((*at, *silence)),
-                Lifecycle::WentOn => {
-                    if let Some((from, silence)) = stopped.take() {
-                        let text = format!(
-                            "{name} sent nothing from {} to {}: discovery had been silent for {} ms.",
-                            clock(from),
-                            clock(*at),
-                            silence / 1000
-                        );
-                        say(from, Some(*at), What::Stopped, text);
-                    }
-                }
-                Lifecycle::Paused => paused = Some(*at),
-                Lifecycle::Resumed => {
-                    if let Some(from) = paused.take() {
-                        let text =
-                            format!("{name} sent clients away from {} to {}.", clock(from), clock(*at));
-                        say(from, Some(*at), What::Paused, text);
-                    }
-                }
-                _ => {}
-            }
+        start_and_end(incident, boot, all);
+        lifecycle(boot, all);
+        clocks(incident, place, boot, all);
+    }
+}
+
+/// A finding about the scheduler of a boot.
+fn of_scheduler(boot: &Boot, at: Micros, until: Option<Micros>, what: What, text: String) -> Finding {
+    Finding { at, until, what, subject: boot.scheduler.clone(), text }
+}
+
+/// When a boot began, and how it ended.
+fn start_and_end(incident: &Incident, boot: &Boot, all: &mut Vec<Finding>) {
+    let name = &boot.scheduler;
+    let text = format!("{name} began at {}.", clock(boot.from));
+    all.push(of_scheduler(boot, boot.from, None, What::Started, text));
+    let next = incident.boots.iter().filter(|b| b.scheduler == *name && b.from > boot.from);
+    let next = next.map(|b| b.from).min();
+    match (boot.ending, next) {
+        (Ending::Running, _) => {}
+        (Ending::Planned, _) => {
+            let text = format!("{name} ended by plan at {}.", clock(boot.to));
+            all.push(of_scheduler(boot, boot.to, None, What::Ended, text));
         }
-        if let Some((from, silence)) = stopped {
-            let (from_clock, silence) = (clock(from), silence / 1000);
+        (Ending::Cut, Some(back)) => {
+            let away = back.saturating_sub(boot.to) as f64 / 1e6;
             let text = format!(
-                "{name} sent nothing from {from_clock} on: discovery had been silent for {silence} ms."
+                "{name} ended without a last word after {}, and began again {away:.1} s later.",
+                clock(boot.to)
             );
-            say(from, None, What::Stopped, text);
+            all.push(of_scheduler(boot, boot.to, Some(back), What::Killed, text));
         }
-        if let Some(from) = paused {
-            say(from, None, What::Paused, format!("{name} sent clients away from {} on.", clock(from)));
-        }
-        if boot.ahead.abs() >= OFF {
-            let word = if boot.ahead > 0 { "ahead" } else { "behind" };
-            let text = format!(
-                "{name}'s clock was {} ms {word} at {}{}.",
-                millis(boot.ahead),
-                clock(boot.from),
-                known_to(incident, place)
-            );
-            say(boot.from, None, What::ClockOff, text);
+        // Its records go on to the end of all: it may be running.
+        (Ending::Cut, None) if boot.to + 3 * SECOND >= last_word(incident) => {}
+        (Ending::Cut, None) => {
+            let text = format!("{name} ended without a last word after {}.", clock(boot.to));
+            all.push(of_scheduler(boot, boot.to, None, What::Killed, text));
         }
-        for (at, by) in &boot.steps {
-            let word = if *by > 0 { "forward" } else { "back" };
-            let text = format!("{name}'s clock stepped {word} by {} ms at {}.", millis(*by), clock(*at));
-            say(*at, None, What::ClockStep, text);
+    }
+}
+
+/// Takeovers, configurations that were not accepted, and the times in which a boot sent nothing or sent
+/// clients away.
+fn lifecycle(boot: &Boot, all: &mut Vec<Finding>) {
+    let name = &boot.scheduler;
+    let (mut paused, mut stopped) = (None, None);
+    for (at, step) in &boot.lifecycle {
+        match step {
+            Lifecycle::TookOver => {
+                let text = format!("A new process of {name} took over at {}.", clock(*at));
+                all.push(of_scheduler(boot, *at, None, What::TookOver, text));
+            }
+            Lifecycle::Reloaded(false) => {
+                let text =
+                    format!("{name} did not take a configuration at {}; the old one stood.", clock(*at));
+                all.push(of_scheduler(boot, *at, None, What::Refused, text));
+            }
+            Lifecycle::Stopped(silence) => stopped = Some((*at, *silence)),
+            Lifecycle::WentOn => {
+                all.extend(
+                    stopped.take().map(|(from, silence)| sent_nothing(boot, from, Some(*at), silence)),
+                );
+            }
+            Lifecycle::Paused => paused = Some(*at),
+            Lifecycle::Resumed => {
+                all.extend(paused.take().map(|from| sent_clients_away(boot, from, Some(*at))));
+            }
+            _ => {}
         }
     }
+    all.extend(stopped.map(|(from, silence)| sent_nothing(boot, from, None, silence)));
+    all.extend(paused.map(|from| sent_clients_away(boot, from, None)));
+}
+
+/// A time in which nothing was sent, as discovery had been silent for so long; to the end of the records if
+/// `until` is none.
+fn sent_nothing(boot: &Boot, from: Micros, until: Option<Micros>, silence: Micros) -> Finding {
+    let (name, silence) = (&boot.scheduler, silence / 1000);
+    let to = until.map_or("on".to_owned(), |until| format!("to {}", clock(until)));
+    let text =
+        format!("{name} sent nothing from {} {to}: discovery had been silent for {silence} ms.", clock(from));
+    of_scheduler(boot, from, until, What::Stopped, text)
+}
+
+/// A pause; to the end of the records if `until` is none.
+fn sent_clients_away(boot: &Boot, from: Micros, until: Option<Micros>) -> Finding {
+    let to = until.map_or("on".to_owned(), |until| format!("to {}", clock(until)));
+    let text = format!("{} sent clients away from {} {to}.", boot.scheduler, clock(from));
+    of_scheduler(boot, from, until, What::Paused, text)
+}
+
+/// A wall clock that was off at the start, and each of its steps.
+fn clocks(incident: &Incident, place: usize, boot: &Boot, all: &mut Vec<Finding>) {
+    let name = &boot.scheduler;
+    if boot.ahead.abs() >= OFF {
+        let word = if boot.ahead > 0 { "ahead" } else { "behind" };
+        let text = format!(
+            "{name}'s clock was {} ms {word} at {}{}.",
+            millis(boot.ahead),
+            clock(boot.from),
+            known_to(incident, place)
+        );
+        all.push(of_scheduler(boot, boot.from, None, What::ClockOff, text));
+    }
+    for (at, by) in &boot.steps {
+        let word = if *by > 0 { "forward" } else { "back" };
+        let text = format!("{name}'s clock stepped {word} by {} ms at {}.", millis(*by), clock(*at));
+        all.push(of_scheduler(boot, *at, None, What::ClockStep, text));
+    }
 }
 
 fn last_word(incident: &Incident) -> Micros {
--- a/crates/report/src/tables.rs
+++ b/crates/report/src/tables.rs
@@ -239,130 +239,133 @@
 
     /// The tables as CSV (RFC 4180), in the order of [`FILES`].
     pub fn csv(&self) -> [String; 7] {
-        let counted =
-            |words: &[&str]| words.iter().map(|w| w.replace(' ', "_").replace(',', "")).collect::<Vec<_>>();
-        let refused = counted(&REFUSALS.map(|(_, word)| word))
-            .iter()
-            .map(|w| format!("refused_{w}"))
-            .collect::<Vec<_>>();
-        let failed = counted(&FAILURES.map(|(_, word)| word))
-            .iter()
-            .map(|w| format!("failed_{w}"))
-            .collect::<Vec<_>>();
-        let ends = counted(&ENDS.map(|(_, word)| word));
-        let classes =
-            ["class", "from_us", "width_us", "at_least", "taken", "in_aim", "late"].map(str::to_owned);
-        let classes =
-            [&classes[..], &refused, &failed, &["gone", "p50_ms", "p99_ms"].map(str::to_owned)].concat();
-        let nodes =
-            ["node", "from_us", "width_us", "at_least", "sent", "cold_units", "most_out"].map(str::to_owned);
-        let nodes = [&nodes[..], &ends].concat();
-        let strings = |names: &[&str]| names.iter().map(|n| (*n).to_owned()).collect::<Vec<_>>();
         [
-            csv(
-                &strings(&["at_us", "until_us", "what", "subject", "text"]),
-                self.findings.iter().map(|f| {
-                    vec![
-                        f.at.to_string(),
-                        some(f.until),
-                        f.what.name().to_owned(),
-                        f.subject.clone(),
-                        f.text.clone(),
-                    ]
-                }),
-            ),
-            csv(
-                &classes,
-                self.classes.iter().map(|row| {
-                    let ClassCounts { taken, in_aim, late, refused, failed, gone, .. } = &row.counts;
-                    let head = [
-                        row.class.clone(),
-                        row.from.to_string(),
-                        row.width.to_string(),
-                        row.at_least.to_string(),
-                    ];
-                    let counts = [taken, in_aim, late].into_iter().chain(refused).chain(failed).chain([gone]);
-                    let times = [some(row.p50_ms), some(row.p99_ms)];
-                    head.into_iter().chain(counts.map(u64::to_string)).chain(times).collect()
-                }),
-            ),
-            csv(
-                &nodes,
-                self.nodes.iter().map(|row| {
-                    let NodeCounts { sent, cold_units, ends, most_out } = &row.counts;
-                    let head = [
-                        row.node.clone(),
-                        row.from.to_string(),
-                        row.width.to_string(),
-                        row.at_least.to_string(),
-                    ];
-                    let counts = [sent, cold_units, most_out].into_iter().chain(ends);
-                    head.into_iter().chain(counts.map(u64::to_string)).collect()
-                }),
-            ),
-            csv(
-                &strings(&["node", "scheduler", "boot", "from_us", "to_us", "state", "why"]),
-                self.states.iter().map(|row| {
-                    let StateRow { node, scheduler, boot, from, to, state, why } = row;
-                    vec![
-                        node.clone(),
-                        scheduler.clone(),
-                        boot.clone(),
-                        from.to_string(),
-                        to.to_string(),
-                        (*state).to_owned(),
-                        why.clone(),
-                    ]
-                }),
-            ),
-            csv(
-                &strings(&[
-                    "scheduler",
-                    "boot",
-                    "from_us",
-                    "to_us",
-                    "ended",
-                    "ahead_us",
-                    "less_us",
-                    "more_us",
-                    "group",
-                ]),
-                self.schedulers.iter().map(|row| {
-                    vec![
-                        row.scheduler.clone(),
-                        row.boot.clone(),
-                        row.from.to_string(),
-                        row.to.to_string(),
-                        row.ended.to_owned(),
-                        row.ahead_us.to_string(),
-                        some(row.less_us),
-                        some(row.more_us),
-                        row.group.to_string(),
-                    ]
-                }),
-            ),
-            csv(
-                &strings(&["scheduler", "boot", "from_us", "to_us", "events", "why"]),
-                self.holes.iter().map(|row| {
-                    let (from, to) = (row.from.to_string(), row.to.to_string());
-                    let why = row.why.name().to_owned();
-                    vec![row.scheduler.clone(), row.boot.clone(), from, to, row.events.to_string(), why]
-                }),
-            ),
-            csv(
-                &strings(&["rule", "looked", "broken", "at_least"]),
-                self.rules.iter().map(|row| {
-                    let Checked { looked, broken, .. } = &row.checked;
-                    vec![
-                        row.rule.to_owned(),
-                        looked.to_string(),
-                        broken.to_string(),
-                        row.at_least.to_string(),
-                    ]
-                }),
-            ),
+            self.findings_csv(),
+            self.classes_csv(),
+            self.nodes_csv(),
+            self.states_csv(),
+            self.schedulers_csv(),
+            self.holes_csv(),
+            self.rules_csv(),
         ]
     }
+
+    fn findings_csv(&self) -> String {
+        let rows = self.findings.iter().map(|finding| {
+            vec![
+                finding.at.to_string(),
+                some(finding.until),
+                finding.what.name().to_owned(),
+                finding.subject.clone(),
+                finding.text.clone(),
+            ]
+        });
+        csv(&strings(&["at_us", "until_us", "what", "subject", "text"]), rows)
+    }
+
+    fn classes_csv(&self) -> String {
+        let first = strings(&["class", "from_us", "width_us", "at_least", "taken", "in_aim", "late"]);
+        let refused = columns("refused_", &REFUSALS.map(|(_, words)| words));
+        let failed = columns("failed_", &FAILURES.map(|(_, words)| words));
+        let last = strings(&["gone", "p50_ms", "p99_ms"]);
+        let rows = self.classes.iter().map(|row| {
+            let ClassCounts { taken, in_aim, late, refused, failed, gone, .. } = &row.counts;
+            let bin =
+                [row.class.clone(), row.from.to_string(), row.width.to_string(), row.at_least.to_string()];
+            let counts = [taken, in_aim, late].into_iter().chain(refused).chain(failed).chain([gone]);
+            let times = [some(row.p50_ms), some(row.p99_ms)];
+            bin.into_iter().chain(counts.map(u64::to_string)).chain(times).collect()
+        });
+        csv(&[first, refused, failed, last].concat(), rows)
+    }
+
+    fn nodes_csv(&self) -> String {
+        let first = strings(&["node", "from_us", "width_us", "at_least", "sent", "cold_units", "most_out"]);
+        let ends = columns("", &ENDS.map(|(_, words)| words));
+        let rows = self.nodes.iter().map(|row| {
+            let NodeCounts { sent, cold_units, ends, most_out } = &row.counts;
+            let bin =
+                [row.node.clone(), row.from.to_string(), row.width.to_string(), row.at_least.to_string()];
+            let counts = [sent, cold_units, most_out].into_iter().chain(ends);
+            bin.into_iter().chain(counts.map(u64::to_string)).collect()
+        });
+        csv(&[first, ends].concat(), rows)
+    }
+
+    fn states_csv(&self) -> String {
+        let rows = self.states.iter().map(|row| {
+            let StateRow { node, scheduler, boot, from, to, state, why } = row;
+            vec![
+                node.clone(),
+                scheduler.clone(),
+                boot.clone(),
+                from.to_string(),
+                to.to_string(),
+                (*state).to_owned(),
+                why.clone(),
+            ]
+        });
+        csv(&strings(&["node", "scheduler", "boot", "from_us", "to_us", "state", "why"]), rows)
+    }
+
+    fn schedulers_csv(&self) -> String {
+        let head = strings(&[
+            "scheduler",
+            "boot",
+            "from_us",
+            "to_us",
+            "ended",
+            "ahead_us",
+            "less_us",
+            "more_us",
+            "group",
+        ]);
+        let rows = self.schedulers.iter().map(|row| {
+            vec![
+                row.scheduler.clone(),
+                row.boot.clone(),
+                row.from.to_string(),
+                row.to.to_string(),
+                row.ended.to_owned(),
+                row.ahead_us.to_string(),
+                some(row.less_us),
+                some(row.more_us),
+                row.group.to_string(),
+            ]
+        });
+        csv(&head, rows)
+    }
+
+    fn holes_csv(&self) -> String {
+        let rows = self.holes.iter().map(|row| {
+            vec![
+                row.scheduler.clone(),
+                row.boot.clone(),
+                row.from.to_string(),
+                row.to.to_string(),
+                row.events.to_string(),
+                row.why.name().to_owned(),
+            ]
+        });
+        csv(&strings(&["scheduler", "boot", "from_us", "to_us", "events", "why"]), rows)
+    }
+
+    fn rules_csv(&self) -> String {
+        let rows = self.rules.iter().map(|row| {
+            let Checked { looked, broken, .. } = &row.checked;
+            vec![row.rule.to_owned(), looked.to_string(), broken.to_string(), row.at_least.to_string()]
+        });
+        csv(&strings(&["rule", "looked", "broken", "at_least"]), rows)
+    }
+}
+
+fn strings(names: &[&str]) -> Vec<String> {
+    names.iter().map(|name| (*name).to_owned()).collect()
+}
+
+/// Names of columns, made from words.
+fn columns(prefix: &str, words: &[&str]) -> Vec<String> {
+    words.iter().map(|words| format!("{prefix}{}", words.replace(' ', "_").replace(',', ""))).collect()
 }
 
 fn some(value: Option<impl ToString>) -> String {
