--- a/testing/fakes/src/discovery.rs
+++ b/testing/fakes/src/discovery.rs
@@ -22,17 +22,26 @@
 }
 
 /// The next watch at a discovery of the test's own, and the head that asked for it.
+///
+/// # Panics
+/// If no watch comes in time, or it breaks before its request is complete.
 pub async fn watched(listener: &TcpListener) -> (TcpStream, String) {
-    let (mut watch, _) = timeout(PATIENCE, listener.accept()).await.expect("a watch").unwrap();
-    let (head, ..) = read_message(&mut watch).await.unwrap();
-    watch.write_all(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n").await.unwrap();
+    let (mut watch, _) = timeout(PATIENCE, listener.accept()).await.expect("a watch").expect("a connection");
+    let (head, ..) = read_message(&mut watch).await.expect("a request");
+    watch
+        .write_all(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n")
+        .await
+        .expect("the watch is open");
     (watch, head)
 }
 
 /// Tells something on a watch.
+///
+/// # Panics
+/// If the watch is closed.
 pub async fn tell(watch: &mut TcpStream, lines: &str) {
     let chunk = format!("{:x}\r\n{lines}\r\n", lines.len());
-    watch.write_all(chunk.as_bytes()).await.unwrap();
+    watch.write_all(chunk.as_bytes()).await.expect("the watch is open");
 }
 
 /// A node as the list has it.
@@ -84,6 +93,9 @@
     }
 
     /// Lists these nodes.
+    ///
+    /// # Panics
+    /// If there is no free port.
     pub async fn start(nodes: Vec<Listed>) -> Self {
         let (listener, address) = listen().await;
         let book = Arc::new(Mutex::new(Book { revision: 1, nodes }));
@@ -92,7 +104,7 @@
         let serving = new.clone();
         tokio::spawn(async move {
             loop {
-                let (stream, _) = listener.accept().await.unwrap();
+                let (stream, _) = listener.accept().await.expect("a connection");
                 tokio::spawn(serving.clone().watch(stream));
             }
         });
@@ -100,18 +112,24 @@
     }
 
     /// The list as it stands, on one line.
+    ///
+    /// # Panics
+    /// If a holder of the list panicked.
     pub fn whole(&self) -> String {
-        let book = self.book.lock().unwrap();
+        let book = self.book.lock().expect("no holder of the lock panics");
         let members: Vec<String> = book.nodes.iter().map(Listed::line).collect();
         format!(r#"{{"revision":{},"complete":true,"members":[{}]}}"#, book.revision, members.join(","))
     }
 
     /// A node changes; all that watch are told.
+    ///
+    /// # Panics
+    /// If no such node is listed, or a holder of the list panicked.
     pub fn change(&self, id: &str, change: impl FnOnce(&mut Listed)) {
-        let mut book = self.book.lock().unwrap();
+        let mut book = self.book.lock().expect("no holder of the lock panics");
         book.revision += 1;
         let revision = book.revision;
-        let node = book.nodes.iter_mut().find(|node| node.id == id).unwrap();
+        let node = book.nodes.iter_mut().find(|node| node.id == id).expect("a listed node");
         change(node);
         let line = format!(r#"{{"revision":{revision},"complete":false,"members":[{}]}}"#, node.line());
         // Nobody may be watching.
--- a/testing/fakes/src/hour.rs
+++ b/testing/fakes/src/hour.rs
@@ -54,6 +54,9 @@
 ///
 /// # Errors
 /// The system's.
+///
+/// # Panics
+/// Never: the bounds of the histograms and the lengths of the frames are constant and valid.
 pub fn write(folder: &Path, schedulers: u32, rate: u32, seconds: u64, seed: u64) -> io::Result<()> {
     std::fs::create_dir_all(folder)?;
     for number in 0..u64::from(schedulers) {
--- a/testing/fakes/src/message.rs
+++ b/testing/fakes/src/message.rs
@@ -9,31 +9,43 @@
 use crate::PATIENCE;
 
 /// A listener at a port that the system chooses.
+///
+/// # Panics
+/// If there is no free port.
 pub async fn listen() -> (TcpListener, SocketAddr) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let address = listener.local_addr().unwrap();
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+    let address = listener.local_addr().expect("a bound listener");
     (listener, address)
 }
 
 /// An address that nobody listens at, and that nobody else is given while the socket is kept.
+///
+/// # Panics
+/// If there is no free port.
 pub fn nobody() -> (TcpSocket, SocketAddr) {
-    let socket = TcpSocket::new_v4().unwrap();
-    socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
-    let address = socket.local_addr().unwrap();
+    let socket = TcpSocket::new_v4().expect("a descriptor");
+    socket.bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a free port");
+    let address = socket.local_addr().expect("a bound socket");
     (socket, address)
 }
 
 /// An address that the system has chosen, and that nobody else is given while the socket is kept: for a
 /// program that listens there, ends and comes again, or beside another of its name.
+///
+/// # Panics
+/// If there is no free port, or the platform does not let sockets share one.
 pub fn reserved() -> (TcpSocket, SocketAddr) {
-    let socket = TcpSocket::new_v4().unwrap();
-    socket.set_reuseport(true).unwrap();
-    socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
-    let address = socket.local_addr().unwrap();
+    let socket = TcpSocket::new_v4().expect("a descriptor");
+    socket.set_reuseport(true).expect("an option of the platform");
+    socket.bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a free port");
+    let address = socket.local_addr().expect("a bound socket");
     (socket, address)
 }
 
 /// Reads one HTTP message: its head in lower case, its head as it came, and its body.
+///
+/// # Panics
+/// If the length or the size of a chunk is not a number.
 pub async fn read_message(stream: &mut TcpStream) -> Option<(String, String, Vec<u8>)> {
     let mut bytes = Vec::new();
     let end = loop {
@@ -46,7 +58,7 @@
     };
     let head = String::from_utf8_lossy(&bytes[..end]).into_owned();
     let small = head.to_lowercase();
-    let length = header(&small, "content-length").map_or(0, |v| v.parse().unwrap());
+    let length = header(&small, "content-length").map_or(0, |v| v.parse().expect("a length"));
     let mut body = bytes.split_off(end);
     if header(&small, "transfer-encoding") == Some("chunked") {
         let whole = loop {
@@ -72,7 +84,8 @@
     let mut whole = Vec::new();
     loop {
         let end = bytes.windows(2).position(|w| w == b"\r\n")?;
-        let size = usize::from_str_radix(std::str::from_utf8(&bytes[..end]).unwrap(), 16).unwrap();
+        let size = usize::from_str_radix(std::str::from_utf8(&bytes[..end]).expect("a chunk size"), 16)
+            .expect("a chunk size");
         if size == 0 {
             return bytes.ends_with(b"\r\n\r\n").then_some(whole);
         }
@@ -87,9 +100,12 @@
 }
 
 /// Status, head and body of the answer that comes.
+///
+/// # Panics
+/// If no complete answer comes in time, or its status is not a number.
 pub async fn answer(stream: &mut TcpStream) -> (u16, String, Vec<u8>) {
     let (small, _, body) = timeout(PATIENCE, read_message(stream)).await.expect("in time").expect("whole");
-    (small[9..12].parse().unwrap(), small, body)
+    (small[9..12].parse().expect("a status"), small, body)
 }
 
 /// A client's request of two units.
--- a/testing/fakes/src/node.rs
+++ b/testing/fakes/src/node.rs
@@ -98,24 +98,54 @@
 
 impl Log {
     /// What came so far.
+    ///
+    /// # Panics
+    /// If a holder of the log panicked.
     pub fn all(&self) -> Vec<Seen> {
-        self.seen.lock().unwrap().clone()
+        self.seen.lock().expect("no holder of the lock panics").clone()
     }
 
     /// A request was read whole.
+    ///
+    /// # Panics
+    /// If a holder of the log panicked.
     pub fn note(&self, node: u32, head: &str, call: &str, body: &[u8]) {
         let (head, call, at) = (head.to_owned(), call.to_owned(), Instant::now());
-        let beside =
-            self.open.lock().unwrap().entry(call.clone()).and_modify(|n| *n += 1).or_insert(1).to_owned();
-        self.seen.lock().unwrap().push(Seen { node, head, call, body: body.to_vec(), at, beside });
+        let beside = self
+            .open
+            .lock()
+            .expect("no holder of the lock panics")
+            .entry(call.clone())
+            .and_modify(|n| *n += 1)
+            .or_insert(1)
+            .to_owned();
+        self.seen.lock().expect("no holder of the lock panics").push(Seen {
+            node,
+            head,
+            call,
+            body: body.to_vec(),
+            at,
+            beside,
+        });
     }
 
     /// It is answered, or broken off.
+    ///
+    /// # Panics
+    /// If that request was not begun, or a holder of the log panicked.
     pub fn over(&self, call: &str) {
-        *self.open.lock().unwrap().get_mut(call).unwrap() -= 1;
+        *self
+            .open
+            .lock()
+            .expect("no holder of the lock panics")
+            .get_mut(call)
+            .expect("a request that was begun") -= 1;
     }
 
     /// No attempt began beside another of its call.
+    ///
+    /// # Panics
+    /// If two attempts of a request were in flight at once.
     pub fn check_one_at_a_time(&self) {
         assert!(self.all().iter().all(|s| s.beside == 1), "two attempts at once: {:?}", self.all());
     }
@@ -132,15 +162,21 @@
     }
 
     /// The next step.
+    ///
+    /// # Panics
+    /// If a holder of the script panicked.
     pub fn next(&self) -> Does {
-        let (steps, at) = &mut *self.0.lock().unwrap();
+        let (steps, at) = &mut *self.0.lock().expect("no holder of the lock panics");
         *at += 1;
         steps[(*at - 1).min(steps.len() - 1)]
     }
 
     /// From now on this, for ever.
+    ///
+    /// # Panics
+    /// If a holder of the script panicked.
     pub fn set(&self, does: Does) {
-        *self.0.lock().unwrap() = (vec![does], 0);
+        *self.0.lock().expect("no holder of the lock panics") = (vec![does], 0);
     }
 }
 
@@ -150,12 +186,15 @@
 }
 
 /// The same, by a script that may be changed meanwhile.
+///
+/// # Panics
+/// If there is no free port.
 pub async fn scripted_node(number: u32, script: Script, log: &Log) -> SocketAddr {
     let (listener, address) = listen().await;
     let log = log.clone();
     tokio::spawn(async move {
         loop {
-            let (stream, _) = listener.accept().await.unwrap();
+            let (stream, _) = listener.accept().await.expect("a connection");
             tokio::spawn(node_connection(stream, number, script.clone(), log.clone()));
         }
     });
@@ -173,7 +212,7 @@
             return;
         }
         let Some((small, head, body)) = read_message(&mut stream).await else { return };
-        let call = header(&small, "x-call-id").unwrap().to_owned();
+        let call = header(&small, "x-call-id").expect("a request id").to_owned();
         log.note(number, &head, &call, &body);
         if does == Does::LateError {
             sleep(LATE).await;
@@ -193,7 +232,7 @@
             Does::Reset | Does::HangUp => "",
         };
         log.over(&call);
-        stream.write_all(answer.as_bytes()).await.unwrap();
+        stream.write_all(answer.as_bytes()).await.expect("the scheduler reads");
         if matches!(does, Does::Reset | Does::Cut | Does::ServeThenClose) {
             return;
         }
--- a/testing/fakes/src/nvme.rs
+++ b/testing/fakes/src/nvme.rs
@@ -24,16 +24,19 @@
 pub const NONE: Sgl = Sgl::Transport { length: 0 };
 
 /// A target that keeps what is written to it. The call's id is not on this wire; the block stands for it.
+///
+/// # Panics
+/// If there is no free port.
 pub async fn target(number: u32, script: &[Does], log: &Log) -> SocketAddr {
     let (listener, address) = listen().await;
     let (script, log) = (Script::new(script), log.clone());
     let disk = Arc::new(Mutex::new(HashMap::new()));
     tokio::spawn(async move {
         loop {
-            let (stream, _) = listener.accept().await.unwrap();
+            let (stream, _) = listener.accept().await.expect("a connection");
             let (script, log, disk) = (script.clone(), log.clone(), disk.clone());
             tokio::spawn(async move {
-                target_queue(Wire::new(stream).unwrap(), number, &script, &log, &disk).await
+                target_queue(Wire::new(stream).expect("a connection"), number, &script, &log, &disk).await
             });
         }
     });
@@ -112,11 +115,12 @@
     let (cid, size) = (command.cid, count as usize * SMALL);
     match does {
         Does::Serve | Does::ServeThenClose if write => {
-            disk.lock().unwrap().insert(first, body);
+            disk.lock().expect("no holder of the lock panics").insert(first, body);
             Some((Status::SUCCESS, None))
         }
         Does::Serve | Does::ServeThenClose => {
-            let kept = disk.lock().unwrap().get(&first).cloned().unwrap_or_default();
+            let kept =
+                disk.lock().expect("no holder of the lock panics").get(&first).cloned().unwrap_or_default();
             let mut data = BytesMut::from(&*kept);
             data.resize(size, 0);
             Some((Status::SUCCESS, Some(Pdu::C2hData { cid, offset: 0, last: true, data: data.freeze() })))
@@ -146,14 +150,22 @@
 }
 
 /// A connection on which the handshake of the transport is done.
+///
+/// # Panics
+/// If nobody listens there, or the connection breaks.
 pub async fn wire(address: SocketAddr) -> Wire {
-    let mut wire = Wire::new(TcpStream::connect(address).await.unwrap()).unwrap();
-    wire.send(&[Pdu::IcReq { pfv: 0, hpda: 0, digests: 0, max_r2t: 0 }]).await.unwrap();
+    let mut wire = Wire::new(TcpStream::connect(address).await.expect("a listener")).expect("a connection");
+    wire.send(&[Pdu::IcReq { pfv: 0, hpda: 0, digests: 0, max_r2t: 0 }])
+        .await
+        .expect("the connection is open");
     assert!(matches!(next_pdu(&mut wire).await, Pdu::IcResp { pfv: 0, digests: 0, .. }));
     wire
 }
 
 /// The next PDU; the peer must send a sound one.
+///
+/// # Panics
+/// If no valid PDU comes in time.
 pub async fn next_pdu(wire: &mut Wire) -> Pdu {
     timeout(PATIENCE, wire.next()).await.expect("in time").expect("a sound PDU")
 }
@@ -164,12 +176,18 @@
 }
 
 /// Sends a command and gives back its completion, and data that came before.
+///
+/// # Panics
+/// If the connection breaks, or the answer is not one to that command.
 pub async fn ask(wire: &mut Wire, cid: u16, body: Body, sgl: Sgl, data: Bytes) -> (Completion, Vec<u8>) {
-    wire.send(&[capsule(cid, body, sgl, data.clone())]).await.unwrap();
+    wire.send(&[capsule(cid, body, sgl, data.clone())]).await.expect("the connection is open");
     finish(wire, cid, data).await
 }
 
 /// Sees a command through: its completion, and the data that came before.
+///
+/// # Panics
+/// If the connection breaks, or the answer is not one to that command.
 pub async fn finish(wire: &mut Wire, cid: u16, data: Bytes) -> (Completion, Vec<u8>) {
     let mut page = Vec::new();
     loop {
@@ -183,7 +201,9 @@
                 let (half, end) = (length as usize / 2, length as usize);
                 for (from, to) in [(0, half), (half, end)] {
                     let (data, last) = (data.slice(from..to), to == end);
-                    wire.send(&[Pdu::H2cData { cid, ttag, offset: from as u32, last, data }]).await.unwrap();
+                    wire.send(&[Pdu::H2cData { cid, ttag, offset: from as u32, last, data }])
+                        .await
+                        .expect("the connection is open");
                 }
             }
             other => panic!("{other:?}"),
@@ -206,6 +226,9 @@
 
 impl Host {
     /// Connects both queues and enables the controller.
+    ///
+    /// # Panics
+    /// If the controller refuses a step of the set-up.
     pub async fn connect(address: SocketAddr) -> Self {
         let mut admin = wire(address).await;
         let id = join(&mut admin, 0, 0xffff, 0).await.result as u16;
@@ -223,6 +246,9 @@
     }
 
     /// Writes blocks.
+    ///
+    /// # Panics
+    /// If the connection breaks.
     pub async fn write(&mut self, nsid: u32, first: u64, data: Vec<u8>) -> Status {
         let (length, count) = (data.len() as u32, (data.len() / SMALL) as u32);
         let small = data.len() <= 8192;
@@ -230,7 +256,7 @@
         let body = Body::Write(Blocks { nsid, first, count });
         let data = Bytes::from(data);
         let inside = if small { data.clone() } else { Bytes::new() };
-        self.io.send(&[capsule(4, body, sgl, inside)]).await.unwrap();
+        self.io.send(&[capsule(4, body, sgl, inside)]).await.expect("the connection is open");
         finish(&mut self.io, 4, data).await.0.status
     }
 }
--- a/testing/fakes/src/program.rs
+++ b/testing/fakes/src/program.rs
@@ -38,13 +38,19 @@
 
 impl Program {
     /// Starts it, and waits until it listens.
+    ///
+    /// # Panics
+    /// If the program does not start.
     pub fn start(mut command: Command) -> Self {
-        let mut child = command.stdout(Stdio::null()).stderr(Stdio::piped()).spawn().unwrap();
-        let stderr = BufReader::new(child.stderr.take().unwrap());
+        let mut child =
+            command.stdout(Stdio::null()).stderr(Stdio::piped()).spawn().expect("the program starts");
+        let stderr = BufReader::new(child.stderr.take().expect("standard error is a pipe"));
         let (tell, log) = channel();
         std::thread::spawn(move || stderr.lines().map_while(Result::ok).try_for_each(|line| tell.send(line)));
         let mut new = Self { child, log, ops: None, listen: SocketAddr::from(([0; 4], 0)) };
-        let address = |line: &str| line.trim().rsplit(' ').next().unwrap().parse().unwrap();
+        let address = |line: &str| {
+            line.trim().rsplit(' ').next().and_then(|word| word.parse().ok()).expect("an address")
+        };
         loop {
             let line = new.until(" on ");
             if line.contains(": operations on ") {
@@ -57,6 +63,9 @@
     }
 
     /// Its next line that says so.
+    ///
+    /// # Panics
+    /// If the program does not write that in time.
     pub fn until(&mut self, what: &str) -> String {
         loop {
             let line = self.log.recv_timeout(PATIENCE);
@@ -68,18 +77,27 @@
     }
 
     /// What its second address answers to a line.
+    ///
+    /// # Panics
+    /// If the program has no admin address, or does not answer in time.
     pub async fn call(&self, line: &str) -> String {
-        let mut stream = TcpStream::connect(self.ops.unwrap()).await.unwrap();
-        stream.write_all(format!("{line}\n").as_bytes()).await.unwrap();
+        let mut stream =
+            TcpStream::connect(self.ops.expect("an admin address")).await.expect("the program listens");
+        stream.write_all(format!("{line}\n").as_bytes()).await.expect("the connection is open");
         let mut told = String::new();
-        timeout(PATIENCE, stream.read_to_string(&mut told)).await.expect("an answer").unwrap();
+        timeout(PATIENCE, stream.read_to_string(&mut told)).await.expect("an answer").expect("text");
         told
     }
 
     /// Has a command carried out.
+    ///
+    /// # Panics
+    /// If the program has no admin address, or refuses the command.
     pub async fn command(&self, command: heathward_core::OperatorCommand) {
         let deadline = Instant::now() + PATIENCE;
-        admin::call(self.ops.unwrap(), &admin::Request::Command(command), deadline).await.expect("done");
+        admin::call(self.ops.expect("an admin address"), &admin::Request::Command(command), deadline)
+            .await
+            .expect("done");
     }
 
     /// Its process.
@@ -93,12 +111,12 @@
     /// If it does not run.
     pub fn held(&self) -> Held {
         let root = format!("/proc/{}", self.child.id());
-        let status = std::fs::read_to_string(format!("{root}/status")).unwrap();
+        let status = std::fs::read_to_string(format!("{root}/status")).expect("the process runs");
         let figure = |name: &str| {
-            let line = status.lines().find_map(|line| line.strip_prefix(name)).unwrap();
-            line.split_ascii_whitespace().next().unwrap().parse().unwrap()
+            let line = status.lines().find_map(|line| line.strip_prefix(name)).expect("a line of that name");
+            line.split_ascii_whitespace().next().and_then(|word| word.parse().ok()).expect("a number")
         };
-        let descriptors = std::fs::read_dir(format!("{root}/fd")).unwrap().count();
+        let descriptors = std::fs::read_dir(format!("{root}/fd")).expect("the process runs").count();
         Held {
             resident_kb: figure("VmRSS:"),
             peak_kb: figure("VmHWM:"),
@@ -111,16 +129,23 @@
     pub fn kill(self) {}
 
     /// Sends it a signal by name.
+    ///
+    /// # Panics
+    /// If `kill` does not run, or fails.
     pub fn signal(&self, name: &str) {
-        let status = Command::new("kill").args([name, &self.child.id().to_string()]).status().unwrap();
+        let status =
+            Command::new("kill").args([name, &self.child.id().to_string()]).status().expect("kill runs");
         assert!(status.success());
     }
 
     /// Waits until it ends by itself, with nothing wrong; gives back what it said meanwhile.
+    ///
+    /// # Panics
+    /// If the program ends with another exit code than 0.
     pub fn ended(mut self) -> String {
         let said: Vec<String> = self.log.iter().collect();
         let said = said.join("\n");
-        assert!(self.child.wait().unwrap().success(), "{said}");
+        assert!(self.child.wait().expect("a child of this process").success(), "{said}");
         said
     }
 
--- a/testing/fakes/src/rig.rs
+++ b/testing/fakes/src/rig.rs
@@ -68,8 +68,12 @@
 }
 
 /// With that configuration.
+///
+/// # Panics
+/// If the configuration is not valid.
 pub async fn rig_of(text: &str, nvme: Option<Arc<Map>>) -> Rig {
-    let Config { seed, cached_endpoints: known, deployment, .. } = config::parse_configuration(text).unwrap();
+    let Config { seed, cached_endpoints: known, deployment, .. } =
+        config::parse_configuration(text).expect("a valid configuration");
     let deployment = Arc::new(deployment);
     let (_, limits) = watch::channel(Limits::new(&deployment, NODE_SOCKETS, 4));
     let pool = Pool::new(limits);
@@ -82,8 +86,8 @@
         }
         node::spawn(HttpLink::new(member.address), pool.clone(), core)
     };
-    let core = core::start_core(deployment.clone(), seed, Box::new(dial)).unwrap();
-    core.discovery_sender().send(CoreMessage::EndpointUpdate(known)).await.unwrap();
+    let core = core::start_core(deployment.clone(), seed, Box::new(dial)).expect("valid settings");
+    core.discovery_sender().send(CoreMessage::EndpointUpdate(known)).await.expect("the core runs");
     let (listener, front) = listen().await;
     let (stop, stopping) = watch::channel(false);
     tokio::spawn(http::serve(
@@ -97,11 +101,17 @@
 
 impl Rig {
     /// The counters now.
+    ///
+    /// # Panics
+    /// If the core has ended.
     pub async fn counters(&self) -> Counters {
-        self.core.metrics().await.unwrap().counters
+        self.core.metrics().await.expect("the core runs").counters
     }
 
     /// Waits until the counters are so.
+    ///
+    /// # Panics
+    /// If they are not in time.
     pub async fn until(&self, so: impl Fn(&Counters) -> bool) -> Counters {
         let by = Instant::now() + PATIENCE;
         loop {
@@ -115,6 +125,9 @@
     }
 
     /// Waits until the core is ready, or no longer is.
+    ///
+    /// # Panics
+    /// If that does not come in time.
     pub async fn until_ready(&self, ready: bool) {
         let by = Instant::now() + PATIENCE;
         while self.core.status().ready != ready {
@@ -124,9 +137,12 @@
     }
 
     /// Asks on a connection of its own.
+    ///
+    /// # Panics
+    /// If the front does not answer in time.
     pub async fn ask(&self, request: &str) -> (u16, String, Vec<u8>) {
-        let mut stream = TcpStream::connect(self.front).await.unwrap();
-        stream.write_all(request.as_bytes()).await.unwrap();
+        let mut stream = TcpStream::connect(self.front).await.expect("the front listens");
+        stream.write_all(request.as_bytes()).await.expect("the connection is open");
         answer(&mut stream).await
     }
 }
--- a/testing/fakes/src/staged.rs
+++ b/testing/fakes/src/staged.rs
@@ -57,7 +57,7 @@
 }
 
 fn now() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_micros() as u64
+    SystemTime::now().duration_since(UNIX_EPOCH).expect("a time after 1970").as_micros() as u64
 }
 
 /// A scheduler's place, kept for one that is killed and comes again.
@@ -74,7 +74,7 @@
         let (kept, listen) = reserved();
         let folder = folder.join(format!("n{number}"));
         let records = folder.join("records");
-        std::fs::create_dir_all(&records).unwrap();
+        std::fs::create_dir_all(&records).expect("the folder is writable");
         let text = config_text(&listen.to_string(), &discovery.address.to_string(), "")
             .replacen('{', r#"{"ops":"127.0.0.1:0","#, 1)
             .replace(r#""name":"n0""#, &format!(r#""name":"n{number}""#))
@@ -82,7 +82,7 @@
                 r#""balancers":1,"slotNo":0"#,
                 &format!(r#""balancers":{SCHEDULERS},"slotNo":{number}"#),
             );
-        std::fs::write(folder.join("config.json"), text).unwrap();
+        std::fs::write(folder.join("config.json"), text).expect("the folder is writable");
         let clock = match number {
             1 => format!("{{ offsetMs: {AHEAD} }}"),
             2 => format!("{{ stepAfterMs: {STEP_AFTER}, stepMs: {STEP} }}"),
@@ -92,7 +92,7 @@
             "{{ records: {{ folder: '{}', segmentMb: 1, totalMb: 64, requests: true, clock: {clock} }} }}",
             records.display()
         );
-        std::fs::write(folder.join("operator.jsonnet"), text).unwrap();
+        std::fs::write(folder.join("operator.jsonnet"), text).expect("the folder is writable");
         Self { number, _kept: kept, folder, records, listen }
     }
 
@@ -147,6 +147,9 @@
 }
 
 /// Stages it in a folder of the caller's: about ten seconds.
+///
+/// # Panics
+/// If a program, a client or a folder fails.
 pub async fn stage(program: &Path, folder: &Path) -> Truth {
     let log = Log::default();
     let (zero, base) = (Instant::now(), now());
@@ -213,18 +216,18 @@
     for clients in clients {
         let mut answers = 0;
         for client in clients {
-            answers += client.await.unwrap();
+            answers += client.await.expect("the client's task ends");
         }
         truth.answers.push(answers);
     }
     programs.iter().for_each(|program| program.signal("-TERM"));
     for program in programs {
-        tokio::task::spawn_blocking(move || program.ended()).await.unwrap();
+        tokio::task::spawn_blocking(move || program.ended()).await.expect("the task ends");
     }
     truth.span.1 = now();
     truth.arrivals = vec![Vec::new(); NODES as usize];
     for seen in log.all() {
-        let id = u64::from_str_radix(&seen.call, 16).unwrap();
+        let id = u64::from_str_radix(&seen.call, 16).expect("a request id in hexadecimal");
         truth.arrivals[seen.node as usize].push(((id / u64::from(ID_SPACE)) as u32, unix(seen.at)));
     }
     log.check_one_at_a_time();
