--- a/crates/load-sources/src/lib.rs
+++ b/crates/load-sources/src/lib.rs
@@ -116,12 +116,18 @@
 
 impl Rules {
     /// Decodes a file of rules, whose classes and plan the deployment knows.
+    ///
+    /// # Errors
+    /// The field that is not valid, or that names no class or plan of the deployment.
     pub fn parse(text: &str, deployment: Arc<Deployment>) -> Result<Self, ConfigError> {
         Self::check(File::parse(text)?, deployment)
     }
 
     /// Decodes a file of rules by itself: its own names are the classes and the plan, nobody's deadline is
     /// known, and a request may be of any size.
+    ///
+    /// # Errors
+    /// The field that is not valid.
     pub fn alone(text: &str) -> Result<Self, ConfigError> {
         let file = File::parse(text)?;
         let class = |effect| ClassSettings { idempotency: effect, ..ClassSettings::default() };
--- a/crates/transport/src/http/decode.rs
+++ b/crates/transport/src/http/decode.rs
@@ -24,6 +24,9 @@
 
 /// Decodes a request whose last byte came at `arrived`; or of a body of some length its beginning, and the
 /// rest is coming.
+///
+/// # Errors
+/// The header or the part of the request line that is missing, repeated or not valid.
 pub fn decode(
     deployment: &Deployment,
     head: &Parts,
--- a/crates/transport/src/nvme/map.rs
+++ b/crates/transport/src/nvme/map.rs
@@ -99,6 +99,9 @@
 
 impl Map {
     /// Decodes the file.
+    ///
+    /// # Errors
+    /// The field that is not valid, or that names no class or plan of the deployment.
     pub fn parse(text: &str, deployment: &Deployment) -> Result<Self, ConfigError> {
         let broken = |_| ConfigError {
             field: "nvme".to_owned(),
--- a/crates/transport/src/nvme/pdu.rs
+++ b/crates/transport/src/nvme/pdu.rs
@@ -129,6 +129,10 @@
 
 impl Pdu {
     /// Takes the next PDU off the front of `buffer`, once it is there whole.
+    ///
+    /// # Errors
+    /// What a host has to be told before its connection ends: a header, a parameter or a length that is not
+    /// valid.
     pub fn decode(buffer: &mut BytesMut) -> Result<Option<Self>, Fatal> {
         let [kind, flags, hlen, pdo, p0, p1, p2, p3, ..] = buffer[..] else { return Ok(None) };
         let (plen, pdo) = (u32::from_le_bytes([p0, p1, p2, p3]) as usize, usize::from(pdo));
--- a/crates/transport/src/nvme/wire.rs
+++ b/crates/transport/src/nvme/wire.rs
@@ -38,6 +38,9 @@
 
 impl Wire {
     /// A connection over that stream.
+    ///
+    /// # Errors
+    /// The system's, where the option cannot be set.
     pub fn new(stream: TcpStream) -> io::Result<Self> {
         stream.set_nodelay(true)?;
         Ok(Self { stream, input: BytesMut::new(), output: BytesMut::new(), align: 4 })
@@ -49,6 +52,9 @@
     }
 
     /// The next PDU. Nothing is lost if the future is dropped before.
+    ///
+    /// # Errors
+    /// That the connection has ended or failed, or that what came is no valid PDU.
     pub async fn next(&mut self) -> Result<Pdu, Broken> {
         loop {
             if let Some(pdu) = Pdu::decode(&mut self.input).map_err(Broken::Fatal)? {
@@ -61,6 +67,9 @@
     }
 
     /// Writes PDUs to the last byte.
+    ///
+    /// # Errors
+    /// The connection's.
     pub async fn send(&mut self, pdus: &[Pdu]) -> io::Result<()> {
         self.output.clear();
         for pdu in pdus {
@@ -70,6 +79,9 @@
     }
 
     /// Tells the host why its connection ends, and ends it.
+    ///
+    /// # Errors
+    /// The connection's; the reason may not have reached the other side then.
     pub async fn terminate(&mut self, fatal: Fatal) -> io::Result<()> {
         let term = Pdu::terminate(fatal, &self.input);
         self.send(&[term]).await?;
--- a/testing/scale-tests/src/processes/fleet.rs
+++ b/testing/scale-tests/src/processes/fleet.rs
@@ -26,6 +26,9 @@
 const SETTLED: Duration = Duration::from_millis(500);
 
 /// All series over the number of schedulers. Values are of the whole fleet.
+///
+/// # Panics
+/// If the list is not asked for in time, or the processes together hold more memory than the bound allows.
 pub fn fleet(program: &Path, form: Form) -> Vec<Series> {
     let (sizes, nodes): (&[u32], u32) = match form {
         Form::Full => (&PROCESSES, FULL_NODES as u32),
--- a/testing/scale-tests/src/slow_start.rs
+++ b/testing/scale-tests/src/slow_start.rs
@@ -297,6 +297,9 @@
 ///
 /// # Errors
 /// Where the module refuses the settings.
+///
+/// # Panics
+/// If a thread that plays a seed panics.
 pub fn play(case: &Case, seeds: u64, threads: usize) -> Result<CaseFigures, SettingsError> {
     let (start, next) = (case.start(), AtomicU64::new(1));
     let reports = Mutex::new(Vec::new());
