--- a/crates/transport/src/http/front.rs
+++ b/crates/transport/src/http/front.rs
@@ -11,7 +11,10 @@
 use futures_util::future::BoxFuture;
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
-use hyper::header::{HeaderValue, CONNECTION, CONTENT_LENGTH, CONTENT_TYPE, RETRY_AFTER, TRANSFER_ENCODING};
+use hyper::header::{
+    HeaderMap, HeaderValue, CONNECTION, CONTENT_LENGTH, CONTENT_TYPE, RETRY_AFTER, TRANSFER_ENCODING,
+};
+use hyper::http::request::Parts;
 use hyper::server::conn::http1;
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
@@ -65,20 +68,10 @@
         let since = client.begin();
         let framing = client.framing();
         if request.uri().path() == "/healthz" && request.method() == Method::GET {
-            let (status, paused) = (self.core.status(), self.core.draining().borrow().paused);
-            let why = match status.expired_lease_last_contact {
-                _ if paused => "paused by staff".to_owned(),
-                Some(since) => format!("nothing heard from discovery for {} ms", since.elapsed().as_millis()),
-                None if !status.ready => "no list of storage nodes".to_owned(),
-                None => return plain(StatusCode::OK, ""),
-            };
-            return plain(StatusCode::SERVICE_UNAVAILABLE, format!("{why}\n"));
+            return self.health();
         }
         let (head, body) = request.into_parts();
-        // A body with two lengths may hide another request.
-        let coded = head.headers.contains_key(TRANSFER_ENCODING);
-        let two = coded && head.headers.contains_key(CONTENT_LENGTH);
-        if two || (coded && framing != Framing::One) {
+        if ambiguous_length(&head.headers, framing) {
             return self.refuse(StatusCode::BAD_REQUEST, "transfer-encoding");
         }
         // Told from its length, before any of it is read.
@@ -87,29 +80,48 @@
             return self.refuse(StatusCode::PAYLOAD_TOO_LARGE, "body");
         }
         let mut coming = Coming { body, since, size: 0, client: client.clone() };
-        let mut held = BytesMut::new();
-        let whole = loop {
-            match coming.next().await {
-                Ok(Some(piece)) => held.extend_from_slice(&piece),
-                Ok(None) => break true,
-                Err(status) => return self.refuse(status, "body"),
-            }
-            if held.len() > MAX_BUFFERED_BODY_BYTES {
-                break false;
+        match coming.buffer().await {
+            Err(status) => self.refuse(status, "body"),
+            Ok(Buffered::Complete(body)) => self.answer_buffered(&head, body, client).await,
+            Ok(Buffered::Beginning(beginning)) => {
+                self.answer_streamed(&head, beginning, length, coming, client).await
             }
+        }
+    }
+
+    /// Answers a health check: 200 while requests can be served here, else 503 and why.
+    fn health(&self) -> Response<Outgoing> {
+        let (status, paused) = (self.core.status(), self.core.draining().borrow().paused);
+        let why = match status.expired_lease_last_contact {
+            _ if paused => "paused by staff".to_owned(),
+            Some(since) => format!("nothing heard from discovery for {} ms", since.elapsed().as_millis()),
+            None if !status.ready => "no list of storage nodes".to_owned(),
+            None => return plain(StatusCode::OK, ""),
         };
-        let held = held.freeze();
-        if whole {
-            client.enter(Phase::Busy);
-            let call = match decode(&self.core.deployment(), &head, held, None, Instant::now()) {
-                Ok(call) => call,
-                Err(Bad(part)) => return self.refuse(StatusCode::BAD_REQUEST, part),
-            };
-            return encode(self.ask(call).await, client);
+        plain(StatusCode::SERVICE_UNAVAILABLE, format!("{why}\n"))
+    }
+
+    /// Answers a request whose body is held as a whole, so that it can be retried.
+    async fn answer_buffered(self, head: &Parts, body: Bytes, client: &Arc<Client>) -> Response<Outgoing> {
+        client.enter(Phase::Busy);
+        match decode(&self.core.deployment(), head, body, None, Instant::now()) {
+            Ok(call) => encode(self.ask(call).await, client),
+            Err(Bad(part)) => self.refuse(StatusCode::BAD_REQUEST, part),
         }
+    }
+
+    /// Answers a request whose body is streamed to a node while it comes.
+    async fn answer_streamed(
+        self,
+        head: &Parts,
+        beginning: Bytes,
+        length: Option<u64>,
+        coming: Coming,
+        client: &Arc<Client>,
+    ) -> Response<Outgoing> {
         let (feed, pieces) = body_channel();
         let rest = Some((length, pieces));
-        let call = match decode(&self.core.deployment(), &head, held, rest, Instant::now()) {
+        let call = match decode(&self.core.deployment(), head, beginning, rest, Instant::now()) {
             Ok(call) => call,
             Err(Bad(part)) => return self.refuse(StatusCode::BAD_REQUEST, part),
         };
@@ -151,6 +163,14 @@
     }
 }
 
+/// What was read of a body before its request is decoded.
+enum Buffered {
+    /// All of it.
+    Complete(Bytes),
+    /// More than is held of one body; the rest is still to come.
+    Beginning(Bytes),
+}
+
 /// A client's body, as it comes.
 struct Coming {
     body: Incoming,
@@ -161,6 +181,18 @@
 }
 
 impl Coming {
+    /// Reads on until the body is complete or too long to be held as a whole.
+    async fn buffer(&mut self) -> Result<Buffered, StatusCode> {
+        let mut held = BytesMut::new();
+        while let Some(piece) = self.next().await? {
+            held.extend_from_slice(&piece);
+            if held.len() > MAX_BUFFERED_BODY_BYTES {
+                return Ok(Buffered::Beginning(held.freeze()));
+            }
+        }
+        Ok(Buffered::Complete(held.freeze()))
+    }
+
     /// The next piece, or why there will be none: each comes as early as a client of the slowest sort has it
     /// sent, counted from the first.
     async fn next(&mut self) -> Result<Option<Bytes>, StatusCode> {
@@ -210,6 +242,14 @@
     Ok(())
 }
 
+/// Whether a request tells the length of its body in two ways, or may do so unseen: its body may hide
+/// another request then.
+fn ambiguous_length(headers: &HeaderMap, framing: Framing) -> bool {
+    let coded = headers.contains_key(TRANSFER_ENCODING);
+    let two = coded && headers.contains_key(CONTENT_LENGTH);
+    two || (coded && framing != Framing::One)
+}
+
 /// The last answer on its connection.
 fn closing(status: StatusCode, part: &'static str) -> Response<Outgoing> {
     let mut response = plain(status, part);
@@ -303,21 +343,54 @@
     }
 }
 
-/// How a connection's requests came to an end.
+/// What happens to a connection while its requests are served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Over {
-    /// By what passed on it.
-    Done,
-    /// Its client has left, while a request of it was worked on.
-    Gone,
+enum ConnectionEvent {
+    /// It ended by what was read or written on it.
+    Ended,
+    /// Its client disconnected while a request of it was worked on.
+    ClientDisconnected,
     /// Its time in a phase is over.
-    Overdue,
-    /// It has to make way.
+    TimedOut,
+    /// It has to make room for another connection.
     Evicted,
-    /// The program ends.
-    Stop,
+    /// The program shuts down.
+    ShuttingDown,
     /// Clients are to be sent away, or no longer.
-    Turn,
+    DrainingChanged,
+}
+
+/// How a connection is closed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Close {
+    /// Its client can still read what was written last.
+    Lingering,
+    /// At once.
+    Immediate,
+}
+
+type HttpConnection = http1::Connection<TokioIo<ClientStream>, TowerToHyperService<ConnectionService>>;
+
+/// How long a connection is kept.
+struct Retention {
+    /// It carries no request after the present one.
+    last_request: bool,
+    /// Since when and for how long idle connections are kept, while clients are sent away.
+    closing: Option<(Instant, Duration)>,
+    /// Until then an idle connection is kept.
+    kept_until: Instant,
+}
+
+impl Retention {
+    /// When a connection in its present phase has had its time.
+    fn deadline(&self, phase: Phase) -> Option<Instant> {
+        let until = phase.until()?;
+        Some(match (phase, self.closing) {
+            (Phase::Idle(since), Some((told, span))) => since.max(told) + span,
+            (Phase::Idle(_), None) => until.max(self.kept_until),
+            _ => until,
+        })
+    }
 }
 
 async fn serve_connection(stream: TcpStream, front: Front, slot: Slot, mut stopping: watch::Receiver<bool>) {
@@ -325,83 +398,38 @@
         return;
     }
     let client = slot.client.clone();
-    let mut last = *stopping.borrow_and_update();
+    let last_request = *stopping.borrow_and_update();
     let stream = ClientStream::new(stream, client.clone());
-    let io = TokioIo::new(stream.clone());
     let mut draining = front.core.draining();
-    let told = draining.clone();
-    let mut closing = closes(*draining.borrow_and_update());
+    let closing = closes(*draining.borrow_and_update());
     let service = TowerToHyperService::new(ConnectionService { front, client: client.clone() });
     let mut builder = http1::Builder::new();
-    builder.keep_alive(!last).max_buf_size(HEAD_LIMIT);
-    let mut connection = builder.serve_connection(io, service);
-    // Until then an idle connection is kept.
-    let mut kept = Instant::now();
-    loop {
-        let mut overdue = pin!(sleep_until(Instant::now()));
-        let mut evicted = pin!(client.evicted.notified());
-        let mut stop = pin!(stopping.changed());
-        let mut turn = pin!(draining.changed());
-        let over = poll_fn(|cx| {
-            // Before anything more is read: a request that is read from now on would be dropped.
-            if evicted.as_mut().poll(cx).is_ready() {
-                return Poll::Ready(Over::Evicted);
-            }
-            // A client that breaks off ends its connection; its request is dropped, and the core hears of it.
-            if connection.poll_without_shutdown(cx).is_ready() {
-                return Poll::Ready(Over::Done);
-            }
-            let working = matches!(client.phase(), Phase::Busy | Phase::Passing(_));
-            if working && stream.poll_gone(cx).is_ready() {
-                return Poll::Ready(Over::Gone);
-            }
-            // A connection that nothing has come on yet is not closed: its first request may be on its way.
-            if !last && !matches!(client.phase(), Phase::Silent(_)) && stop.as_mut().poll(cx).is_ready() {
-                return Poll::Ready(Over::Stop);
-            }
-            if turn.as_mut().poll(cx).is_ready() {
-                return Poll::Ready(Over::Turn);
-            }
-            let Some(until) = client.phase().until() else { return Poll::Pending };
-            let until = match (client.phase(), closing) {
-                (Phase::Idle(since), Some((told, span))) => since.max(told) + span,
-                (Phase::Idle(_), None) => until.max(kept),
-                _ => until,
-            };
-            if overdue.deadline() != until {
-                overdue.as_mut().reset(until);
-            }
-            overdue.as_mut().poll(cx).map(|()| Over::Overdue)
-        })
-        .await;
-        match over {
-            Over::Turn => closing = closes(*told.borrow()),
-            Over::Stop => {
-                last = true;
+    builder.keep_alive(!last_request).max_buf_size(HEAD_LIMIT);
+    let mut connection = builder.serve_connection(TokioIo::new(stream.clone()), service);
+    let mut retention = Retention { last_request, closing, kept_until: Instant::now() };
+    let close = loop {
+        let stop = stopping.changed();
+        let event = next_event(&mut connection, &client, &stream, &retention, stop, draining.changed()).await;
+        match event {
+            ConnectionEvent::DrainingChanged => retention.closing = closes(*draining.borrow()),
+            ConnectionEvent::ShuttingDown => {
+                retention.last_request = true;
                 // A request that is coming has its answer; between requests the connection is closed.
                 client.end_with_answer();
                 if !matches!(client.phase(), Phase::Asking(_)) {
                     Pin::new(&mut connection).graceful_shutdown();
                 }
             }
-            Over::Done => break,
-            Over::Gone => return,
-            Over::Overdue
-                if closing.is_none()
-                    && !slot.table.crowded()
-                    && client.phase().kept_until() > Some(Instant::now()) =>
-            {
-                kept = Instant::now() + LOOK;
-            }
-            Over::Overdue | Over::Evicted => {
-                let asking = matches!(client.phase(), Phase::Asking(_) | Phase::Sending { .. });
-                // A few bytes, of which nothing else has been written: they find room, or it has left.
-                if asking && stream.try_write(TOO_SLOW).is_err() {
-                    return;
-                }
-                break;
+            ConnectionEvent::TimedOut if may_be_kept(&retention, &slot, &client) => {
+                retention.kept_until = Instant::now() + LOOK;
             }
+            ConnectionEvent::Ended => break Close::Lingering,
+            ConnectionEvent::ClientDisconnected => break Close::Immediate,
+            ConnectionEvent::TimedOut | ConnectionEvent::Evicted => break refuse_late(&client, &stream),
         }
+    };
+    if close == Close::Immediate {
+        return;
     }
     // What was being worked on is dropped with it.
     drop(connection);
@@ -410,6 +438,64 @@
     }
 }
 
+/// Serves a connection until something happens to it. `stop` is ready once the program shuts down, and `turn`
+/// once clients are to be sent away or no longer.
+async fn next_event(
+    connection: &mut HttpConnection,
+    client: &Client,
+    stream: &ClientStream,
+    retention: &Retention,
+    stop: impl Future,
+    turn: impl Future,
+) -> ConnectionEvent {
+    let mut timeout = pin!(sleep_until(Instant::now()));
+    let mut evicted = pin!(client.evicted.notified());
+    let (mut stop, mut turn) = (pin!(stop), pin!(turn));
+    poll_fn(|cx| {
+        // Before anything more is read: a request that is read from now on would be dropped.
+        if evicted.as_mut().poll(cx).is_ready() {
+            return Poll::Ready(ConnectionEvent::Evicted);
+        }
+        // A client that breaks off ends its connection; its request is dropped, and the core hears of it.
+        if connection.poll_without_shutdown(cx).is_ready() {
+            return Poll::Ready(ConnectionEvent::Ended);
+        }
+        let working = matches!(client.phase(), Phase::Busy | Phase::Passing(_));
+        if working && stream.poll_gone(cx).is_ready() {
+            return Poll::Ready(ConnectionEvent::ClientDisconnected);
+        }
+        // A connection that nothing has come on yet is not closed: its first request may be on its way.
+        let stoppable = !retention.last_request && !matches!(client.phase(), Phase::Silent(_));
+        if stoppable && stop.as_mut().poll(cx).is_ready() {
+            return Poll::Ready(ConnectionEvent::ShuttingDown);
+        }
+        if turn.as_mut().poll(cx).is_ready() {
+            return Poll::Ready(ConnectionEvent::DrainingChanged);
+        }
+        let Some(deadline) = retention.deadline(client.phase()) else { return Poll::Pending };
+        if timeout.deadline() != deadline {
+            timeout.as_mut().reset(deadline);
+        }
+        timeout.as_mut().poll(cx).map(|()| ConnectionEvent::TimedOut)
+    })
+    .await
+}
+
+/// Whether an idle connection whose time is over is kept for another while, as places are not scarce.
+fn may_be_kept(retention: &Retention, slot: &Slot, client: &Client) -> bool {
+    retention.closing.is_none() && !slot.table.crowded() && client.phase().kept_until() > Some(Instant::now())
+}
+
+/// Tells a client whose request is still coming that it was too slow.
+fn refuse_late(client: &Client, stream: &ClientStream) -> Close {
+    let asking = matches!(client.phase(), Phase::Asking(_) | Phase::Sending { .. });
+    // A few bytes, of which nothing else has been written: they find room, or the client has left.
+    if asking && stream.try_write(TOO_SLOW).is_err() {
+        return Close::Immediate;
+    }
+    Close::Lingering
+}
+
 /// From now on idle connections are closed after so long, if clients are to be sent away.
 fn closes(draining: Draining) -> Option<(Instant, Duration)> {
     let span = if draining.paused { PAUSED } else { REPLACED };
