--- a/crates/event-recorder/src/lib.rs
+++ b/crates/event-recorder/src/lib.rs
@@ -8,6 +8,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use heathward_core::observe::{self, NodeTreatment, Observation, Observer};
+use heathward_core::Endpoint;
 use heathward_event_log::{
     channel, Attempted, Class, Ended, Event, Failure, Folder, Kind, Lifecycle, Limits, Listed, ListedNode,
     Micros, NodeChange, Opened, Outcome, Refusal, RequestDone, Sender, Stamp, Why, Writer,
@@ -130,6 +131,45 @@
         events.into_iter().for_each(|event| self.put(mono, event));
     }
 
+    fn lifecycle(&mut self, mono: Micros, step: Lifecycle) {
+        self.put(mono, Event::Lifecycle(step));
+    }
+
+    /// A list, in as many events of one version as it takes to fit each into a frame.
+    fn endpoint_update(&mut self, mono: Micros, revision: u64, kind: Kind, endpoints: &[Endpoint]) {
+        if endpoints.is_empty() {
+            self.put(mono, Event::Listed(Listed { revision, kind, nodes: Vec::new() }));
+        }
+        for some in endpoints.chunks(LISTED_AT_ONCE) {
+            let nodes = some.iter().map(listed_node).collect();
+            self.put(mono, Event::Listed(Listed { revision, kind, nodes }));
+        }
+    }
+
+    fn attempt_sent(&mut self, mono: Micros, request: RequestId, node: &str, slow_start_units: u32) {
+        self.second.sent(node, slow_start_units);
+        if let Some(done) = self.followed.as_mut().and_then(|f| f.get_mut(&request)) {
+            done.attempts.push(Attempted { node: node.to_owned(), sent: mono, ended: None });
+        }
+    }
+
+    fn attempt_ended(&mut self, mono: Micros, request: RequestId, node: &str, end: AttemptEnd) {
+        self.second.ended(node, ended(end));
+        let done = self.followed.as_mut().and_then(|f| f.get_mut(&request));
+        let last = done.and_then(|done| done.attempts.last_mut());
+        // One that was never sent is no attempt.
+        if let Some(last) = last.filter(|_| end != AttemptEnd::NotSent) {
+            last.ended = Some((mono, ended(end)));
+        }
+    }
+
+    fn request_ended(&mut self, mono: Micros, request: RequestId, outcome: Outcome) {
+        if let Some(mut done) = self.followed.as_mut().and_then(|f| f.remove(&request)) {
+            (done.answered, done.outcome) = (mono, outcome);
+            self.put(mono, Event::Request(done));
+        }
+    }
+
     fn follow(&mut self, mono: Micros, request: RequestId, begun: impl FnOnce() -> RequestDone) {
         let Some(followed) = &mut self.followed else { return };
         if followed.len() < FOLLOWED {
@@ -172,27 +212,12 @@
         self.roll(mono);
         match note {
             Observation::TimePassed => {}
-            Observation::EndpointsUpdated { revision, kind, endpoints: members } => {
-                let node = |member: &heathward_core::Endpoint| ListedNode {
-                    node: member.id.to_string(),
-                    shard: member.shard.0,
-                    state: listed(member.state),
-                    started: member.started_at,
-                };
-                // More than fit a frame are told in several of one version.
-                let kind = list_kind(kind);
-                let mut told = false;
-                for some in members.chunks(LISTED_AT_ONCE) {
-                    let nodes = some.iter().map(node).collect();
-                    self.put(mono, Event::Listed(Listed { revision, kind, nodes }));
-                    told = true;
-                }
-                if !told {
-                    self.put(mono, Event::Listed(Listed { revision, kind, nodes: Vec::new() }));
-                }
+            Observation::EndpointsUpdated { revision, kind, endpoints } => {
+                self.endpoint_update(mono, revision, list_kind(kind), endpoints);
             }
-            Observation::NodeTreatmentChanged { node, treatment: treated, cause: why } => {
-                let change = NodeChange { node: node.to_owned(), state: state(treated), why: reason(why) };
+            Observation::NodeTreatmentChanged { node, treatment, cause } => {
+                let change =
+                    NodeChange { node: node.to_owned(), state: state(treatment), why: reason(cause) };
                 self.put(mono, Event::Node(change));
             }
             Observation::RequestReceived { request, class, plan, volume, units } => {
@@ -209,41 +234,27 @@
                     attempts: Vec::new(),
                 });
             }
-            Observation::AttemptSent { request, node, slow_start_units: cold_units } => {
-                self.second.sent(node, cold_units);
-                if let Some(done) = self.followed.as_mut().and_then(|f| f.get_mut(&request)) {
-                    done.attempts.push(Attempted { node: node.to_owned(), sent: mono, ended: None });
-                }
+            Observation::AttemptSent { request, node, slow_start_units } => {
+                self.attempt_sent(mono, request, node, slow_start_units);
             }
-            Observation::AttemptEnded { request, node, end } => {
-                self.second.ended(node, ended(end));
-                let done = self.followed.as_mut().and_then(|f| f.get_mut(&request));
-                let last = done.and_then(|done| done.attempts.last_mut());
-                // One that was never sent is no attempt.
-                if let Some(last) = last.filter(|_| end != AttemptEnd::NotSent) {
-                    last.ended = Some((mono, ended(end)));
-                }
-            }
-            Observation::RequestEnded { request, class, outcome, latency: took } => {
+            Observation::AttemptEnded { request, node, end } => self.attempt_ended(mono, request, node, end),
+            Observation::RequestEnded { request, class, outcome, latency } => {
                 let outcome = outcome_of(outcome);
-                self.second.answered(class.0, outcome, took);
-                if let Some(mut done) = self.followed.as_mut().and_then(|f| f.remove(&request)) {
-                    (done.answered, done.outcome) = (mono, outcome);
-                    self.put(mono, Event::Request(done));
-                }
+                self.second.answered(class.0, outcome, latency);
+                self.request_ended(mono, request, outcome);
             }
-            Observation::ConfigurationReloaded(taken) => {
-                self.put(mono, Event::Lifecycle(Lifecycle::Reloaded(taken)))
+            Observation::ConfigurationReloaded(accepted) => {
+                self.lifecycle(mono, Lifecycle::Reloaded(accepted));
             }
-            Observation::ShuttingDown => self.put(mono, Event::Lifecycle(Lifecycle::Ending)),
-            Observation::HandedOver => self.put(mono, Event::Lifecycle(Lifecycle::HandedOver)),
-            Observation::TookOver => self.put(mono, Event::Lifecycle(Lifecycle::TookOver)),
-            Observation::PauseChanged(true) => self.put(mono, Event::Lifecycle(Lifecycle::Paused)),
+            Observation::ShuttingDown => self.lifecycle(mono, Lifecycle::Ending),
+            Observation::HandedOver => self.lifecycle(mono, Lifecycle::HandedOver),
+            Observation::TookOver => self.lifecycle(mono, Lifecycle::TookOver),
+            Observation::PauseChanged(true) => self.lifecycle(mono, Lifecycle::Paused),
+            Observation::PauseChanged(false) => self.lifecycle(mono, Lifecycle::Resumed),
             Observation::LeaseChanged(Some(silence)) => {
-                self.put(mono, Event::Lifecycle(Lifecycle::Stopped(silence.as_micros() as u64)));
+                self.lifecycle(mono, Lifecycle::Stopped(silence.as_micros() as Micros));
             }
-            Observation::LeaseChanged(None) => self.put(mono, Event::Lifecycle(Lifecycle::WentOn)),
-            Observation::PauseChanged(false) => self.put(mono, Event::Lifecycle(Lifecycle::Resumed)),
+            Observation::LeaseChanged(None) => self.lifecycle(mono, Lifecycle::WentOn),
         }
     }
 
@@ -263,6 +274,15 @@
 /// Nodes of a list in one event: with ids of 128 bytes they fit a frame.
 const LISTED_AT_ONCE: usize = 256;
 
+fn listed_node(endpoint: &Endpoint) -> ListedNode {
+    ListedNode {
+        node: endpoint.id.to_string(),
+        shard: endpoint.shard.0,
+        state: listed(endpoint.state),
+        started: endpoint.started_at,
+    }
+}
+
 fn listed(state: NodeState) -> heathward_event_log::NodeState {
     match state {
         NodeState::Ready => heathward_event_log::NodeState::InService,
