--- a/crates/config/tests/operator_file.rs
+++ b/crates/config/tests/operator_file.rs
@@ -1,5 +1,6 @@
 //! An operator file with every setting, as it is evaluated and as it is read. The files under `fixtures/` do
 //! not change with the code's names.
+#![cfg(test)]
 
 use std::fmt::Write;
 use std::path::{Path, PathBuf};
--- a/crates/core/tests/drains.rs
+++ b/crates/core/tests/drains.rs
@@ -1,5 +1,6 @@
 //! Drains in a whole fleet, in virtual time: 350 hosts before 600 nodes, with updates that come late, in any
 //! order, or not at all, starts with an old list, moves of discovery, and connections that come up late.
+#![cfg(test)]
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
--- a/crates/core/tests/leaving.rs
+++ b/crates/core/tests/leaving.rs
@@ -1,4 +1,5 @@
 //! Departures are told whatever waits: a full mailbox loses none, and what waits in it for nobody is dropped.
+#![cfg(test)]
 
 use std::future::Future;
 use std::pin::Pin;
--- a/crates/core/tests/list_size.rs
+++ b/crates/core/tests/list_size.rs
@@ -1,5 +1,6 @@
 //! What a change of the list costs before many nodes, in nodes that are looked at: its own entries, and
 //! nothing while none change. Counts, no times.
+#![cfg(test)]
 
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
--- a/crates/ctl/tests/console.rs
+++ b/crates/ctl/tests/console.rs
@@ -1,4 +1,5 @@
 //! The console as it looks, at 80×24 and without colour, and what its keys do.
+#![cfg(test)]
 
 use heathward_core::OperatorCommand;
 use heathward_event_log::{ClassSecond, Ended, Event, Lifecycle, NodeSecond, NodeState, Why};
--- a/crates/ctl/tests/ctl.rs
+++ b/crates/ctl/tests/ctl.rs
@@ -1,4 +1,5 @@
 //! The operators' tool as they use it: exit codes, several addresses, what it prints.
+#![cfg(test)]
 
 use std::process::{Command, Output};
 
--- a/crates/ctl/tests/stored.rs
+++ b/crates/ctl/tests/stored.rs
@@ -1,5 +1,6 @@
 //! What the tool makes of records that are stored already, byte for byte: exports, listings, and a report's
 //! findings, JSON, CSV and HTML. The segments and the expected output lie under `fixtures/`.
+#![cfg(test)]
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
--- a/crates/event-log/tests/records.rs
+++ b/crates/event-log/tests/records.rs
@@ -1,4 +1,5 @@
 //! Damage, other versions, disks that fail and disks that are stuck.
+#![cfg(test)]
 
 use std::collections::BTreeMap;
 use std::io::{self, Write};
--- a/crates/event-log/tests/stored.rs
+++ b/crates/event-log/tests/stored.rs
@@ -1,5 +1,6 @@
 //! Records that are stored already: a segment with every kind of event and every variant in it, as bytes in
 //! the repository, is read to the same events, and the same events are written to the same bytes.
+#![cfg(test)]
 
 use std::path::PathBuf;
 
--- a/crates/event-recorder/tests/recorder.rs
+++ b/crates/event-recorder/tests/recorder.rs
@@ -1,4 +1,5 @@
 //! What the recorder tells of a scheduler before stand-in nodes.
+#![cfg(test)]
 
 use std::time::Duration;
 
--- a/crates/incident/tests/incident.rs
+++ b/crates/incident/tests/incident.rs
@@ -1,4 +1,5 @@
 //! Reconstruction from records written here: clocks that differ, losses, and each rule broken on purpose.
+#![cfg(test)]
 
 use heathward_event_log::read::Item;
 use heathward_event_log::{Ended, Event, Gap, GapCause, Lifecycle, NodeSecond, NodeState, Record, Why};
--- a/crates/policy/tests/budget.rs
+++ b/crates/policy/tests/budget.rs
@@ -1,4 +1,5 @@
 //! The period budget and the lookback test.
+#![cfg(test)]
 
 mod common;
 use common::*;
--- a/crates/policy/tests/cold.rs
+++ b/crates/policy/tests/cold.rs
@@ -1,5 +1,6 @@
 //! Many schedulers and one cold node: whatever they hold, all of them together stay near what it bears in the
 //! mean, and far from what pushes it over in any window.
+#![cfg(test)]
 
 mod common;
 use common::{entry, req, settings};
--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -1,5 +1,6 @@
 //! A hundred schedulers and sixty storage nodes in virtual time: what each does must add up. Seeded; the
 //! totals are held against plain arithmetic for one node.
+#![cfg(test)]
 
 mod common;
 use common::{entry, req, settings};
--- a/crates/policy/tests/limits.rs
+++ b/crates/policy/tests/limits.rs
@@ -1,6 +1,7 @@
 //! A plan's limit, kept by all hosts together without a word between them: each has an even part of rate and
 //! store. What a host learns of the others' use comes late or never (hosts that use other nodes of the volume
 //! see nothing of each other), so no part is lent; the price is what a lone host leaves unused.
+#![cfg(test)]
 
 mod common;
 use common::{req, settings, Host};
--- a/crates/policy/tests/memory.rs
+++ b/crates/policy/tests/memory.rs
@@ -1,5 +1,6 @@
 //! A long run in virtual time of ids, volumes and nodes that come and go: whatever the module keeps of them
 //! is bounded by what is recent, and falls back to what is listed. Entries are counted, not bytes. Seeded.
+#![cfg(test)]
 
 mod common;
 use common::{entry, req, settings, Host};
--- a/crates/policy/tests/property.rs
+++ b/crates/policy/tests/property.rs
@@ -1,5 +1,6 @@
 //! Arbitrary legal event sequences with fixed seeds: the rules hold whatever happens, with the settings of
 //! each deployment and with those that ask for every rule.
+#![cfg(test)]
 
 mod common;
 use common::{deployment, entry, settings};
--- a/crates/policy/tests/replay.rs
+++ b/crates/policy/tests/replay.rs
@@ -6,6 +6,7 @@
 //!
 //! Requests that any node may serve draw from a stream of chance of their own: days with them are held
 //! against the recorded counts in `replay/free.txt`.
+#![cfg(test)]
 
 mod common;
 #[path = "common/day.rs"]
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -1,4 +1,5 @@
 //! The seven rules, the ordinary path and single failures, on the module alone.
+#![cfg(test)]
 
 mod common;
 use common::*;
--- a/crates/policy/tests/settings.rs
+++ b/crates/policy/tests/settings.rs
@@ -1,4 +1,5 @@
 //! The settings of both deployments are read as they stand; what makes no sense is named by its field.
+#![cfg(test)]
 
 mod common;
 use common::{GRANITE_SHELF, PREDIO_NORTE};
--- a/crates/policy/tests/throng.rs
+++ b/crates/policy/tests/throng.rs
@@ -1,6 +1,7 @@
 //! Twenty and thirty schedulers before one cold node, in virtual time: the sum of what they send stays
 //! within N + 2 x root of N + 2 requests of mean work in any window of the fall time, N being what the
 //! settings allow a node of that age.
+#![cfg(test)]
 
 mod common;
 
--- a/crates/scheduler/tests/capacity.rs
+++ b/crates/scheduler/tests/capacity.rs
@@ -1,5 +1,6 @@
 //! The short form of the capacity measurement on this build: counts alone, which a slow or busy machine does
 //! not change.
+#![cfg(test)]
 
 use std::path::Path;
 
--- a/crates/scheduler/tests/deploy.rs
+++ b/crates/scheduler/tests/deploy.rs
@@ -1,4 +1,5 @@
 //! What the platform and the fleet's standing test ask of the deploy file and of the program that it starts.
+#![cfg(test)]
 
 use std::collections::BTreeSet;
 use std::fs;
--- a/crates/scheduler/tests/faults.rs
+++ b/crates/scheduler/tests/faults.rs
@@ -1,4 +1,5 @@
 //! Fleets of real processes through scenarios of faults, judged by the stand-ins' logs alone.
+#![cfg(test)]
 
 use std::path::{Path, PathBuf};
 
--- a/crates/scheduler/tests/incident.rs
+++ b/crates/scheduler/tests/incident.rs
@@ -1,4 +1,5 @@
 //! The staged incident: what the schedulers' records say, held against what really happened.
+#![cfg(test)]
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
--- a/crates/scheduler/tests/pinned/main.rs
+++ b/crates/scheduler/tests/pinned/main.rs
@@ -1,5 +1,6 @@
 //! What others read of this program, byte for byte: HTTP answers, what storage nodes are sent, and the help
 //! texts and messages of the command line. The files under `fixtures/` do not change with the code's names.
+#![cfg(test)]
 
 mod check_messages;
 mod http_answers;
--- a/crates/scheduler/tests/throng.rs
+++ b/crates/scheduler/tests/throng.rs
@@ -1,6 +1,7 @@
 //! Twenty and thirty real processes before cold nodes, under more load than these bear: what all of them send
 //! together stays within N + 2 x root of N + 2 requests of mean work. Apart from the other scenarios, so that
 //! its load is not theirs.
+#![cfg(test)]
 
 use std::path::{Path, PathBuf};
 
--- a/crates/simulator-adapter/tests/adapter.rs
+++ b/crates/simulator-adapter/tests/adapter.rs
@@ -1,4 +1,5 @@
 //! The adapter on lines of our own: decode, encode, restarts, and what it says of lines that are wrong.
+#![cfg(test)]
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
--- a/testing/bench-journal/tests/regression.rs
+++ b/testing/bench-journal/tests/regression.rs
@@ -1,4 +1,5 @@
 //! Made-up entries: what a state owes, and which falls are larger than chance.
+#![cfg(test)]
 
 use heathward_bench_journal::entry::File;
 use heathward_bench_journal::{owed, Entry, Row, State, Table, Verdict, RUNS};
--- a/testing/fault-injection/tests/auditor.rs
+++ b/testing/fault-injection/tests/auditor.rs
@@ -1,4 +1,5 @@
 //! The auditor sees each rule broken by a scheduler stand-in that breaks it, and nothing where none is.
+#![cfg(test)]
 
 use std::time::Duration;
 
--- a/testing/fault-injection/tests/verdict.rs
+++ b/testing/fault-injection/tests/verdict.rs
@@ -1,4 +1,5 @@
 //! What the auditor prints of each rule that is broken, byte for byte: `fixtures/verdict.txt`.
+#![cfg(test)]
 
 use std::fmt::Write;
 
--- a/testing/scale-tests/tests/bounds.rs
+++ b/testing/scale-tests/tests/bounds.rs
@@ -1,4 +1,5 @@
 //! Bounds on known series.
+#![cfg(test)]
 
 use heathward_scale_tests::bounds::{check_all, exceeded, Bound};
 use heathward_scale_tests::processes::BOUNDS;
--- a/testing/scale-tests/tests/callers.rs
+++ b/testing/scale-tests/tests/callers.rs
@@ -1,4 +1,5 @@
 //! What the law of calls costs one list service that a whole fleet asks, in virtual time.
+#![cfg(test)]
 
 use std::time::Duration;
 
--- a/testing/scale-tests/tests/chart.rs
+++ b/testing/scale-tests/tests/chart.rs
@@ -1,4 +1,5 @@
 //! The chart of all series.
+#![cfg(test)]
 
 use heathward_scale_tests::chart::draw;
 use heathward_scale_tests::series::Series;
--- a/testing/scale-tests/tests/costs.rs
+++ b/testing/scale-tests/tests/costs.rs
@@ -1,4 +1,5 @@
 //! The series of costs: that they measure what they name. Counts alone; times want a release build.
+#![cfg(test)]
 
 use heathward_policy::Settings;
 use heathward_scale_tests::bounds::exceeded;
--- a/testing/scale-tests/tests/fleet.rs
+++ b/testing/scale-tests/tests/fleet.rs
@@ -1,4 +1,5 @@
 //! The hollow fleet: one verdict for a seed, no request without an end, slices that agree, faults that show.
+#![cfg(test)]
 
 use heathward_policy::Micros;
 use heathward_scale_tests::cold_start::{cold_start, Begin, ColdStart, ColdStartReport};
--- a/testing/scale-tests/tests/lists.rs
+++ b/testing/scale-tests/tests/lists.rs
@@ -1,4 +1,5 @@
 //! The hollow list service: what a call brings, what an outage costs, and the bytes of real lines.
+#![cfg(test)]
 
 use std::time::Duration;
 
--- a/testing/scale-tests/tests/node.rs
+++ b/testing/scale-tests/tests/node.rs
@@ -1,4 +1,5 @@
 //! The hollow storage node: its ability, its queue, and the rule on what it may be sent while it is cold.
+#![cfg(test)]
 
 use heathward_scale_tests::node::{Admission, Health, HollowNode, NodeSettings, SlowStart};
 
--- a/testing/scale-tests/tests/processes.rs
+++ b/testing/scale-tests/tests/processes.rs
@@ -1,4 +1,5 @@
 //! What `/proc` says of a process.
+#![cfg(test)]
 
 use std::net::{TcpListener, TcpStream};
 use std::time::{Duration, Instant};
--- a/testing/scale-tests/tests/series.rs
+++ b/testing/scale-tests/tests/series.rs
@@ -1,4 +1,5 @@
 //! Fits against curves that are known.
+#![cfg(test)]
 
 use heathward_scale_tests::series::{write_csv, Fit, FitError, Series};
 
--- a/testing/scale-tests/tests/slow_start.rs
+++ b/testing/scale-tests/tests/slow_start.rs
@@ -1,5 +1,6 @@
 //! The slow start by counts, in a short form: a few seeds of each fleet size in a slice, and two
 //! planted faults that have to be seen.
+#![cfg(test)]
 
 use heathward_policy::Micros;
 use heathward_scale_tests::cold_start::{cold_start, ColdStart};
