--- a/crates/config/src/operator.rs
+++ b/crates/config/src/operator.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 
 use heathward_event_log::segment::Rotation;
-use heathward_event_log::Limits;
+use heathward_event_log::StorageLimits;
 use heathward_event_recorder::{Clock, Settings};
 use heathward_logs::{Filter, Format};
 use heathward_policy::settings::{ConfigError, Deployment, JsonSource, SettingsSource};
@@ -107,7 +107,10 @@
     }
     Ok(Settings {
         folder: PathBuf::from(&*folder),
-        limits: Limits { rotation: Rotation { size, age }, total },
+        limits: StorageLimits {
+            rotation: Rotation { max_bytes: size, max_age: age },
+            max_total_bytes: total,
+        },
         waiting: within("waiting", 8192, 64, 65_536)? as usize,
         requests: tree.flag("records.requests")?,
         clock: clock(tree, section)?,
--- a/crates/config/tests/operator_file.rs
+++ b/crates/config/tests/operator_file.rs
@@ -49,9 +49,13 @@
     let Some(records) = &operator.recorder else { panic!("no records") };
     let (rotation, clock) = (&records.limits.rotation, &records.clock);
     writeln!(text, "records.folder={}", records.folder.display()).unwrap();
-    writeln!(text, "records.segment bytes={} micros={}", rotation.size, rotation.age).unwrap();
-    writeln!(text, "records.total bytes={}\nrecords.waiting={}", records.limits.total, records.waiting)
-        .unwrap();
+    writeln!(text, "records.segment bytes={} micros={}", rotation.max_bytes, rotation.max_age).unwrap();
+    writeln!(
+        text,
+        "records.total bytes={}\nrecords.waiting={}",
+        records.limits.max_total_bytes, records.waiting
+    )
+    .unwrap();
     writeln!(text, "records.requests={}", records.requests).unwrap();
     write!(text, "records.clock offset_ms={} ", clock.offset_ms).unwrap();
     writeln!(text, "step_after_ms={} step_ms={}", clock.step_after_ms, clock.step_ms).unwrap();
@@ -79,6 +83,6 @@
     assert_eq!(operator.log.format, Format::Text);
     assert!(operator.nvme_map.is_none() && operator.recorder.is_none());
     let least = OperatorSettings::parse(r#"{"records":{"folder":"/r"}}"#, None).unwrap().recorder.unwrap();
-    assert_eq!((least.limits.rotation.size, least.limits.rotation.age), (16 << 20, 600_000_000));
-    assert_eq!((least.limits.total, least.waiting, least.requests), (512 << 20, 8192, false));
+    assert_eq!((least.limits.rotation.max_bytes, least.limits.rotation.max_age), (16 << 20, 600_000_000));
+    assert_eq!((least.limits.max_total_bytes, least.waiting, least.requests), (512 << 20, 8192, false));
 }
--- a/crates/ctl/src/console/draw.rs
+++ b/crates/ctl/src/console/draw.rs
@@ -98,11 +98,11 @@
     match state {
         None => ("?", Color::DarkGray),
         Some(NodeState::InService) => ("ok", Color::Green),
-        Some(NodeState::Cold(_)) => ("cold", Color::Cyan),
-        Some(NodeState::Silent) => ("SILENT", Color::Red),
+        Some(NodeState::SlowStart(_)) => ("cold", Color::Cyan),
+        Some(NodeState::Unresponsive) => ("SILENT", Color::Red),
         Some(NodeState::Suspended) => ("OUT", Color::Magenta),
         Some(NodeState::Draining) => ("DRAIN", Color::Yellow),
-        Some(NodeState::Gone) => ("gone", Color::DarkGray),
+        Some(NodeState::Removed) => ("gone", Color::DarkGray),
     }
 }
 
--- a/crates/ctl/src/folds.rs
+++ b/crates/ctl/src/folds.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
 
-use heathward_event_log::read::{segments, SegmentFile, SegmentReader};
+use heathward_event_log::read::{find_segments, SegmentFile, SegmentReader};
 use heathward_incident::Fold;
 
 /// Boots that are read at a time at most.
@@ -18,7 +18,7 @@
 /// A path that can't be read, or none that holds a segment.
 pub fn read(paths: &[PathBuf]) -> io::Result<Vec<Fold>> {
     let mut boots: Vec<Vec<SegmentFile>> = Vec::new();
-    for segment in segments(paths)? {
+    for segment in find_segments(paths)? {
         // A boot's segments follow one another.
         match boots.last_mut().filter(|boot| boot[0].name.boot == segment.name.boot) {
             Some(boot) => boot.push(segment),
--- a/crates/ctl/src/follow.rs
+++ b/crates/ctl/src/follow.rs
@@ -4,7 +4,7 @@
 use std::io;
 use std::path::PathBuf;
 
-use heathward_event_log::read::{segments, SegmentFile, SegmentReader};
+use heathward_event_log::read::{find_segments, SegmentFile, SegmentReader};
 use heathward_incident::Fold;
 
 /// One boot that is being read.
@@ -34,7 +34,7 @@
     /// A path that can't be read.
     pub fn look(&mut self) -> io::Result<()> {
         let mut by_boot: BTreeMap<u64, Vec<SegmentFile>> = BTreeMap::new();
-        for segment in segments(&self.paths)? {
+        for segment in find_segments(&self.paths)? {
             by_boot.entry(segment.name.boot).or_default().push(segment);
         }
         for (boot, files) in by_boot {
@@ -56,7 +56,7 @@
     fn look(&mut self, files: &[SegmentFile]) -> io::Result<()> {
         loop {
             if let Some((number, reader)) = &mut self.open {
-                while let Some(item) = reader.next_so_far()? {
+                while let Some(item) = reader.next_available()? {
                     self.fold.take(&item);
                 }
                 // With a newer one there, this one is complete.
--- a/crates/ctl/src/records.rs
+++ b/crates/ctl/src/records.rs
@@ -6,7 +6,7 @@
 use std::io::{self, BufWriter, Write};
 use std::path::{Path, PathBuf};
 
-use heathward_event_log::read::{segments, Item, SegmentFile, SegmentReader};
+use heathward_event_log::read::{find_segments, SegmentFile, SegmentItem, SegmentReader};
 use heathward_event_log::{Event, Record};
 
 use self::text::Text;
@@ -15,7 +15,7 @@
 mod text;
 
 /// Calls `take` with each item of a segment; a segment that is gone meanwhile has none, and says so.
-fn each(segment: &SegmentFile, mut take: impl FnMut(Item) -> io::Result<()>) -> io::Result<()> {
+fn each(segment: &SegmentFile, mut take: impl FnMut(SegmentItem) -> io::Result<()>) -> io::Result<()> {
     let mut reader = match SegmentReader::open(segment) {
         Ok(reader) => reader,
         Err(error) if error.kind() == io::ErrorKind::NotFound => {
@@ -56,19 +56,19 @@
 }
 
 impl Tally {
-    fn take(&mut self, segment: &SegmentFile, item: Item) {
+    fn take(&mut self, segment: &SegmentFile, item: SegmentItem) {
         match item {
-            Item::Record(record) => self.record(&record),
-            Item::Damaged { from, to } => {
+            SegmentItem::Record(record) => self.record(&record),
+            SegmentItem::Damaged { from, to } => {
                 println!("{}: damaged from byte {from} to {to}", segment.path.display());
                 self.damaged += to - from;
             }
-            Item::Newer { offset, schema } => {
+            SegmentItem::Newer { offset, schema } => {
                 let path = segment.path.display();
                 println!("{path}: byte {offset}: schema {schema} is newer than this program");
                 self.newer += 1;
             }
-            Item::Unreadable { offset } => {
+            SegmentItem::Unreadable { offset } => {
                 println!("{}: byte {offset}: no event can be read", segment.path.display());
                 self.unreadable += 1;
             }
@@ -77,7 +77,7 @@
 
     fn record(&mut self, record: &Record) {
         match &record.event {
-            Event::Opened(opened) => {
+            Event::SegmentOpened(opened) => {
                 self.scheduler.clone_from(&opened.scheduler);
                 return;
             }
@@ -86,8 +86,8 @@
             _ => {}
         }
         self.records += u64::from(!matches!(record.event, Event::Gap(_)));
-        self.last = self.last.max(record.seq);
-        let first = record.seq + 1 - record.weight();
+        self.last = self.last.max(record.sequence);
+        let first = record.sequence + 1 - record.event_count();
         self.first = Some(self.first.map_or(first, |known| known.min(first)));
     }
 
@@ -123,7 +123,7 @@
 pub fn verify(paths: &[PathBuf]) -> Outcome {
     run(|| {
         let mut boots: BTreeMap<u64, Tally> = BTreeMap::new();
-        for segment in segments(paths)? {
+        for segment in find_segments(paths)? {
             let tally = boots.entry(segment.name.boot).or_default();
             each(&segment, |item| {
                 tally.take(&segment, item);
@@ -146,16 +146,16 @@
 pub fn show(paths: &[PathBuf]) -> Outcome {
     run(|| {
         let mut out = BufWriter::new(io::stdout().lock());
-        for segment in segments(paths)? {
+        for segment in find_segments(paths)? {
             let name = segment.name.clone();
             each(&segment, |item| match item {
-                Item::Record(Record { seq, at, event }) => {
-                    let (seconds, micros) = (at.wall / 1_000_000, at.wall % 1_000_000);
+                SegmentItem::Record(Record { sequence: seq, time: at, event }) => {
+                    let (seconds, micros) = (at.wall_clock / 1_000_000, at.wall_clock % 1_000_000);
                     writeln!(
                         out,
                         "{} {seconds}.{micros:06} +{:.6} #{seq} {:?}",
                         name.scheduler,
-                        at.mono as f64 / 1e6,
+                        at.monotonic as f64 / 1e6,
                         Text(&event)
                     )
                 }
@@ -175,10 +175,10 @@
             None => Box::new(io::stdout().lock()),
         };
         let mut out = BufWriter::new(out);
-        for segment in segments(paths)? {
+        for segment in find_segments(paths)? {
             let (scheduler, boot) = (segment.name.scheduler.clone(), format!("{:016x}", segment.name.boot));
             each(&segment, |item| {
-                let Item::Record(record) = item else { return Ok(()) };
+                let SegmentItem::Record(record) = item else { return Ok(()) };
                 let line = Line { scheduler: &scheduler, boot: &boot, record: &record };
                 serde_json::to_writer(&mut out, &line)?;
                 out.write_all(b"\n")
--- a/crates/ctl/src/records/text.rs
+++ b/crates/ctl/src/records/text.rs
@@ -3,10 +3,10 @@
 
 use std::fmt::{Debug, Formatter, Result};
 
-use heathward_event_log::read::Item;
+use heathward_event_log::read::SegmentItem;
 use heathward_event_log::{
-    Attempted, Class, ClassSecond, Event, Gap, Lifecycle, Listed, ListedNode, NodeChange, NodeSecond,
-    NodeState, Opened, Outcome, RequestDone, Stamp, Why,
+    AttemptRecord, ClassInfo, ClassSecond, EndpointUpdate, Event, Gap, Lifecycle, ListedEndpoint, NodeSecond,
+    NodeState, NodeStateChange, RequestOutcome, RequestRecord, SegmentOpened, StateChangeCause, Timestamp,
 };
 
 /// A value in the form of the listing.
@@ -33,17 +33,19 @@
     }
 }
 
-impl Debug for Text<'_, Item> {
+impl Debug for Text<'_, SegmentItem> {
     fn fmt(&self, f: &mut Formatter<'_>) -> Result {
         match self.0 {
-            Item::Record(record) => Text(&record.event).fmt(f),
-            Item::Damaged { from, to } => {
+            SegmentItem::Record(record) => Text(&record.event).fmt(f),
+            SegmentItem::Damaged { from, to } => {
                 f.debug_struct("Damaged").field("from", from).field("to", to).finish()
             }
-            Item::Newer { offset, schema } => {
+            SegmentItem::Newer { offset, schema } => {
                 f.debug_struct("Newer").field("offset", offset).field("schema", schema).finish()
             }
-            Item::Unreadable { offset } => f.debug_struct("Unreadable").field("offset", offset).finish(),
+            SegmentItem::Unreadable { offset } => {
+                f.debug_struct("Unreadable").field("offset", offset).finish()
+            }
         }
     }
 }
@@ -51,13 +53,13 @@
 impl Debug for Text<'_, Event> {
     fn fmt(&self, f: &mut Formatter<'_>) -> Result {
         match self.0 {
-            Event::Opened(opened) => f.debug_tuple("Opened").field(&Text(opened)).finish(),
+            Event::SegmentOpened(opened) => f.debug_tuple("Opened").field(&Text(opened)).finish(),
             Event::Lifecycle(step) => f.debug_tuple("Lifecycle").field(&Text(step)).finish(),
-            Event::Listed(listed) => f.debug_tuple("Listed").field(&Text(listed)).finish(),
-            Event::Node(change) => f.debug_tuple("Node").field(&Text(change)).finish(),
-            Event::Class(second) => f.debug_tuple("Class").field(&Text(second)).finish(),
+            Event::EndpointUpdate(listed) => f.debug_tuple("Listed").field(&Text(listed)).finish(),
+            Event::NodeStateChanged(change) => f.debug_tuple("Node").field(&Text(change)).finish(),
+            Event::ClassSecond(second) => f.debug_tuple("Class").field(&Text(second)).finish(),
             Event::NodeSecond(second) => f.debug_tuple("NodeSecond").field(&Text(second)).finish(),
-            Event::Request(request) => f.debug_tuple("Request").field(&Text(request)).finish(),
+            Event::RequestEnded(request) => f.debug_tuple("Request").field(&Text(request)).finish(),
             Event::Gap(gap) => f.debug_tuple("Gap").field(&Text(gap)).finish(),
             Event::Unknown(kind) => f.debug_tuple("Unknown").field(kind).finish(),
         }
@@ -68,15 +70,15 @@
     fn fmt(&self, f: &mut Formatter<'_>) -> Result {
         match self.0 {
             Lifecycle::Started => f.write_str("Started"),
-            Lifecycle::Ending => f.write_str("Ending"),
-            Lifecycle::Ended => f.write_str("Ended"),
+            Lifecycle::ShuttingDown => f.write_str("Ending"),
+            Lifecycle::Stopped => f.write_str("Ended"),
             Lifecycle::Reloaded(accepted) => f.debug_tuple("Reloaded").field(accepted).finish(),
             Lifecycle::HandedOver => f.write_str("HandedOver"),
             Lifecycle::TookOver => f.write_str("TookOver"),
             Lifecycle::Paused => f.write_str("Paused"),
             Lifecycle::Resumed => f.write_str("Resumed"),
-            Lifecycle::Stopped(silence) => f.debug_tuple("Stopped").field(silence).finish(),
-            Lifecycle::WentOn => f.write_str("WentOn"),
+            Lifecycle::LeaseExpired(silence) => f.debug_tuple("Stopped").field(silence).finish(),
+            Lifecycle::LeaseRenewed => f.write_str("WentOn"),
         }
     }
 }
@@ -85,51 +87,51 @@
     fn fmt(&self, f: &mut Formatter<'_>) -> Result {
         match self.0 {
             NodeState::InService => f.write_str("InService"),
-            NodeState::Cold(since) => f.debug_tuple("Cold").field(since).finish(),
-            NodeState::Silent => f.write_str("Silent"),
+            NodeState::SlowStart(since) => f.debug_tuple("Cold").field(since).finish(),
+            NodeState::Unresponsive => f.write_str("Silent"),
             NodeState::Suspended => f.write_str("Suspended"),
             NodeState::Draining => f.write_str("Draining"),
-            NodeState::Gone => f.write_str("Gone"),
+            NodeState::Removed => f.write_str("Gone"),
         }
     }
 }
 
-impl Debug for Text<'_, Why> {
+impl Debug for Text<'_, StateChangeCause> {
     fn fmt(&self, f: &mut Formatter<'_>) -> Result {
         match self.0 {
-            Why::List(revision) => f.debug_tuple("List").field(revision).finish(),
-            Why::Order => f.write_str("Order"),
-            Why::Handover => f.write_str("Handover"),
-            Why::Attempt(end) => f.debug_tuple("Attempt").field(&Name(end.name())).finish(),
-            Why::Time => f.write_str("Time"),
+            StateChangeCause::EndpointUpdate(revision) => f.debug_tuple("List").field(revision).finish(),
+            StateChangeCause::OperatorCommand => f.write_str("Order"),
+            StateChangeCause::Handover => f.write_str("Handover"),
+            StateChangeCause::AttemptEnded(end) => f.debug_tuple("Attempt").field(&Name(end.name())).finish(),
+            StateChangeCause::TimePassed => f.write_str("Time"),
         }
     }
 }
 
-impl Debug for Text<'_, Outcome> {
+impl Debug for Text<'_, RequestOutcome> {
     fn fmt(&self, f: &mut Formatter<'_>) -> Result {
         match self.0 {
-            Outcome::Served => f.write_str("Served"),
-            Outcome::Refused(reason) => f.debug_tuple("Refused").field(&Name(reason.name())).finish(),
-            Outcome::Failed(reason) => f.debug_tuple("Failed").field(&Name(reason.name())).finish(),
-            Outcome::Gone => f.write_str("Gone"),
+            RequestOutcome::Served => f.write_str("Served"),
+            RequestOutcome::Shed(reason) => f.debug_tuple("Refused").field(&Name(reason.name())).finish(),
+            RequestOutcome::Failed(reason) => f.debug_tuple("Failed").field(&Name(reason.name())).finish(),
+            RequestOutcome::ClientDisconnected => f.write_str("Gone"),
         }
     }
 }
 
-impl Debug for Text<'_, Class> {
+impl Debug for Text<'_, ClassInfo> {
     fn fmt(&self, f: &mut Formatter<'_>) -> Result {
         let class = self.0;
         f.debug_struct("Class")
             .field("name", &class.name)
-            .field("aim", &class.aim)
+            .field("aim", &class.latency_objective)
             .field("deadline", &class.deadline)
-            .field("window", &class.window)
+            .field("window", &class.deduplication_window)
             .finish()
     }
 }
 
-impl Debug for Text<'_, Opened> {
+impl Debug for Text<'_, SegmentOpened> {
     fn fmt(&self, f: &mut Formatter<'_>) -> Result {
         let opened = self.0;
         f.debug_struct("Opened")
@@ -140,16 +142,16 @@
             .field("pid", &opened.pid)
             .field("classes", &List(&opened.classes))
             .field("plans", &opened.plans)
-            .field("cold_units", &opened.cold_units)
-            .field("cold_share", &opened.cold_share)
-            .field("cold_time", &opened.cold_time)
-            .field("fall_time", &opened.fall_time)
-            .field("requests", &opened.requests)
+            .field("cold_units", &opened.slow_start_units)
+            .field("cold_share", &opened.slow_start_fraction)
+            .field("cold_time", &opened.slow_start_duration)
+            .field("fall_time", &opened.overload_window)
+            .field("requests", &opened.records_requests)
             .finish()
     }
 }
 
-impl Debug for Text<'_, Listed> {
+impl Debug for Text<'_, EndpointUpdate> {
     fn fmt(&self, f: &mut Formatter<'_>) -> Result {
         let listed = self.0;
         f.debug_struct("Listed")
@@ -160,25 +162,25 @@
     }
 }
 
-impl Debug for Text<'_, ListedNode> {
+impl Debug for Text<'_, ListedEndpoint> {
     fn fmt(&self, f: &mut Formatter<'_>) -> Result {
         let node = self.0;
         f.debug_struct("ListedNode")
             .field("node", &node.node)
             .field("shard", &node.shard)
             .field("state", &Text(&node.state))
-            .field("started", &node.started)
+            .field("started", &node.started_at)
             .finish()
     }
 }
 
-impl Debug for Text<'_, NodeChange> {
+impl Debug for Text<'_, NodeStateChange> {
     fn fmt(&self, f: &mut Formatter<'_>) -> Result {
         let change = self.0;
         f.debug_struct("NodeChange")
             .field("node", &change.node)
             .field("state", &Text(&change.state))
-            .field("why", &Text(&change.why))
+            .field("why", &Text(&change.cause))
             .finish()
     }
 }
@@ -187,16 +189,16 @@
     fn fmt(&self, f: &mut Formatter<'_>) -> Result {
         let second = self.0;
         f.debug_struct("ClassSecond")
-            .field("from", &second.from)
-            .field("span", &second.span)
+            .field("from", &second.start)
+            .field("span", &second.duration)
             .field("class", &second.class)
-            .field("taken", &second.taken)
-            .field("in_aim", &second.in_aim)
+            .field("taken", &second.received)
+            .field("in_aim", &second.within_objective)
             .field("late", &second.late)
-            .field("refused", &second.refused)
+            .field("refused", &second.shed)
             .field("failed", &second.failed)
-            .field("gone", &second.gone)
-            .field("times", &second.times)
+            .field("gone", &second.client_disconnects)
+            .field("times", &second.latency_histogram)
             .finish()
     }
 }
@@ -205,18 +207,18 @@
     fn fmt(&self, f: &mut Formatter<'_>) -> Result {
         let second = self.0;
         f.debug_struct("NodeSecond")
-            .field("from", &second.from)
-            .field("span", &second.span)
+            .field("from", &second.start)
+            .field("span", &second.duration)
             .field("node", &second.node)
             .field("sent", &second.sent)
-            .field("cold_units", &second.cold_units)
-            .field("ends", &second.ends)
-            .field("most_out", &second.most_out)
+            .field("cold_units", &second.slow_start_units)
+            .field("ends", &second.attempt_ends)
+            .field("most_out", &second.max_in_flight)
             .finish()
     }
 }
 
-impl Debug for Text<'_, RequestDone> {
+impl Debug for Text<'_, RequestRecord> {
     fn fmt(&self, f: &mut Formatter<'_>) -> Result {
         let request = self.0;
         f.debug_struct("RequestDone")
@@ -225,21 +227,21 @@
             .field("plan", &request.plan)
             .field("volume", &request.volume)
             .field("units", &request.units)
-            .field("arrived", &request.arrived)
-            .field("answered", &request.answered)
+            .field("arrived", &request.arrived_at)
+            .field("answered", &request.ended_at)
             .field("outcome", &Text(&request.outcome))
             .field("attempts", &List(&request.attempts))
             .finish()
     }
 }
 
-impl Debug for Text<'_, Attempted> {
+impl Debug for Text<'_, AttemptRecord> {
     fn fmt(&self, f: &mut Formatter<'_>) -> Result {
         let attempt = self.0;
         f.debug_struct("Attempted")
             .field("node", &attempt.node)
-            .field("sent", &attempt.sent)
-            .field("ended", &attempt.ended.map(|(at, end)| (at, Name(end.name()))))
+            .field("sent", &attempt.sent_at)
+            .field("ended", &attempt.end.map(|(at, end)| (at, Name(end.name()))))
             .finish()
     }
 }
@@ -249,16 +251,16 @@
         let gap = self.0;
         f.debug_struct("Gap")
             .field("events", &gap.events)
-            .field("from", &Text(&gap.from))
-            .field("to", &Text(&gap.to))
+            .field("from", &Text(&gap.first))
+            .field("to", &Text(&gap.last))
             .field("cause", &Name(gap.cause.name()))
             .finish()
     }
 }
 
-impl Debug for Text<'_, Stamp> {
+impl Debug for Text<'_, Timestamp> {
     fn fmt(&self, f: &mut Formatter<'_>) -> Result {
         let stamp = self.0;
-        f.debug_struct("Stamp").field("wall", &stamp.wall).field("mono", &stamp.mono).finish()
+        f.debug_struct("Stamp").field("wall", &stamp.wall_clock).field("mono", &stamp.monotonic).finish()
     }
 }
--- a/crates/ctl/tests/console.rs
+++ b/crates/ctl/tests/console.rs
@@ -2,7 +2,9 @@
 #![cfg(test)]
 
 use heathward_core::OperatorCommand;
-use heathward_event_log::{ClassSecond, Ended, Event, Lifecycle, NodeSecond, NodeState, Why};
+use heathward_event_log::{
+    AttemptEnd, ClassSecond, Event, Lifecycle, NodeSecond, NodeState, StateChangeCause,
+};
 use heathward_fakes::told::{Told, MS, NINE};
 use heathward_incident::{Fold, Incident, Window};
 use heathwardctl::console::{draw, Effect, Key, Mode, View};
@@ -19,41 +21,51 @@
         for revision in 0..4 {
             let node = ["s0", "s1", "s2", "s3"][revision as usize];
             told.list(100 + revision, revision + 1, node, NodeState::InService);
-            told.node(100 + revision, node, NodeState::InService, Why::List(revision + 1));
+            told.node(
+                100 + revision,
+                node,
+                NodeState::InService,
+                StateChangeCause::EndpointUpdate(revision + 1),
+            );
         }
         let last = if name == "n2" { 6 } else { 10 };
         for second in 0..last {
             let (at, from) = (1000 * (second + 1), told.mono(1000 * second + 10 * number as u64));
             if second == 4 {
-                told.node(at - 900, "s1", NodeState::Silent, Why::Attempt(Ended::TimedOut));
+                told.node(
+                    at - 900,
+                    "s1",
+                    NodeState::Unresponsive,
+                    StateChangeCause::AttemptEnded(AttemptEnd::TimedOut),
+                );
                 told.list(at - 500, 9, "s2", NodeState::Draining);
-                told.node(at - 500, "s2", NodeState::Draining, Why::List(9));
+                told.node(at - 500, "s2", NodeState::Draining, StateChangeCause::EndpointUpdate(9));
             }
             let late = if second == 4 { 8 } else { 0 };
             let class = ClassSecond {
-                from,
-                span: 1000 * MS,
-                taken: 40,
-                in_aim: 40 - late,
+                start: from,
+                duration: 1000 * MS,
+                received: 40,
+                within_objective: 40 - late,
                 late,
                 ..ClassSecond::default()
             };
-            told.put(at + 10 * number as u64, Event::Class(class));
+            told.put(at + 10 * number as u64, Event::ClassSecond(class));
             for node in ["s0", "s1", "s2", "s3"] {
                 let mut counts = NodeSecond {
-                    from,
-                    span: 1000 * MS,
+                    start: from,
+                    duration: 1000 * MS,
                     node: node.into(),
                     sent: 10,
-                    most_out: 2,
+                    max_in_flight: 2,
                     ..NodeSecond::default()
                 };
-                counts.ends[if node == "s1" && second == 4 { 3 } else { 0 }] = 10;
+                counts.attempt_ends[if node == "s1" && second == 4 { 3 } else { 0 }] = 10;
                 told.put(at + 10 * number as u64, Event::NodeSecond(counts));
             }
         }
         if name != "n2" {
-            told.put(11_000, Event::Lifecycle(Lifecycle::Ended));
+            told.put(11_000, Event::Lifecycle(Lifecycle::Stopped));
         }
         folds.push(told.fold());
     }
--- a/crates/ctl/tests/stored.rs
+++ b/crates/ctl/tests/stored.rs
@@ -8,10 +8,10 @@
 use hdrhistogram::serialization::{Serializer, V2Serializer};
 use hdrhistogram::Histogram;
 use heathward_event_log::frame::{encode, encode_as, SCHEMA};
-use heathward_event_log::read::Item;
-use heathward_event_log::segment::{head, SegmentName};
+use heathward_event_log::read::SegmentItem;
+use heathward_event_log::segment::{encode_header, SegmentName};
 use heathward_event_log::{
-    ClassSecond, Ended, Event, Gap, GapCause, Lifecycle, NodeSecond, NodeState, Record, Why,
+    AttemptEnd, ClassSecond, Event, Gap, GapCause, Lifecycle, NodeSecond, NodeState, Record, StateChangeCause,
 };
 use heathward_fakes::told::{Told, MS, NINE};
 use rstest::rstest;
@@ -92,19 +92,21 @@
 /// A segment's name and bytes; items that are no events become damage, a newer schema, or no event.
 fn segment_of(told: &Told) -> (SegmentName, Vec<u8>) {
     let name = SegmentName::new(told.name, (NINE + told.begun * MS) / 1_000_000, told.begun + 1, 0);
-    let identity = name.identity();
-    let mut bytes = head(identity).to_vec();
+    let identity = name.id();
+    let mut bytes = encode_header(identity).to_vec();
     for item in &told.items {
         let offset = bytes.len() as u64;
         match item {
-            Item::Record(record) => {
+            SegmentItem::Record(record) => {
                 let mut payload = Vec::new();
                 record.encode(&mut payload);
                 encode(&mut bytes, identity, offset, &payload).unwrap();
             }
-            Item::Damaged { .. } => bytes.extend_from_slice(&[b'x'; 40]),
-            Item::Newer { .. } => encode_as(&mut bytes, identity, offset, SCHEMA + 1, b"newer").unwrap(),
-            Item::Unreadable { .. } => encode(&mut bytes, identity, offset, &[0xff; 3]).unwrap(),
+            SegmentItem::Damaged { .. } => bytes.extend_from_slice(&[b'x'; 40]),
+            SegmentItem::Newer { .. } => {
+                encode_as(&mut bytes, identity, offset, SCHEMA + 1, b"newer").unwrap()
+            }
+            SegmentItem::Unreadable { .. } => encode(&mut bytes, identity, offset, &[0xff; 3]).unwrap(),
         }
     }
     (name, bytes)
@@ -120,23 +122,23 @@
     let mut told = Told::new("n0", 0, 0);
     shared_lists(&mut told, 0);
     let reasons = [
-        ("s2", NodeState::Suspended, Why::Order),
-        ("s3", NodeState::Silent, Why::Attempt(Ended::TimedOut)),
-        ("s4", NodeState::Silent, Why::Attempt(Ended::NotConnected)),
-        ("s5", NodeState::Silent, Why::Attempt(Ended::Reset)),
-        ("s6", NodeState::Silent, Why::Attempt(Ended::Error)),
-        ("s7", NodeState::Silent, Why::Attempt(Ended::Full)),
-        ("s8", NodeState::Cold(NINE + 2000 * MS), Why::Handover),
-        ("s9", NodeState::Gone, Why::List(9)),
-        ("s10", NodeState::Silent, Why::Time),
-        ("s11", NodeState::Silent, Why::Attempt(Ended::Cancelled)),
-        ("s12", NodeState::Silent, Why::Attempt(Ended::NotSent)),
+        ("s2", NodeState::Suspended, StateChangeCause::OperatorCommand),
+        ("s3", NodeState::Unresponsive, StateChangeCause::AttemptEnded(AttemptEnd::TimedOut)),
+        ("s4", NodeState::Unresponsive, StateChangeCause::AttemptEnded(AttemptEnd::NotConnected)),
+        ("s5", NodeState::Unresponsive, StateChangeCause::AttemptEnded(AttemptEnd::Reset)),
+        ("s6", NodeState::Unresponsive, StateChangeCause::AttemptEnded(AttemptEnd::Error)),
+        ("s7", NodeState::Unresponsive, StateChangeCause::AttemptEnded(AttemptEnd::Rejected)),
+        ("s8", NodeState::SlowStart(NINE + 2000 * MS), StateChangeCause::Handover),
+        ("s9", NodeState::Removed, StateChangeCause::EndpointUpdate(9)),
+        ("s10", NodeState::Unresponsive, StateChangeCause::TimePassed),
+        ("s11", NodeState::Unresponsive, StateChangeCause::AttemptEnded(AttemptEnd::Cancelled)),
+        ("s12", NodeState::Unresponsive, StateChangeCause::AttemptEnded(AttemptEnd::NotSent)),
     ];
     for (node, state, why) in reasons {
         told.node(2100, node, state, why);
     }
     for (node, ..) in &reasons[..6] {
-        told.node(4100, node, NodeState::InService, Why::Attempt(Ended::Served));
+        told.node(4100, node, NodeState::InService, StateChangeCause::AttemptEnded(AttemptEnd::Served));
     }
     breaches(&mut told);
     classes(&mut told);
@@ -146,29 +148,29 @@
 /// A change of the list in versions that several see, so that their clocks are brought together.
 fn shared_lists(told: &mut Told, late: u64) {
     told.list(2000 + late, 7, "s0", NodeState::InService);
-    told.node(2000 + late, "s0", NodeState::InService, Why::List(7));
+    told.node(2000 + late, "s0", NodeState::InService, StateChangeCause::EndpointUpdate(7));
     told.list(2001 + late, 8, "s1", NodeState::InService);
     told.list(2002 + late, 9, "s0", NodeState::Draining);
-    told.node(2002 + late, "s0", NodeState::Draining, Why::List(9));
+    told.node(2002 + late, "s0", NodeState::Draining, StateChangeCause::EndpointUpdate(9));
 }
 
 fn breaches(told: &mut Told) {
-    use Ended::{Full, Reset, Served, TimedOut};
+    use AttemptEnd::{Rejected, Reset, Served, TimedOut};
     // Twice, and late; two attempts at once; sent after a drain; a keyed write elsewhere and too late.
     told.request(1, 0, 2000, &[], 2100);
     told.request(1, 0, 2000, &[], 3300);
-    told.request(2, 0, 2000, &[("s1", 2000, 2150, Full), ("s13", 2100, 2200, Served)], 2200);
+    told.request(2, 0, 2000, &[("s1", 2000, 2150, Rejected), ("s13", 2100, 2200, Served)], 2200);
     told.request(3, 0, 2400, &[("s0", 2400, 2450, Served)], 2450);
     told.request(4, 1, 2000, &[("s0", 2000, 2100, Reset), ("s1", 2200, 2300, Served)], 2300);
     told.request(5, 1, 2000, &[("s1", 2000, 2500, TimedOut), ("s1", 4600, 4700, Served)], 4700);
     let second = NodeSecond {
-        from: told.mono(3000),
-        span: 1000 * MS,
+        start: told.mono(3000),
+        duration: 1000 * MS,
         node: "s8".into(),
         sent: 1000,
-        cold_units: 2000,
-        ends: [900, 10, 20, 30, 15, 12, 8, 5],
-        most_out: 77,
+        slow_start_units: 2000,
+        attempt_ends: [900, 10, 20, 30, 15, 12, 8, 5],
+        max_in_flight: 77,
     };
     told.put(4700, Event::NodeSecond(second));
 }
@@ -181,19 +183,19 @@
     let mut serialized = Vec::new();
     V2Serializer::new().serialize(&times, &mut serialized).unwrap();
     let suffering = ClassSecond {
-        from: told.mono(5000),
-        span: 1000 * MS,
+        start: told.mono(5000),
+        duration: 1000 * MS,
         class: 0,
-        taken: 70,
-        in_aim: 12,
+        received: 70,
+        within_objective: 12,
         late: 3,
-        refused: [9, 4, 2, 1, 3],
+        shed: [9, 4, 2, 1, 3],
         failed: [5, 4, 3, 2],
-        gone: 6,
-        times: serialized,
+        client_disconnects: 6,
+        latency_histogram: serialized,
     };
-    told.put(6000, Event::Class(ClassSecond { class: 1, refused: [0; 5], ..suffering.clone() }));
-    told.put(6000, Event::Class(suffering));
+    told.put(6000, Event::ClassSecond(ClassSecond { class: 1, shed: [0; 5], ..suffering.clone() }));
+    told.put(6000, Event::ClassSecond(suffering));
     told.class(8000, 10, 0);
 }
 
@@ -205,14 +207,14 @@
     told.put(3500, Event::Lifecycle(Lifecycle::Resumed));
     told.put(4000, Event::Lifecycle(Lifecycle::Reloaded(false)));
     told.put(4100, Event::Lifecycle(Lifecycle::Reloaded(true)));
-    told.put(5000, Event::Lifecycle(Lifecycle::Stopped(6_000 * MS)));
-    told.put(6000, Event::Lifecycle(Lifecycle::WentOn));
-    told.put(7000, Event::Lifecycle(Lifecycle::Stopped(6_100 * MS)));
+    told.put(5000, Event::Lifecycle(Lifecycle::LeaseExpired(6_000 * MS)));
+    told.put(6000, Event::Lifecycle(Lifecycle::LeaseRenewed));
+    told.put(7000, Event::Lifecycle(Lifecycle::LeaseExpired(6_100 * MS)));
     told.put(8000, Event::Lifecycle(Lifecycle::Paused));
-    told.put(9000, Event::Lifecycle(Lifecycle::Ending));
+    told.put(9000, Event::Lifecycle(Lifecycle::ShuttingDown));
     for item in told.items.iter_mut().rev().take(3) {
-        if let Item::Record(record) = item {
-            record.at.wall -= 2_000_000;
+        if let SegmentItem::Record(record) = item {
+            record.time.wall_clock -= 2_000_000;
         }
     }
     told.end(9500)
@@ -228,7 +230,7 @@
 fn taking_over() -> Told {
     let mut told = Told::new("n2", 5900, -2000);
     told.put(6100, Event::Lifecycle(Lifecycle::TookOver));
-    told.node(6200, "s0", NodeState::Draining, Why::Handover);
+    told.node(6200, "s0", NodeState::Draining, StateChangeCause::Handover);
     told.class(7000, 10, 0);
     told.end(11_000)
 }
@@ -236,12 +238,15 @@
 /// Single requests are not recorded: a second after a drain breaks the rule as a whole.
 fn killed() -> Told {
     let mut told = Told::new("n3", 100, 0);
-    if let Some(Item::Record(Record { event: Event::Opened(opened), .. })) = told.items.first_mut() {
-        opened.requests = false;
+    if let Some(SegmentItem::Record(Record { event: Event::SegmentOpened(opened), .. })) =
+        told.items.first_mut()
+    {
+        opened.records_requests = false;
     }
     shared_lists(&mut told, 12);
     let (from, span) = (told.mono(3000), 1000 * MS);
-    let second = NodeSecond { from, span, node: "s0".into(), sent: 4, ..NodeSecond::default() };
+    let second =
+        NodeSecond { start: from, duration: span, node: "s0".into(), sent: 4, ..NodeSecond::default() };
     told.put(4000, Event::NodeSecond(second));
     told.class(4000, 10, 0);
     told
@@ -258,20 +263,20 @@
 fn damaged() -> Told {
     let mut told = Told::new("n4", 200, 0);
     told.class(1000, 10, 0);
-    for (at, cause) in [(2500, GapCause::Queue), (3000, GapCause::Disk)] {
+    for (at, cause) in [(2500, GapCause::QueueFull), (3000, GapCause::DiskFailed)] {
         told.seq += 5;
         let (from, to) = (told.stamp(at), told.stamp(at + 400));
-        let event = Event::Gap(Gap { events: 5, from, to, cause });
-        told.items.push(Item::Record(Record { seq: told.seq, at: to, event }));
+        let event = Event::Gap(Gap { events: 5, first: from, last: to, cause });
+        told.items.push(SegmentItem::Record(Record { sequence: told.seq, time: to, event }));
     }
     told.class(3500, 10, 0);
-    told.items.push(Item::Damaged { from: 0, to: 0 });
+    told.items.push(SegmentItem::Damaged { from: 0, to: 0 });
     told.seq += 2;
     told.class(4500, 10, 0);
-    told.items.push(Item::Unreadable { offset: 0 });
+    told.items.push(SegmentItem::Unreadable { offset: 0 });
     told.seq += 1;
     told.class(5500, 10, 0);
-    told.items.push(Item::Newer { offset: 0, schema: 0 });
+    told.items.push(SegmentItem::Newer { offset: 0, schema: 0 });
     told.seq += 3;
     told.class(6500, 10, 0);
     told.seq += 4;
--- a/crates/event-log/src/event.rs
+++ b/crates/event-log/src/event.rs
@@ -12,13 +12,13 @@
 
 /// When something happened, on the clocks of the scheduler that tells of it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Stamp {
+pub struct Timestamp {
     /// Unix time; may step.
     #[serde(rename = "wall")]
-    pub wall: Micros,
+    pub wall_clock: Micros,
     /// Time since the boot; never steps, and means nothing to others.
     #[serde(rename = "mono")]
-    pub mono: Micros,
+    pub monotonic: Micros,
 }
 
 /// An event with its number within the boot and its time.
@@ -26,10 +26,10 @@
 pub struct Record {
     /// Counts all events of the boot, also those that were lost: a jump is a loss.
     #[serde(rename = "seq")]
-    pub seq: u64,
+    pub sequence: u64,
     /// When.
     #[serde(rename = "at")]
-    pub at: Stamp,
+    pub time: Timestamp,
     /// What.
     pub event: Event,
 }
@@ -39,25 +39,25 @@
 pub enum Event {
     /// The first of each segment: who writes.
     #[serde(rename = "Opened")]
-    Opened(Opened),
+    SegmentOpened(SegmentOpened),
     /// The scheduler itself.
     #[serde(rename = "Lifecycle")]
     Lifecycle(Lifecycle),
     /// What the list said.
     #[serde(rename = "Listed")]
-    Listed(Listed),
+    EndpointUpdate(EndpointUpdate),
     /// A node is treated differently from now on.
     #[serde(rename = "Node")]
-    Node(NodeChange),
+    NodeStateChanged(NodeStateChange),
     /// A class's second.
     #[serde(rename = "Class")]
-    Class(ClassSecond),
+    ClassSecond(ClassSecond),
     /// A node's second.
     #[serde(rename = "NodeSecond")]
     NodeSecond(NodeSecond),
     /// A request with its attempts.
     #[serde(rename = "Request")]
-    Request(RequestDone),
+    RequestEnded(RequestRecord),
     /// Events were lost; the record's number is that of the last of them.
     #[serde(rename = "Gap")]
     Gap(Gap),
@@ -69,22 +69,23 @@
 /// A class of requests, as far as reports go.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "Class")]
-pub struct Class {
+pub struct ClassInfo {
     /// Its name.
     pub name: String,
     /// Answers within this time are in aim.
     #[serde(rename = "aim")]
-    pub aim: Micros,
+    pub latency_objective: Micros,
     /// How long its clients wait.
     pub deadline: Micros,
     /// For keyed writes: how long after the first send that may have run a repeat may be sent; else 0.
-    pub window: Micros,
+    #[serde(rename = "window")]
+    pub deduplication_window: Micros,
 }
 
 /// Who writes, and by which settings.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename = "Opened")]
-pub struct Opened {
+pub struct SegmentOpened {
     /// The scheduler's name.
     pub scheduler: String,
     /// This run of it: drawn at its start.
@@ -97,23 +98,24 @@
     /// The process.
     pub pid: u32,
     /// The classes, by place.
-    pub classes: Vec<Class>,
+    pub classes: Vec<ClassInfo>,
     /// The plans, by place.
     pub plans: Vec<String>,
     /// Units that a node which has just started bears within `fall_time`, from all schedulers together.
     #[serde(rename = "cold_units")]
-    pub cold_units: f64,
+    pub slow_start_units: f64,
     /// Share of its capacity at which a node starts.
     #[serde(rename = "cold_share")]
-    pub cold_share: f64,
+    pub slow_start_fraction: f64,
     /// A node is warm after this.
     #[serde(rename = "cold_time")]
-    pub cold_time: Micros,
+    pub slow_start_duration: Micros,
     /// Window of the rule on cold nodes.
     #[serde(rename = "fall_time")]
-    pub fall_time: Micros,
+    pub overload_window: Micros,
     /// Whether each request is recorded.
-    pub requests: bool,
+    #[serde(rename = "requests")]
+    pub records_requests: bool,
 }
 
 /// What the scheduler itself went through.
@@ -124,10 +126,10 @@
     Started,
     /// The end was asked for; everything is answered by then.
     #[serde(rename = "Ending")]
-    Ending,
+    ShuttingDown,
     /// Records end, by plan.
     #[serde(rename = "Ended")]
-    Ended,
+    Stopped,
     /// A configuration was read again and is gone by, or not.
     #[serde(rename = "Reloaded")]
     Reloaded(bool),
@@ -145,36 +147,36 @@
     Resumed,
     /// Nothing is sent by the list: discovery has been silent for so long.
     #[serde(rename = "Stopped")]
-    Stopped(Micros),
+    LeaseExpired(Micros),
     /// Discovery is heard, and the list gone by.
     #[serde(rename = "WentOn")]
-    WentOn,
+    LeaseRenewed,
 }
 
 /// What a list is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Kind {
+pub enum EndpointUpdateKind {
     /// Changes, as they come.
     #[serde(rename = "Changes")]
     Changes,
     /// The whole list.
     #[serde(rename = "Whole")]
-    Whole,
+    Snapshot,
     /// As it was saved; maybe old.
     #[serde(rename = "Saved")]
-    Saved,
+    Cached,
     /// The watch broke.
     #[serde(rename = "Failed")]
     Failed,
 }
 
-impl Kind {
+impl EndpointUpdateKind {
     /// Its name in exports and listings; it stays when the variant is renamed.
     pub fn name(self) -> &'static str {
         match self {
             Self::Changes => "Changes",
-            Self::Whole => "Whole",
-            Self::Saved => "Saved",
+            Self::Snapshot => "Whole",
+            Self::Cached => "Saved",
             Self::Failed => "Failed",
         }
     }
@@ -183,19 +185,19 @@
 /// News of the list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "Listed")]
-pub struct Listed {
+pub struct EndpointUpdate {
     /// Its version.
     pub revision: u64,
     /// What it holds.
-    pub kind: Kind,
+    pub kind: EndpointUpdateKind,
     /// The nodes named.
-    pub nodes: Vec<ListedNode>,
+    pub nodes: Vec<ListedEndpoint>,
 }
 
 /// One node of a list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "ListedNode")]
-pub struct ListedNode {
+pub struct ListedEndpoint {
     /// Its id.
     #[serde(rename = "node")]
     pub node: String,
@@ -206,7 +208,7 @@
     pub state: NodeState,
     /// When it last started by the list, Unix time.
     #[serde(rename = "started")]
-    pub started: Option<Micros>,
+    pub started_at: Option<Micros>,
 }
 
 /// How a scheduler treats a node; of several that apply, the last here counts.
@@ -217,10 +219,10 @@
     InService,
     /// Cold or maybe cold since then, Unix time on the list's clock or the scheduler's.
     #[serde(rename = "Cold")]
-    Cold(Micros),
+    SlowStart(Micros),
     /// Down or silent: gets only a try now and then.
     #[serde(rename = "Silent")]
-    Silent,
+    Unresponsive,
     /// Taken out by hand.
     #[serde(rename = "Suspended")]
     Suspended,
@@ -229,33 +231,33 @@
     Draining,
     /// No longer listed.
     #[serde(rename = "Gone")]
-    Gone,
+    Removed,
 }
 
 /// Why that changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Why {
+pub enum StateChangeCause {
     /// The list, in this version.
     #[serde(rename = "List")]
-    List(u64),
+    EndpointUpdate(u64),
     /// An order of staff.
     #[serde(rename = "Order")]
-    Order,
+    OperatorCommand,
     /// The state of the process before.
     #[serde(rename = "Handover")]
     Handover,
     /// An attempt ended so.
     #[serde(rename = "Attempt")]
-    Attempt(Ended),
+    AttemptEnded(AttemptEnd),
     /// Time passed.
     #[serde(rename = "Time")]
-    Time,
+    TimePassed,
 }
 
 /// A node is treated so from now on.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "NodeChange")]
-pub struct NodeChange {
+pub struct NodeStateChange {
     /// Its id.
     #[serde(rename = "node")]
     pub node: String,
@@ -264,12 +266,12 @@
     pub state: NodeState,
     /// Why.
     #[serde(rename = "why")]
-    pub why: Why,
+    pub cause: StateChangeCause,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Ended {
+pub enum AttemptEnd {
     /// Served.
     #[serde(rename = "Served")]
     Served,
@@ -278,7 +280,7 @@
     Error,
     /// Turned away unseen.
     #[serde(rename = "Full")]
-    Full,
+    Rejected,
     /// No answer in time.
     #[serde(rename = "TimedOut")]
     TimedOut,
@@ -296,13 +298,13 @@
     NotSent,
 }
 
-impl Ended {
+impl AttemptEnd {
     /// Its name in exports and reports; it stays when the variant is renamed.
     pub fn name(self) -> &'static str {
         match self {
             Self::Served => "Served",
             Self::Error => "Error",
-            Self::Full => "Full",
+            Self::Rejected => "Full",
             Self::TimedOut => "TimedOut",
             Self::NotConnected => "NotConnected",
             Self::Reset => "Reset",
@@ -313,111 +315,111 @@
 }
 
 /// All ends, in the order of the counts in [`NodeSecond::ends`].
-pub const ENDS: [(Ended, &str); 8] = [
-    (Ended::Served, "served"),
-    (Ended::Error, "error"),
-    (Ended::Full, "full"),
-    (Ended::TimedOut, "timed out"),
-    (Ended::NotConnected, "not connected"),
-    (Ended::Reset, "reset"),
-    (Ended::Cancelled, "cancelled"),
-    (Ended::NotSent, "moot"),
+pub const ATTEMPT_END_NAMES: [(AttemptEnd, &str); 8] = [
+    (AttemptEnd::Served, "served"),
+    (AttemptEnd::Error, "error"),
+    (AttemptEnd::Rejected, "full"),
+    (AttemptEnd::TimedOut, "timed out"),
+    (AttemptEnd::NotConnected, "not connected"),
+    (AttemptEnd::Reset, "reset"),
+    (AttemptEnd::Cancelled, "cancelled"),
+    (AttemptEnd::NotSent, "moot"),
 ];
 
 /// Why a request was refused, as far as its attempts tell.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Refusal {
+pub enum ShedReason {
     /// At once, with nothing sent.
     #[serde(rename = "NotAdmitted")]
     NotAdmitted,
     /// After it was held, with nothing sent.
     #[serde(rename = "GivenUp")]
-    GivenUp,
+    ShedFromQueue,
     /// Its last attempt was turned away by a full node.
     #[serde(rename = "TurnedAway")]
-    TurnedAway,
+    RejectedByNode,
     /// Its last attempt found no connection.
     #[serde(rename = "NotConnected")]
     NotConnected,
     /// Its last attempt ended in any other way.
     #[serde(rename = "Lost")]
-    Lost,
+    AttemptLost,
 }
 
-impl Refusal {
+impl ShedReason {
     /// Its name in exports and listings; it stays when the variant is renamed.
     pub fn name(self) -> &'static str {
         match self {
             Self::NotAdmitted => "NotAdmitted",
-            Self::GivenUp => "GivenUp",
-            Self::TurnedAway => "TurnedAway",
+            Self::ShedFromQueue => "GivenUp",
+            Self::RejectedByNode => "TurnedAway",
             Self::NotConnected => "NotConnected",
-            Self::Lost => "Lost",
+            Self::AttemptLost => "Lost",
         }
     }
 }
 
 /// All reasons, in the order of the counts in [`ClassSecond::refused`].
-pub const REFUSALS: [(Refusal, &str); 5] = [
-    (Refusal::NotAdmitted, "not admitted"),
-    (Refusal::GivenUp, "given up while held"),
-    (Refusal::TurnedAway, "node full"),
-    (Refusal::NotConnected, "node not reached"),
-    (Refusal::Lost, "attempt lost"),
+pub const SHED_REASON_NAMES: [(ShedReason, &str); 5] = [
+    (ShedReason::NotAdmitted, "not admitted"),
+    (ShedReason::ShedFromQueue, "given up while held"),
+    (ShedReason::RejectedByNode, "node full"),
+    (ShedReason::NotConnected, "node not reached"),
+    (ShedReason::AttemptLost, "attempt lost"),
 ];
 
 /// Why a request failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Failure {
+pub enum FailureReason {
     /// Its time had passed, and nothing of it can have run.
     #[serde(rename = "Late")]
-    Late,
+    DeadlinePassed,
     /// Its time had passed, and it may have run.
     #[serde(rename = "LateMayHaveRun")]
-    LateMayHaveRun,
+    DeadlinePassedPossiblyExecuted,
     /// It may have run.
     #[serde(rename = "MayHaveRun")]
-    MayHaveRun,
+    PossiblyExecuted,
     /// Anything else.
     #[serde(rename = "Other")]
     Other,
 }
 
-impl Failure {
+impl FailureReason {
     /// Its name in exports and listings; it stays when the variant is renamed.
     pub fn name(self) -> &'static str {
         match self {
-            Self::Late => "Late",
-            Self::LateMayHaveRun => "LateMayHaveRun",
-            Self::MayHaveRun => "MayHaveRun",
+            Self::DeadlinePassed => "Late",
+            Self::DeadlinePassedPossiblyExecuted => "LateMayHaveRun",
+            Self::PossiblyExecuted => "MayHaveRun",
             Self::Other => "Other",
         }
     }
 }
 
 /// All of these, in the order of the counts in [`ClassSecond::failed`].
-pub const FAILURES: [(Failure, &str); 4] = [
-    (Failure::Late, "time passed"),
-    (Failure::LateMayHaveRun, "time passed, may have run"),
-    (Failure::MayHaveRun, "may have run"),
-    (Failure::Other, "other"),
+pub const FAILURE_REASON_NAMES: [(FailureReason, &str); 4] = [
+    (FailureReason::DeadlinePassed, "time passed"),
+    (FailureReason::DeadlinePassedPossiblyExecuted, "time passed, may have run"),
+    (FailureReason::PossiblyExecuted, "may have run"),
+    (FailureReason::Other, "other"),
 ];
 
 /// A request's end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Outcome {
+pub enum RequestOutcome {
     /// Served.
     #[serde(rename = "Served")]
     Served,
     /// Refused.
     #[serde(rename = "Refused")]
-    Refused(Refusal),
+    Shed(ShedReason),
     /// Failed.
     #[serde(rename = "Failed")]
-    Failed(Failure),
+    Failed(FailureReason),
     /// Its client left first.
     #[serde(rename = "Gone")]
-    Gone,
+    ClientDisconnected,
 }
 
 /// What became of a class's requests in a second.
@@ -426,30 +428,31 @@
 pub struct ClassSecond {
     /// When the second began, since the boot.
     #[serde(rename = "from")]
-    pub from: Micros,
+    pub start: Micros,
     /// How long it was.
     #[serde(rename = "span")]
-    pub span: Micros,
+    pub duration: Micros,
     /// The class's place.
     pub class: u16,
     /// Requests taken.
     #[serde(rename = "taken")]
-    pub taken: u32,
+    pub received: u32,
     /// Served within the aim.
     #[serde(rename = "in_aim")]
-    pub in_aim: u32,
+    pub within_objective: u32,
     /// Served after it.
     pub late: u32,
     /// Refused, by [`REFUSALS`].
     #[serde(rename = "refused")]
-    pub refused: [u32; 5],
+    pub shed: [u32; 5],
     /// Failed, by [`FAILURES`].
     pub failed: [u32; 4],
     /// Whose client left.
     #[serde(rename = "gone")]
-    pub gone: u32,
+    pub client_disconnects: u32,
     /// Times of served requests in microseconds: an HDR histogram, V2.
-    pub times: Vec<u8>,
+    #[serde(rename = "times")]
+    pub latency_histogram: Vec<u8>,
 }
 
 /// What became of attempts at a node in a second.
@@ -458,10 +461,10 @@
 pub struct NodeSecond {
     /// When the second began, since the boot.
     #[serde(rename = "from")]
-    pub from: Micros,
+    pub start: Micros,
     /// How long it was.
     #[serde(rename = "span")]
-    pub span: Micros,
+    pub duration: Micros,
     /// The node's id.
     #[serde(rename = "node")]
     pub node: String,
@@ -470,33 +473,34 @@
     pub sent: u32,
     /// Units of those that went there while it was cold.
     #[serde(rename = "cold_units")]
-    pub cold_units: u32,
+    pub slow_start_units: u32,
     /// Ends, by [`ENDS`].
-    pub ends: [u32; 8],
+    #[serde(rename = "ends")]
+    pub attempt_ends: [u32; 8],
     /// Most attempts out there at once.
     #[serde(rename = "most_out")]
-    pub most_out: u32,
+    pub max_in_flight: u32,
 }
 
 /// One attempt of a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "Attempted")]
-pub struct Attempted {
+pub struct AttemptRecord {
     /// The node.
     #[serde(rename = "node")]
     pub node: String,
     /// When it was sent, since the boot.
     #[serde(rename = "sent")]
-    pub sent: Micros,
+    pub sent_at: Micros,
     /// When it ended; none if the request's end came first.
     #[serde(rename = "ended")]
-    pub ended: Option<(Micros, Ended)>,
+    pub end: Option<(Micros, AttemptEnd)>,
 }
 
 /// A request, from its arrival to its end.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "RequestDone")]
-pub struct RequestDone {
+pub struct RequestRecord {
     /// Its number in the boot.
     pub request: u64,
     /// The class's place.
@@ -509,14 +513,14 @@
     pub units: u32,
     /// When it came, since the boot.
     #[serde(rename = "arrived")]
-    pub arrived: Micros,
+    pub arrived_at: Micros,
     /// When it was answered or its client left.
     #[serde(rename = "answered")]
-    pub answered: Micros,
+    pub ended_at: Micros,
     /// How.
-    pub outcome: Outcome,
+    pub outcome: RequestOutcome,
     /// Its attempts, in order.
-    pub attempts: Vec<Attempted>,
+    pub attempts: Vec<AttemptRecord>,
 }
 
 /// Why events were lost.
@@ -524,18 +528,18 @@
 pub enum GapCause {
     /// The writer did not keep up.
     #[serde(rename = "Queue")]
-    Queue,
+    QueueFull,
     /// The disk was full, read-only or broken.
     #[serde(rename = "Disk")]
-    Disk,
+    DiskFailed,
 }
 
 impl GapCause {
     /// Its name in exports and listings; it stays when the variant is renamed.
     pub fn name(self) -> &'static str {
         match self {
-            Self::Queue => "Queue",
-            Self::Disk => "Disk",
+            Self::QueueFull => "Queue",
+            Self::DiskFailed => "Disk",
         }
     }
 }
@@ -548,16 +552,17 @@
     pub events: u64,
     /// The first one's time.
     #[serde(rename = "from")]
-    pub from: Stamp,
+    pub first: Timestamp,
     /// The last one's.
-    pub to: Stamp,
+    #[serde(rename = "to")]
+    pub last: Timestamp,
     /// Why.
     pub cause: GapCause,
 }
 
 impl Record {
     /// For how many events it stands.
-    pub fn weight(&self) -> u64 {
+    pub fn event_count(&self) -> u64 {
         match &self.event {
             Event::Gap(gap) => gap.events,
             _ => 1,
@@ -567,15 +572,15 @@
 
 /// A payload that no event can be read from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Unreadable;
+pub struct MalformedEvent;
 
-impl std::fmt::Display for Unreadable {
+impl std::fmt::Display for MalformedEvent {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("no event can be read from it")
     }
 }
 
-impl std::error::Error for Unreadable {}
+impl std::error::Error for MalformedEvent {}
 
 /// Kinds, by number.
 mod kind {
@@ -592,38 +597,38 @@
 #[derive(Serialize, Deserialize)]
 struct Head {
     seq: u64,
-    at: Stamp,
+    at: Timestamp,
     kind: u16,
 }
 
-fn body<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> Result<T, Unreadable> {
+fn body<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> Result<T, MalformedEvent> {
     // A newer program's extension behind it is passed over.
-    postcard::take_from_bytes(bytes).map(|(value, _)| value).map_err(|_| Unreadable)
+    postcard::take_from_bytes(bytes).map(|(value, _)| value).map_err(|_| MalformedEvent)
 }
 
 impl Record {
     /// Appends its form.
     pub fn encode(&self, out: &mut Vec<u8>) {
         let kind = match &self.event {
-            Event::Opened(_) => kind::OPENED,
+            Event::SegmentOpened(_) => kind::OPENED,
             Event::Lifecycle(_) => kind::LIFECYCLE,
-            Event::Listed(_) => kind::LISTED,
-            Event::Node(_) => kind::NODE,
-            Event::Class(_) => kind::CLASS,
+            Event::EndpointUpdate(_) => kind::LISTED,
+            Event::NodeStateChanged(_) => kind::NODE,
+            Event::ClassSecond(_) => kind::CLASS,
             Event::NodeSecond(_) => kind::NODE_SECOND,
-            Event::Request(_) => kind::REQUEST,
+            Event::RequestEnded(_) => kind::REQUEST,
             Event::Gap(_) => kind::GAP,
             Event::Unknown(kind) => *kind,
         };
-        put(out, &Head { seq: self.seq, at: self.at, kind });
+        put(out, &Head { seq: self.sequence, at: self.time, kind });
         match &self.event {
-            Event::Opened(event) => put(out, event),
+            Event::SegmentOpened(event) => put(out, event),
             Event::Lifecycle(event) => put(out, event),
-            Event::Listed(event) => put(out, event),
-            Event::Node(event) => put(out, event),
-            Event::Class(event) => put(out, event),
+            Event::EndpointUpdate(event) => put(out, event),
+            Event::NodeStateChanged(event) => put(out, event),
+            Event::ClassSecond(event) => put(out, event),
             Event::NodeSecond(event) => put(out, event),
-            Event::Request(event) => put(out, event),
+            Event::RequestEnded(event) => put(out, event),
             Event::Gap(event) => put(out, event),
             Event::Unknown(_) => {}
         }
@@ -633,20 +638,20 @@
     ///
     /// # Errors
     /// [`Unreadable`] where the bytes hold no such event.
-    pub fn decode(bytes: &[u8]) -> Result<Self, Unreadable> {
-        let (Head { seq, at, kind }, rest) = postcard::take_from_bytes(bytes).map_err(|_| Unreadable)?;
+    pub fn decode(bytes: &[u8]) -> Result<Self, MalformedEvent> {
+        let (Head { seq, at, kind }, rest) = postcard::take_from_bytes(bytes).map_err(|_| MalformedEvent)?;
         let event = match kind {
-            kind::OPENED => Event::Opened(body(rest)?),
+            kind::OPENED => Event::SegmentOpened(body(rest)?),
             kind::LIFECYCLE => Event::Lifecycle(body(rest)?),
-            kind::LISTED => Event::Listed(body(rest)?),
-            kind::NODE => Event::Node(body(rest)?),
-            kind::CLASS => Event::Class(body(rest)?),
+            kind::LISTED => Event::EndpointUpdate(body(rest)?),
+            kind::NODE => Event::NodeStateChanged(body(rest)?),
+            kind::CLASS => Event::ClassSecond(body(rest)?),
             kind::NODE_SECOND => Event::NodeSecond(body(rest)?),
-            kind::REQUEST => Event::Request(body(rest)?),
+            kind::REQUEST => Event::RequestEnded(body(rest)?),
             kind::GAP => Event::Gap(body(rest)?),
             other => Event::Unknown(other),
         };
-        Ok(Self { seq, at, event })
+        Ok(Self { sequence: seq, time: at, event })
     }
 }
 
--- a/crates/event-log/src/frame.rs
+++ b/crates/event-log/src/frame.rs
@@ -5,16 +5,16 @@
 //! one in a payload, or a block of another segment) are none.
 
 /// No payload is longer, bytes.
-pub const LONGEST: usize = 64 * 1024;
+pub const MAX_PAYLOAD_BYTES: usize = 64 * 1024;
 /// The form of payloads that this program writes, and the last that it reads.
 pub const SCHEMA: u8 = 1;
 
 const MAGIC: [u8; 2] = [0xb5, 0x48];
-const HEAD: usize = 12;
+const HEADER_BYTES: usize = 12;
 
 /// Which segment it is: its boot and its number there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Identity {
+pub struct SegmentId {
     /// The run of the scheduler.
     pub boot: u64,
     /// The segment's number.
@@ -23,9 +23,9 @@
 
 /// The longest payload was exceeded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct TooLong;
+pub struct PayloadTooLong;
 
-fn checksum(identity: Identity, offset: u64, schema: u8, payload: &[u8]) -> u32 {
+fn checksum(identity: SegmentId, offset: u64, schema: u8, payload: &[u8]) -> u32 {
     let mut prefix = [0; 25];
     prefix[..8].copy_from_slice(&identity.boot.to_le_bytes());
     prefix[8..12].copy_from_slice(&identity.number.to_le_bytes());
@@ -39,7 +39,12 @@
 ///
 /// # Errors
 /// [`TooLong`] over [`LONGEST`]; nothing is appended then.
-pub fn encode(out: &mut Vec<u8>, identity: Identity, offset: u64, payload: &[u8]) -> Result<(), TooLong> {
+pub fn encode(
+    out: &mut Vec<u8>,
+    identity: SegmentId,
+    offset: u64,
+    payload: &[u8],
+) -> Result<(), PayloadTooLong> {
     encode_as(out, identity, offset, SCHEMA, payload)
 }
 
@@ -49,13 +54,13 @@
 /// As [`encode`].
 pub fn encode_as(
     out: &mut Vec<u8>,
-    identity: Identity,
+    identity: SegmentId,
     offset: u64,
     schema: u8,
     payload: &[u8],
-) -> Result<(), TooLong> {
-    if payload.len() > LONGEST {
-        return Err(TooLong);
+) -> Result<(), PayloadTooLong> {
+    if payload.len() > MAX_PAYLOAD_BYTES {
+        return Err(PayloadTooLong);
     }
     out.extend_from_slice(&MAGIC);
     out.extend_from_slice(&[schema, 0]);
@@ -67,7 +72,7 @@
 
 /// What a segment holds from one place to another.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Found {
+pub enum ScannedItem {
     /// A whole frame.
     Frame {
         /// Where it begins.
@@ -89,94 +94,94 @@
 /// Finds frames in the bytes of a segment, fed in pieces of any size; holds little more than one frame.
 #[derive(Debug)]
 pub struct Scanner {
-    identity: Identity,
+    identity: SegmentId,
     /// Bytes that are not yet told of, of which the first is at `offset`.
-    bytes: Vec<u8>,
+    buffer: Vec<u8>,
     /// How many of them are done with.
-    at: usize,
+    position: usize,
     offset: u64,
     /// Since where there has been no frame.
-    damaged: Option<u64>,
+    damaged_from: Option<u64>,
     /// No more will come.
-    over: bool,
+    ended: bool,
 }
 
 impl Scanner {
     /// For a segment's bytes from `offset` on.
-    pub fn new(identity: Identity, offset: u64) -> Self {
-        Self { identity, bytes: Vec::new(), at: 0, offset, damaged: None, over: false }
+    pub fn new(identity: SegmentId, offset: u64) -> Self {
+        Self { identity, buffer: Vec::new(), position: 0, offset, damaged_from: None, ended: false }
     }
 
     /// More bytes.
     pub fn feed(&mut self, bytes: &[u8]) {
-        self.bytes.drain(..self.at);
-        self.offset += self.at as u64;
-        self.at = 0;
-        self.bytes.extend_from_slice(bytes);
+        self.buffer.drain(..self.position);
+        self.offset += self.position as u64;
+        self.position = 0;
+        self.buffer.extend_from_slice(bytes);
     }
 
     /// There are no more bytes.
-    pub fn end(&mut self) {
-        self.over = true;
+    pub fn finish(&mut self) {
+        self.ended = true;
     }
 
     /// The next find; `None` before more is fed, or at the end.
-    pub fn next_found(&mut self) -> Option<Found> {
+    pub fn next_item(&mut self) -> Option<ScannedItem> {
         loop {
-            let place = self.offset + self.at as u64;
-            match self.look(place) {
-                Look::Frame { schema, length } => {
+            let place = self.offset + self.position as u64;
+            match self.parse_frame_at(place) {
+                FrameAt::Frame { schema, length } => {
                     // What lies before it is told of first.
-                    if let Some(from) = self.damaged.take() {
-                        return Some(Found::Damaged { from, to: place });
+                    if let Some(from) = self.damaged_from.take() {
+                        return Some(ScannedItem::Damaged { from, to: place });
                     }
-                    let begin = self.at + HEAD;
-                    let payload = self.bytes[begin..begin + length].to_vec();
-                    self.at = begin + length;
-                    return Some(Found::Frame { offset: place, schema, payload });
+                    let begin = self.position + HEADER_BYTES;
+                    let payload = self.buffer[begin..begin + length].to_vec();
+                    self.position = begin + length;
+                    return Some(ScannedItem::Frame { offset: place, schema, payload });
                 }
-                Look::Short => return None,
-                Look::End => {
-                    let from = self.damaged.take()?;
-                    return Some(Found::Damaged { from, to: place });
+                FrameAt::Incomplete => return None,
+                FrameAt::End => {
+                    let from = self.damaged_from.take()?;
+                    return Some(ScannedItem::Damaged { from, to: place });
                 }
-                Look::None => {
-                    self.damaged.get_or_insert(place);
-                    let rest = &self.bytes[self.at + 1..];
+                FrameAt::NotAFrame => {
+                    self.damaged_from.get_or_insert(place);
+                    let rest = &self.buffer[self.position + 1..];
                     let skip = rest.iter().position(|byte| *byte == MAGIC[0]).unwrap_or(rest.len());
-                    self.at += 1 + skip;
+                    self.position += 1 + skip;
                 }
             }
         }
     }
 
-    fn look(&self, place: u64) -> Look {
-        let bytes = &self.bytes[self.at..];
-        let short = if self.over { Look::None } else { Look::Short };
+    fn parse_frame_at(&self, place: u64) -> FrameAt {
+        let bytes = &self.buffer[self.position..];
+        let short = if self.ended { FrameAt::NotAFrame } else { FrameAt::Incomplete };
         if bytes.is_empty() {
-            return if self.over { Look::End } else { Look::Short };
+            return if self.ended { FrameAt::End } else { FrameAt::Incomplete };
         }
         if !MAGIC.starts_with(&bytes[..bytes.len().min(2)]) {
-            return Look::None;
+            return FrameAt::NotAFrame;
         }
-        let Some(head) = bytes.first_chunk::<HEAD>() else { return short };
+        let Some(head) = bytes.first_chunk::<HEADER_BYTES>() else { return short };
         let number = |at: usize| u32::from_le_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
         let (schema, length, sum) = (head[2], number(4) as usize, number(8));
-        if head[3] != 0 || length > LONGEST {
-            return Look::None;
+        if head[3] != 0 || length > MAX_PAYLOAD_BYTES {
+            return FrameAt::NotAFrame;
         }
-        let Some(payload) = bytes.get(HEAD..HEAD + length) else { return short };
+        let Some(payload) = bytes.get(HEADER_BYTES..HEADER_BYTES + length) else { return short };
         if checksum(self.identity, place, schema, payload) == sum {
-            Look::Frame { schema, length }
+            FrameAt::Frame { schema, length }
         } else {
-            Look::None
+            FrameAt::NotAFrame
         }
     }
 }
 
-enum Look {
+enum FrameAt {
     Frame { schema: u8, length: usize },
-    None,
-    Short,
+    NotAFrame,
+    Incomplete,
     End,
 }
--- a/crates/event-log/src/lib.rs
+++ b/crates/event-log/src/lib.rs
@@ -17,9 +17,10 @@
 
 pub use disk::{Disk, Folder};
 pub use event::{
-    Attempted, Class, ClassSecond, Ended, Event, Failure, Gap, GapCause, Kind, Lifecycle, Listed, ListedNode,
-    Micros, NodeChange, NodeSecond, NodeState, Opened, Outcome, Record, Refusal, RequestDone, Stamp,
-    Unreadable, Why, ENDS, FAILURES, REFUSALS,
+    AttemptEnd, AttemptRecord, ClassInfo, ClassSecond, EndpointUpdate, EndpointUpdateKind, Event,
+    FailureReason, Gap, GapCause, Lifecycle, ListedEndpoint, MalformedEvent, Micros, NodeSecond, NodeState,
+    NodeStateChange, Record, RequestOutcome, RequestRecord, SegmentOpened, ShedReason, StateChangeCause,
+    Timestamp, ATTEMPT_END_NAMES, FAILURE_REASON_NAMES, SHED_REASON_NAMES,
 };
-pub use send::{channel, Sender, Waiting};
-pub use write::{Health, Limits, Writer};
+pub use send::{event_channel, EventReceiver, EventSender};
+pub use write::{StorageLimits, Writer, WriterStatistics};
--- a/crates/event-log/src/read.rs
+++ b/crates/event-log/src/read.rs
@@ -6,11 +6,11 @@
 use std::path::{Path, PathBuf};
 
 use crate::event::Record;
-use crate::frame::{Found, Identity, Scanner, SCHEMA};
-use crate::segment::{self, SegmentName, ENDING, HEAD};
+use crate::frame::{ScannedItem, Scanner, SegmentId, SCHEMA};
+use crate::segment::{self, SegmentName, FILE_SUFFIX, HEADER_BYTES};
 
 /// Bytes that are read at once.
-const PIECE: usize = 128 * 1024;
+const READ_BYTES: usize = 128 * 1024;
 
 /// A segment that was found.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -20,7 +20,7 @@
     /// Where it is.
     pub path: PathBuf,
     /// Its size when it was found, bytes.
-    pub size: u64,
+    pub bytes: u64,
 }
 
 /// The segments at the paths, in order of scheduler, boot and number: of a folder those that lie in it, of a
@@ -28,7 +28,7 @@
 ///
 /// # Errors
 /// The path that can't be read, or a file that is no segment.
-pub fn segments(paths: &[PathBuf]) -> io::Result<Vec<SegmentFile>> {
+pub fn find_segments(paths: &[PathBuf]) -> io::Result<Vec<SegmentFile>> {
     let mut found = Vec::new();
     for path in paths {
         let at = |error: io::Error| io::Error::new(error.kind(), format!("{}: {error}", path.display()));
@@ -38,8 +38,9 @@
                 found.extend(segment(&entry.path()));
             }
         } else {
-            let why =
-                || io::Error::new(io::ErrorKind::InvalidInput, format!("its name is none of a *{ENDING}"));
+            let why = || {
+                io::Error::new(io::ErrorKind::InvalidInput, format!("its name is none of a *{FILE_SUFFIX}"))
+            };
             std::fs::metadata(path).map_err(at)?;
             found.push(segment(path).ok_or_else(|| at(why()))?);
         }
@@ -53,12 +54,12 @@
     let name = path.file_name()?.to_str()?.parse().ok()?;
     // One that was deleted meanwhile is none.
     let size = std::fs::metadata(path).ok().filter(std::fs::Metadata::is_file)?.len();
-    Some(SegmentFile { name, path: path.to_owned(), size })
+    Some(SegmentFile { name, path: path.to_owned(), bytes: size })
 }
 
 /// What a segment holds, in order.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Item {
+pub enum SegmentItem {
     /// An event as it was written.
     Record(Record),
     /// Bytes that hold none: damage, or a frame that was never finished.
@@ -88,10 +89,10 @@
     file: File,
     scanner: Scanner,
     /// Known once the head is there.
-    head: Vec<u8>,
-    named: Identity,
-    ready: VecDeque<Item>,
-    over: bool,
+    header: Vec<u8>,
+    id_from_name: SegmentId,
+    ready: VecDeque<SegmentItem>,
+    ended: bool,
 }
 
 impl SegmentReader {
@@ -100,10 +101,17 @@
     /// # Errors
     /// The system's.
     pub fn open(segment: &SegmentFile) -> io::Result<Self> {
-        let named = segment.name.identity();
-        let scanner = Scanner::new(named, HEAD as u64);
-        let (head, ready) = (Vec::with_capacity(HEAD), VecDeque::new());
-        Ok(Self { file: File::open(&segment.path)?, scanner, head, named, ready, over: false })
+        let named = segment.name.id();
+        let scanner = Scanner::new(named, HEADER_BYTES as u64);
+        let (head, ready) = (Vec::with_capacity(HEADER_BYTES), VecDeque::new());
+        Ok(Self {
+            file: File::open(&segment.path)?,
+            scanner,
+            header: head,
+            id_from_name: named,
+            ready,
+            ended: false,
+        })
     }
 
     /// The next item that is there by now; `None` at the end of what was written so far. A frame that is not
@@ -111,15 +119,15 @@
     ///
     /// # Errors
     /// The system's.
-    pub fn next_so_far(&mut self) -> io::Result<Option<Item>> {
+    pub fn next_available(&mut self) -> io::Result<Option<SegmentItem>> {
         loop {
             if let Some(item) = self.ready.pop_front() {
                 return Ok(Some(item));
             }
-            if let Some(found) = self.scanner.next_found() {
+            if let Some(found) = self.scanner.next_item() {
                 return Ok(Some(item(found)));
             }
-            let mut piece = vec![0; PIECE];
+            let mut piece = vec![0; READ_BYTES];
             let size = match self.file.read(&mut piece) {
                 Ok(size) => size,
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => continue,
@@ -128,22 +136,22 @@
             if size == 0 {
                 return Ok(None);
             }
-            self.take(&piece[..size]);
+            self.scan(&piece[..size]);
         }
     }
 
-    fn take(&mut self, mut bytes: &[u8]) {
-        if self.head.len() < HEAD {
-            let (more, rest) = bytes.split_at(bytes.len().min(HEAD - self.head.len()));
-            self.head.extend_from_slice(more);
+    fn scan(&mut self, mut bytes: &[u8]) {
+        if self.header.len() < HEADER_BYTES {
+            let (more, rest) = bytes.split_at(bytes.len().min(HEADER_BYTES - self.header.len()));
+            self.header.extend_from_slice(more);
             bytes = rest;
-            if let Some(head) = self.head.first_chunk::<HEAD>() {
-                let told = segment::identity(head);
+            if let Some(head) = self.header.first_chunk::<HEADER_BYTES>() {
+                let told = segment::decode_header(head);
                 if told.is_none() {
-                    self.ready.push_back(Item::Damaged { from: 0, to: HEAD as u64 });
+                    self.ready.push_back(SegmentItem::Damaged { from: 0, to: HEADER_BYTES as u64 });
                 }
                 // Where the head is damaged the name tells, which has to be that of the segment then.
-                self.scanner = Scanner::new(told.unwrap_or(self.named), HEAD as u64);
+                self.scanner = Scanner::new(told.unwrap_or(self.id_from_name), HEADER_BYTES as u64);
             }
         }
         self.scanner.feed(bytes);
@@ -153,29 +161,29 @@
     ///
     /// # Errors
     /// The system's.
-    pub fn next_item(&mut self) -> io::Result<Option<Item>> {
-        if !self.over {
-            if let Some(item) = self.next_so_far()? {
+    pub fn next_item(&mut self) -> io::Result<Option<SegmentItem>> {
+        if !self.ended {
+            if let Some(item) = self.next_available()? {
                 return Ok(Some(item));
             }
-            self.over = true;
-            self.scanner.end();
-            if self.head.len() < HEAD {
-                let to = self.head.len() as u64;
-                return Ok((to > 0).then_some(Item::Damaged { from: 0, to }));
+            self.ended = true;
+            self.scanner.finish();
+            if self.header.len() < HEADER_BYTES {
+                let to = self.header.len() as u64;
+                return Ok((to > 0).then_some(SegmentItem::Damaged { from: 0, to }));
             }
         }
-        Ok(self.scanner.next_found().map(item))
+        Ok(self.scanner.next_item().map(item))
     }
 }
 
-fn item(found: Found) -> Item {
+fn item(found: ScannedItem) -> SegmentItem {
     match found {
-        Found::Damaged { from, to } => Item::Damaged { from, to },
-        Found::Frame { offset, schema, .. } if schema > SCHEMA => Item::Newer { offset, schema },
-        Found::Frame { offset, payload, .. } => match Record::decode(&payload) {
-            Ok(record) => Item::Record(record),
-            Err(_) => Item::Unreadable { offset },
+        ScannedItem::Damaged { from, to } => SegmentItem::Damaged { from, to },
+        ScannedItem::Frame { offset, schema, .. } if schema > SCHEMA => SegmentItem::Newer { offset, schema },
+        ScannedItem::Frame { offset, payload, .. } => match Record::decode(&payload) {
+            Ok(record) => SegmentItem::Record(record),
+            Err(_) => SegmentItem::Unreadable { offset },
         },
     }
 }
--- a/crates/event-log/src/send.rs
+++ b/crates/event-log/src/send.rs
@@ -2,18 +2,18 @@
 
 use std::sync::mpsc::{sync_channel, Receiver, SyncSender, TrySendError};
 
-use crate::event::{Event, Gap, GapCause, Record, Stamp};
+use crate::event::{Event, Gap, GapCause, Record, Timestamp};
 
 /// What the writer takes from.
-pub type Waiting = Receiver<Record>;
+pub type EventReceiver = Receiver<Record>;
 
 /// Numbers events and hands them to the writer. Where that does not keep up, events are dropped, counted, and
 /// told of as a gap before the next that passes.
 #[derive(Debug)]
-pub struct Sender {
+pub struct EventSender {
     queue: SyncSender<Record>,
     /// The last event's number.
-    seq: u64,
+    last_sequence: u64,
     /// What was dropped since the last that passed.
     gap: Option<Gap>,
     /// All that was dropped.
@@ -21,32 +21,33 @@
 }
 
 /// A way to a writer on which so many events wait at most.
-pub fn channel(waiting: usize) -> (Sender, Waiting) {
+pub fn event_channel(waiting: usize) -> (EventSender, EventReceiver) {
     let (queue, records) = sync_channel(waiting);
-    (Sender { queue, seq: 0, gap: None, dropped: 0 }, records)
+    (EventSender { queue, last_sequence: 0, gap: None, dropped: 0 }, records)
 }
 
-impl Sender {
+impl EventSender {
     /// Passes an event on, or drops it; never waits.
-    pub fn put(&mut self, at: Stamp, event: Event) {
+    pub fn send(&mut self, at: Timestamp, event: Event) {
         if let Some(gap) = self.gap {
             // The gap has the number of the last event that it stands for.
-            if !self.pass(Record { seq: self.seq, at: gap.to, event: Event::Gap(gap) }) {
-                self.seq += 1;
-                return self.drop_one(at);
+            if !self.try_send(Record { sequence: self.last_sequence, time: gap.last, event: Event::Gap(gap) })
+            {
+                self.last_sequence += 1;
+                return self.extend_gap(at);
             }
             self.gap = None;
         }
-        self.seq += 1;
-        if !self.pass(Record { seq: self.seq, at, event }) {
-            self.drop_one(at);
+        self.last_sequence += 1;
+        if !self.try_send(Record { sequence: self.last_sequence, time: at, event }) {
+            self.extend_gap(at);
         }
     }
 
     /// An event is lost before it could be told.
-    pub fn lose(&mut self, at: Stamp) {
-        self.seq += 1;
-        self.drop_one(at);
+    pub fn record_loss(&mut self, at: Timestamp) {
+        self.last_sequence += 1;
+        self.extend_gap(at);
     }
 
     /// Events that were dropped so far.
@@ -54,7 +55,7 @@
         self.dropped
     }
 
-    fn pass(&mut self, record: Record) -> bool {
+    fn try_send(&mut self, record: Record) -> bool {
         match self.queue.try_send(record) {
             Ok(()) => true,
             // Without a writer all is dropped.
@@ -62,10 +63,10 @@
         }
     }
 
-    fn drop_one(&mut self, at: Stamp) {
+    fn extend_gap(&mut self, at: Timestamp) {
         self.dropped += 1;
-        let gap = self.gap.get_or_insert(Gap { events: 0, from: at, to: at, cause: GapCause::Queue });
+        let gap = self.gap.get_or_insert(Gap { events: 0, first: at, last: at, cause: GapCause::QueueFull });
         gap.events += 1;
-        gap.to = at;
+        gap.last = at;
     }
 }
--- a/crates/event-log/src/write.rs
+++ b/crates/event-log/src/write.rs
@@ -9,36 +9,36 @@
 use std::time::{Duration, Instant};
 
 use crate::disk::Disk;
-use crate::event::{Event, Gap, GapCause, Micros, Opened, Record, Stamp};
-use crate::frame::{self, Identity};
+use crate::event::{Event, Gap, GapCause, Micros, Record, SegmentOpened, Timestamp};
+use crate::frame::{self, SegmentId};
 use crate::segment::{self, Rotation, SegmentName};
-use crate::send::Waiting;
+use crate::send::EventReceiver;
 
 /// Bytes that are written at once at most, but for one frame more.
-const BATCH: usize = 256 * 1024;
+const BATCH_BYTES: usize = 256 * 1024;
 /// How often a disk that failed is tried again.
-const RETRY: Duration = Duration::from_secs(1);
+const RETRY_INTERVAL: Duration = Duration::from_secs(1);
 /// How often the end of the thread is looked for.
-const LOOK: Duration = Duration::from_millis(1);
+const FINISH_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
 /// How much is kept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Limits {
+pub struct StorageLimits {
     /// When a segment is full.
     pub rotation: Rotation,
     /// Bytes of all segments of the scheduler.
-    pub total: u64,
+    pub max_total_bytes: u64,
 }
 
 /// How the writer does, for whoever watches.
 #[derive(Debug, Default)]
-pub struct Health {
+pub struct WriterStatistics {
     written: AtomicU64,
     lost: AtomicU64,
     failures: AtomicU64,
 }
 
-impl Health {
+impl WriterStatistics {
     /// Events written.
     pub fn written(&self) -> u64 {
         self.written.load(Ordering::Relaxed)
@@ -59,7 +59,7 @@
 #[derive(Debug)]
 pub struct Writer {
     thread: JoinHandle<()>,
-    health: Arc<Health>,
+    statistics: Arc<WriterStatistics>,
 }
 
 impl Writer {
@@ -68,28 +68,33 @@
     ///
     /// # Errors
     /// The system's, where it has no thread to spare.
-    pub fn start(disk: impl Disk, waiting: Waiting, opened: Opened, limits: Limits) -> std::io::Result<Self> {
-        let health = Arc::new(Health::default());
-        let work = Work {
+    pub fn start(
+        disk: impl Disk,
+        waiting: EventReceiver,
+        opened: SegmentOpened,
+        limits: StorageLimits,
+    ) -> std::io::Result<Self> {
+        let health = Arc::new(WriterStatistics::default());
+        let work = WriterThread {
             disk,
-            opened,
+            segment_opened: opened,
             limits,
-            health: health.clone(),
+            statistics: health.clone(),
             file: None,
-            number: 0,
-            started: None,
-            lost: None,
-            retry: None,
-            buffer: Vec::with_capacity(BATCH + frame::LONGEST),
-            ends: Vec::new(),
+            segment_number: 0,
+            started_at_seconds: None,
+            pending_gap: None,
+            retry_at: None,
+            buffer: Vec::with_capacity(BATCH_BYTES + frame::MAX_PAYLOAD_BYTES),
+            buffered_records: Vec::new(),
         };
         let thread = std::thread::Builder::new().name("records".to_owned());
-        Ok(Self { thread: thread.spawn(move || work.run(&waiting))?, health })
+        Ok(Self { thread: thread.spawn(move || work.run(&waiting))?, statistics: health })
     }
 
     /// How it does.
-    pub fn health(&self) -> Arc<Health> {
-        self.health.clone()
+    pub fn health(&self) -> Arc<WriterStatistics> {
+        self.statistics.clone()
     }
 
     /// Whether it has ended.
@@ -104,53 +109,53 @@
             if Instant::now() >= deadline {
                 return false;
             }
-            std::thread::sleep(LOOK);
+            std::thread::sleep(FINISH_POLL_INTERVAL);
         }
         self.thread.join().is_ok()
     }
 }
 
-struct Open<F> {
+struct OpenSegment<F> {
     file: F,
-    identity: Identity,
+    identity: SegmentId,
     size: u64,
     /// On the clock of the records.
-    opened: Micros,
+    opened_at: Micros,
 }
 
-struct Work<D: Disk> {
+struct WriterThread<D: Disk> {
     disk: D,
-    opened: Opened,
-    limits: Limits,
-    health: Arc<Health>,
-    file: Option<Open<D::File>>,
+    segment_opened: SegmentOpened,
+    limits: StorageLimits,
+    statistics: Arc<WriterStatistics>,
+    file: Option<OpenSegment<D::File>>,
     /// The next segment's.
-    number: u32,
+    segment_number: u32,
     /// When the boot began, Unix time in seconds.
-    started: Option<u64>,
+    started_at_seconds: Option<u64>,
     /// What the disk did not take, and the number of its last event.
-    lost: Option<(u64, Gap)>,
+    pending_gap: Option<(u64, Gap)>,
     /// No attempt at the disk before.
-    retry: Option<Instant>,
+    retry_at: Option<Instant>,
     /// Frames that go out next.
     buffer: Vec<u8>,
     /// For each frame there: where it ends, and what it stands for.
-    ends: Vec<(usize, u64, Stamp, u64)>,
+    buffered_records: Vec<(usize, u64, Timestamp, u64)>,
 }
 
-impl<D: Disk> Work<D> {
-    fn run(mut self, waiting: &Waiting) {
+impl<D: Disk> WriterThread<D> {
+    fn run(mut self, waiting: &EventReceiver) {
         loop {
             // While something is lost, its gap is written as soon as there is room, also if nothing comes.
-            let next = match self.retry {
+            let next = match self.retry_at {
                 None => waiting.recv().map_err(|_| RecvTimeoutError::Disconnected),
                 Some(at) => waiting.recv_timeout(at.saturating_duration_since(Instant::now())),
             };
             match next {
-                Ok(record) => self.take(record, waiting),
-                Err(RecvTimeoutError::Timeout) => self.recover(),
+                Ok(record) => self.write_record(record, waiting),
+                Err(RecvTimeoutError::Timeout) => self.write_pending_gap(),
                 Err(RecvTimeoutError::Disconnected) => {
-                    self.recover();
+                    self.write_pending_gap();
                     return;
                 }
             }
@@ -158,44 +163,50 @@
     }
 
     /// Writes a record and those that wait behind it.
-    fn take(&mut self, record: Record, waiting: &Waiting) {
-        if self.retry.is_some_and(|at| Instant::now() < at) {
-            self.lose(record.seq, record.at, record.weight());
+    fn write_record(&mut self, record: Record, waiting: &EventReceiver) {
+        if self.retry_at.is_some_and(|at| Instant::now() < at) {
+            self.record_loss(record.sequence, record.time, record.event_count());
             return;
         }
         let mut next = Some(record);
         while let Some(record) = next {
-            if !self.ready(record.at) {
-                self.lose(record.seq, record.at, record.weight());
+            if !self.ensure_segment(record.time) {
+                self.record_loss(record.sequence, record.time, record.event_count());
                 return;
             }
-            if let Some((seq, gap)) = self.lost.take() {
-                self.frame(&Record { seq, at: gap.to, event: Event::Gap(gap) });
+            if let Some((seq, gap)) = self.pending_gap.take() {
+                self.append_frame(&Record { sequence: seq, time: gap.last, event: Event::Gap(gap) });
             }
-            self.frame(&record);
+            self.append_frame(&record);
             let full = self.file.as_ref().is_some_and(|open| {
-                self.limits.rotation.due(open.size + self.buffer.len() as u64, open.opened, record.at.mono)
+                self.limits.rotation.is_due(
+                    open.size + self.buffer.len() as u64,
+                    open.opened_at,
+                    record.time.monotonic,
+                )
             });
-            next = if self.buffer.len() >= BATCH || full { None } else { waiting.try_recv().ok() };
+            next = if self.buffer.len() >= BATCH_BYTES || full { None } else { waiting.try_recv().ok() };
         }
         self.flush();
     }
 
     /// Tries to tell of what was lost while nothing else comes.
-    fn recover(&mut self) {
-        self.retry = None;
-        let Some((seq, gap)) = self.lost else { return };
-        if self.ready(gap.to) {
-            self.lost = None;
-            self.frame(&Record { seq, at: gap.to, event: Event::Gap(gap) });
+    fn write_pending_gap(&mut self) {
+        self.retry_at = None;
+        let Some((seq, gap)) = self.pending_gap else { return };
+        if self.ensure_segment(gap.last) {
+            self.pending_gap = None;
+            self.append_frame(&Record { sequence: seq, time: gap.last, event: Event::Gap(gap) });
             self.flush();
         }
     }
 
     /// Sees to it that there is a segment that takes more.
-    fn ready(&mut self, now: Stamp) -> bool {
+    fn ensure_segment(&mut self, now: Timestamp) -> bool {
         let size = self.buffer.len() as u64;
-        let full = |open: &Open<D::File>| self.limits.rotation.due(open.size + size, open.opened, now.mono);
+        let full = |open: &OpenSegment<D::File>| {
+            self.limits.rotation.is_due(open.size + size, open.opened_at, now.monotonic)
+        };
         if self.file.as_ref().is_some_and(full) {
             self.flush();
             self.file = None;
@@ -203,52 +214,69 @@
         if self.file.is_some() {
             return true;
         }
-        let opened = self.open(now);
+        let opened = self.open_segment(now);
         if opened.is_err() {
-            self.failed();
+            self.on_disk_failure();
         }
         opened.is_ok()
     }
 
-    fn open(&mut self, now: Stamp) -> std::io::Result<()> {
-        let started = *self.started.get_or_insert(now.wall / 1_000_000);
-        let name = SegmentName::new(&self.opened.scheduler, started, self.opened.boot, self.number);
-        self.make_way(&name.scheduler);
+    fn open_segment(&mut self, now: Timestamp) -> std::io::Result<()> {
+        let started = *self.started_at_seconds.get_or_insert(now.wall_clock / 1_000_000);
+        let name = SegmentName::new(
+            &self.segment_opened.scheduler,
+            started,
+            self.segment_opened.boot,
+            self.segment_number,
+        );
+        self.evict_old_segments(&name.scheduler);
         // A number is used once: what a failed disk has of it may be anything.
-        self.number += 1;
+        self.segment_number += 1;
         let mut file = self.disk.create(&name.to_string())?;
-        let identity = name.identity();
-        let head = segment::head(identity);
-        let opened = Opened { segment: identity.number, ..self.opened.clone() };
+        let identity = name.id();
+        let head = segment::encode_header(identity);
+        let opened = SegmentOpened { segment: identity.number, ..self.segment_opened.clone() };
         let mut bytes = head.to_vec();
         let mut payload = Vec::new();
-        Record { seq: 0, at: now, event: Event::Opened(opened) }.encode(&mut payload);
+        Record { sequence: 0, time: now, event: Event::SegmentOpened(opened) }.encode(&mut payload);
         frame::encode(&mut bytes, identity, head.len() as u64, &payload)
             .map_err(|_| std::io::Error::other("too many classes for a segment's head"))?;
         file.write_all(&bytes)?;
-        self.file = Some(Open { file, identity, size: bytes.len() as u64, opened: now.mono });
+        self.file = Some(OpenSegment { file, identity, size: bytes.len() as u64, opened_at: now.monotonic });
         Ok(())
     }
 
     /// Old segments make way for one more. One that can't be removed stays.
-    fn make_way(&mut self, scheduler: &str) {
+    fn evict_old_segments(&mut self, scheduler: &str) {
         let Ok(files) = self.disk.list() else { return };
         let known = |(name, size): (String, u64)| Some((name.parse::<SegmentName>().ok()?, size));
         let files: Vec<_> = files.into_iter().filter_map(known).collect();
-        for name in segment::surplus(&files, scheduler, self.limits.total, self.limits.rotation.size) {
+        for name in segment::segments_to_evict(
+            &files,
+            scheduler,
+            self.limits.max_total_bytes,
+            self.limits.rotation.max_bytes,
+        ) {
             let _ = self.disk.remove(&name.to_string());
         }
     }
 
     /// Appends a record's frame to what goes out next.
-    fn frame(&mut self, record: &Record) {
+    fn append_frame(&mut self, record: &Record) {
         let Some(open) = &self.file else { return };
         let offset = open.size + self.buffer.len() as u64;
         let mut payload = Vec::new();
         record.encode(&mut payload);
         match frame::encode(&mut self.buffer, open.identity, offset, &payload) {
-            Ok(()) => self.ends.push((self.buffer.len(), record.seq, record.at, record.weight())),
-            Err(frame::TooLong) => self.lose(record.seq, record.at, record.weight()),
+            Ok(()) => self.buffered_records.push((
+                self.buffer.len(),
+                record.sequence,
+                record.time,
+                record.event_count(),
+            )),
+            Err(frame::PayloadTooLong) => {
+                self.record_loss(record.sequence, record.time, record.event_count())
+            }
         }
     }
 
@@ -265,30 +293,30 @@
         }
         open.size += out as u64;
         self.buffer.clear();
-        let ends = std::mem::take(&mut self.ends);
+        let ends = std::mem::take(&mut self.buffered_records);
         let written = ends.iter().filter(|(end, ..)| *end <= out).count() as u64;
-        self.health.written.fetch_add(written, Ordering::Relaxed);
+        self.statistics.written.fetch_add(written, Ordering::Relaxed);
         for (_, seq, at, weight) in ends.into_iter().filter(|(end, ..)| *end > out) {
-            self.lose(seq, at, weight);
+            self.record_loss(seq, at, weight);
         }
         if failed {
-            self.failed();
+            self.on_disk_failure();
         }
     }
 
     /// The disk does not take it. What it has of this segment stays as it is; later comes another.
-    fn failed(&mut self) {
+    fn on_disk_failure(&mut self) {
         self.file = None;
-        self.retry = Some(Instant::now() + RETRY);
-        self.health.failures.fetch_add(1, Ordering::Relaxed);
+        self.retry_at = Some(Instant::now() + RETRY_INTERVAL);
+        self.statistics.failures.fetch_add(1, Ordering::Relaxed);
     }
 
-    fn lose(&mut self, seq: u64, at: Stamp, weight: u64) {
-        self.health.lost.fetch_add(weight, Ordering::Relaxed);
-        let fresh = Gap { events: 0, from: at, to: at, cause: GapCause::Disk };
-        let (last, gap) = self.lost.get_or_insert((seq, fresh));
+    fn record_loss(&mut self, seq: u64, at: Timestamp, weight: u64) {
+        self.statistics.lost.fetch_add(weight, Ordering::Relaxed);
+        let fresh = Gap { events: 0, first: at, last: at, cause: GapCause::DiskFailed };
+        let (last, gap) = self.pending_gap.get_or_insert((seq, fresh));
         *last = seq;
         gap.events += weight;
-        gap.to = at;
+        gap.last = at;
     }
 }
--- a/crates/event-log/tests/records.rs
+++ b/crates/event-log/tests/records.rs
@@ -7,32 +7,32 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::{Duration, Instant};
 
-use heathward_event_log::frame::{encode, encode_as, Identity, SCHEMA};
-use heathward_event_log::read::{segments, Item, SegmentFile, SegmentReader};
-use heathward_event_log::segment::{surplus, Rotation, SegmentName};
+use heathward_event_log::frame::{encode, encode_as, SegmentId, SCHEMA};
+use heathward_event_log::read::{find_segments, SegmentFile, SegmentItem, SegmentReader};
+use heathward_event_log::segment::{segments_to_evict, Rotation, SegmentName};
 use heathward_event_log::{
-    channel, Class, ClassSecond, Disk, Event, Folder, Gap, GapCause, Lifecycle, Limits, NodeChange,
-    NodeState, Opened, Record, Sender, Stamp, Why, Writer,
+    event_channel, ClassInfo, ClassSecond, Disk, Event, EventSender, Folder, Gap, GapCause, Lifecycle,
+    NodeState, NodeStateChange, Record, SegmentOpened, StateChangeCause, StorageLimits, Timestamp, Writer,
 };
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rstest::rstest;
 
-const IDENTITY: Identity = Identity { boot: 0xb007, number: 3 };
+const IDENTITY: SegmentId = SegmentId { boot: 0xb007, number: 3 };
 /// Nothing here takes longer, however loaded the machine.
 const PATIENCE: Duration = Duration::from_secs(20);
 
-fn at(second: u64) -> Stamp {
-    Stamp { wall: 1_764_600_000_000_000 + second * 1_000_000, mono: second * 1_000_000 }
+fn at(second: u64) -> Timestamp {
+    Timestamp { wall_clock: 1_764_600_000_000_000 + second * 1_000_000, monotonic: second * 1_000_000 }
 }
 
 fn change(seq: u64) -> Record {
-    let event = Event::Node(NodeChange {
+    let event = Event::NodeStateChanged(NodeStateChange {
         node: format!("s-{seq}"),
-        state: if seq.is_multiple_of(2) { NodeState::Silent } else { NodeState::Cold(seq) },
-        why: Why::List(seq),
+        state: if seq.is_multiple_of(2) { NodeState::Unresponsive } else { NodeState::SlowStart(seq) },
+        cause: StateChangeCause::EndpointUpdate(seq),
     });
-    Record { seq, at: at(seq), event }
+    Record { sequence: seq, time: at(seq), event }
 }
 
 fn folder(name: &str) -> PathBuf {
@@ -42,18 +42,23 @@
     path
 }
 
-fn opened() -> Opened {
-    let classes = vec![Class { name: "consulta".into(), aim: 1, deadline: 2, window: 0 }];
-    Opened { scheduler: "n3".into(), boot: 0xb007, classes, ..Opened::default() }
+fn opened() -> SegmentOpened {
+    let classes = vec![ClassInfo {
+        name: "consulta".into(),
+        latency_objective: 1,
+        deadline: 2,
+        deduplication_window: 0,
+    }];
+    SegmentOpened { scheduler: "n3".into(), boot: 0xb007, classes, ..SegmentOpened::default() }
 }
 
-fn limits(size: u64, total: u64) -> Limits {
-    Limits { rotation: Rotation { size, age: 3_600_000_000 }, total }
+fn limits(size: u64, total: u64) -> StorageLimits {
+    StorageLimits { rotation: Rotation { max_bytes: size, max_age: 3_600_000_000 }, max_total_bytes: total }
 }
 
 /// The bytes of a segment of such records, and where each frame ends.
 fn bytes(records: &[Record]) -> (Vec<u8>, Vec<usize>) {
-    let mut out = heathward_event_log::segment::head(IDENTITY).to_vec();
+    let mut out = heathward_event_log::segment::encode_header(IDENTITY).to_vec();
     let mut ends = Vec::new();
     for record in records {
         let mut payload = Vec::new();
@@ -65,25 +70,25 @@
     (out, ends)
 }
 
-fn read(bytes: &[u8], name: &str) -> Vec<Item> {
+fn read(bytes: &[u8], name: &str) -> Vec<SegmentItem> {
     let path = folder(name);
     std::fs::create_dir_all(&path).unwrap();
     let file = SegmentName::new("n3", 7, IDENTITY.boot, IDENTITY.number);
     std::fs::write(path.join(file.to_string()), bytes).unwrap();
-    let found = segments(std::slice::from_ref(&path)).unwrap();
+    let found = find_segments(std::slice::from_ref(&path)).unwrap();
     let items = found.iter().flat_map(items).collect();
     std::fs::remove_dir_all(&path).unwrap();
     items
 }
 
-fn items(file: &SegmentFile) -> Vec<Item> {
+fn items(file: &SegmentFile) -> Vec<SegmentItem> {
     let mut reader = SegmentReader::open(file).unwrap();
     std::iter::from_fn(|| reader.next_item().unwrap()).collect()
 }
 
-fn records(items: &[Item]) -> Vec<Record> {
-    let record = |item: &Item| match item {
-        Item::Record(record) => Some(record.clone()),
+fn records(items: &[SegmentItem]) -> Vec<Record> {
+    let record = |item: &SegmentItem| match item {
+        SegmentItem::Record(record) => Some(record.clone()),
         _ => None,
     };
     items.iter().filter_map(record).collect()
@@ -136,7 +141,7 @@
         encode(&mut frame, IDENTITY, 24, &inner).unwrap();
         let mut payload = vec![b'x'; shift];
         payload.extend_from_slice(&frame);
-        let mut out = heathward_event_log::segment::head(IDENTITY).to_vec();
+        let mut out = heathward_event_log::segment::encode_header(IDENTITY).to_vec();
         encode(&mut out, IDENTITY, 24, &payload).unwrap();
         // The outer frame's head is broken, so that the reader looks for the next.
         out[30] ^= 1;
@@ -148,7 +153,7 @@
 /// over, a kind of the future is counted, a schema of the future is told of; all others are read.
 #[test]
 fn older_and_newer_versions_are_read_as_far_as_they_can_be() {
-    let mut out = heathward_event_log::segment::head(IDENTITY).to_vec();
+    let mut out = heathward_event_log::segment::encode_header(IDENTITY).to_vec();
     let mut put = |schema: u8, payload: &[u8]| {
         let offset = out.len() as u64;
         encode_as(&mut out, IDENTITY, offset, schema, payload).unwrap();
@@ -163,18 +168,18 @@
     let mut newer = form(&change(2));
     newer.extend_from_slice(b"fields of the future");
     put(SCHEMA, &newer);
-    let future = Record { seq: 3, at: at(3), event: Event::Unknown(900) };
+    let future = Record { sequence: 3, time: at(3), event: Event::Unknown(900) };
     put(SCHEMA, &form(&future));
     let schema = put(SCHEMA + 1, &form(&change(4)));
     put(SCHEMA - 1, &form(&change(5)));
     let broken = put(SCHEMA, &[1]);
     let expected = vec![
-        Item::Record(change(1)),
-        Item::Record(change(2)),
-        Item::Record(future),
-        Item::Newer { offset: schema, schema: SCHEMA + 1 },
-        Item::Record(change(5)),
-        Item::Unreadable { offset: broken },
+        SegmentItem::Record(change(1)),
+        SegmentItem::Record(change(2)),
+        SegmentItem::Record(future),
+        SegmentItem::Newer { offset: schema, schema: SCHEMA + 1 },
+        SegmentItem::Record(change(5)),
+        SegmentItem::Unreadable { offset: broken },
     ];
     assert_eq!(read(&out, "versions"), expected);
 }
@@ -194,20 +199,21 @@
     let file = |boot: u64, number: u32| (SegmentName::new("n3", boot, boot, number), 10);
     let other = (SegmentName::new("n4", 0, 9, 0), 1000);
     let files = [file(2, 0), file(1, 1), file(1, 0), file(2, 1), other];
-    let names =
-        |total| surplus(&files, "n3", total, 10).iter().map(|n| (n.boot, n.number)).collect::<Vec<_>>();
+    let names = |total| {
+        segments_to_evict(&files, "n3", total, 10).iter().map(|n| (n.boot, n.number)).collect::<Vec<_>>()
+    };
     assert_eq!(names(50), vec![]);
     assert_eq!(names(40), vec![(1, 0)]);
     assert_eq!(names(0), vec![(1, 0), (2, 0)]);
 }
 
 /// Sends so many events and waits for the end.
-fn write(disk: impl Disk, limits: Limits, count: u64) -> (Sender, u64) {
-    let (mut sender, waiting) = channel(4096);
+fn write(disk: impl Disk, limits: StorageLimits, count: u64) -> (EventSender, u64) {
+    let (mut sender, waiting) = event_channel(4096);
     let writer = Writer::start(disk, waiting, opened(), limits).unwrap();
     let health = writer.health();
-    (1..=count).for_each(|seq| sender.put(at(seq), change(seq).event));
-    let (rest, _) = channel(1);
+    (1..=count).for_each(|seq| sender.send(at(seq), change(seq).event));
+    let (rest, _) = event_channel(1);
     drop(std::mem::replace(&mut sender, rest));
     assert!(writer.finish(Instant::now() + PATIENCE));
     (sender, health.written())
@@ -218,12 +224,12 @@
     let path = folder("rotated");
     let (_, written) = write(Folder(path.clone()), limits(2000, 9000), 1000);
     assert_eq!(written, 1000);
-    let files = segments(std::slice::from_ref(&path)).unwrap();
-    let total: u64 = files.iter().map(|file| file.size).sum();
+    let files = find_segments(std::slice::from_ref(&path)).unwrap();
+    let total: u64 = files.iter().map(|file| file.bytes).sum();
     assert!(files.len() > 2 && total <= 9000, "{} files of {total} bytes", files.len());
-    let all: Vec<Item> = files.iter().flat_map(items).collect();
-    assert!(all.iter().all(|item| matches!(item, Item::Record(_))), "{all:?}");
-    let seqs: Vec<u64> = records(&all).iter().filter(|r| r.seq > 0).map(|r| r.seq).collect();
+    let all: Vec<SegmentItem> = files.iter().flat_map(items).collect();
+    assert!(all.iter().all(|item| matches!(item, SegmentItem::Record(_))), "{all:?}");
+    let seqs: Vec<u64> = records(&all).iter().filter(|r| r.sequence > 0).map(|r| r.sequence).collect();
     assert!(seqs.windows(2).all(|pair| pair[1] == pair[0] + 1) && seqs.last() == Some(&1000), "{seqs:?}");
 }
 
@@ -232,13 +238,13 @@
 fn a_segment_deleted_under_the_reader_does_no_harm() {
     let path = folder("deleted");
     write(Folder(path.clone()), limits(2000, 100_000), 200);
-    let files = segments(std::slice::from_ref(&path)).unwrap();
+    let files = find_segments(std::slice::from_ref(&path)).unwrap();
     let mut reader = SegmentReader::open(&files[0]).unwrap();
     std::fs::remove_file(&files[0].path).unwrap();
     std::fs::remove_file(&files[1].path).unwrap();
     assert!(std::iter::from_fn(|| reader.next_item().unwrap()).count() > 10);
     assert_eq!(SegmentReader::open(&files[1]).unwrap_err().kind(), io::ErrorKind::NotFound);
-    assert_eq!(segments(std::slice::from_ref(&path)).unwrap().len(), files.len() - 2);
+    assert_eq!(find_segments(std::slice::from_ref(&path)).unwrap().len(), files.len() - 2);
 }
 
 /// A disk in memory whose room, and whose patience, the test sets.
@@ -275,7 +281,7 @@
         let path = folder(&format!("fake-{:p}", Arc::as_ptr(&self.0)));
         std::fs::create_dir_all(&path).unwrap();
         files.iter().for_each(|(name, bytes)| std::fs::write(path.join(name), bytes).unwrap());
-        let all: Vec<Item> = segments(&[path]).unwrap().iter().flat_map(items).collect();
+        let all: Vec<SegmentItem> = find_segments(&[path]).unwrap().iter().flat_map(items).collect();
         records(&all)
     }
 }
@@ -324,8 +330,9 @@
 fn check_all_accounted(records: &[Record], last: u64) -> Vec<Gap> {
     let mut covered = vec![0; last as usize + 1];
     let mut gaps = Vec::new();
-    for record in records.iter().filter(|r| !matches!(r.event, Event::Opened(_))) {
-        (record.seq + 1 - record.weight()..=record.seq).for_each(|seq| covered[seq as usize] += 1);
+    for record in records.iter().filter(|r| !matches!(r.event, Event::SegmentOpened(_))) {
+        (record.sequence + 1 - record.event_count()..=record.sequence)
+            .for_each(|seq| covered[seq as usize] += 1);
         if let Event::Gap(gap) = record.event {
             gaps.push(gap);
         }
@@ -339,10 +346,10 @@
 fn a_full_disk_costs_a_gap_that_is_told() {
     let disk = Fake::default();
     disk.with(|state| state.room = 1000);
-    let (mut sender, waiting) = channel(4096);
+    let (mut sender, waiting) = event_channel(4096);
     let writer = Writer::start(disk.clone(), waiting, opened(), limits(1 << 20, 1 << 30)).unwrap();
     let health = writer.health();
-    (1..=200).for_each(|seq| sender.put(at(seq), change(seq).event));
+    (1..=200).for_each(|seq| sender.send(at(seq), change(seq).event));
     let by = Instant::now() + PATIENCE;
     while health.lost() == 0 || health.lost() + health.written() < 200 {
         assert!(Instant::now() < by, "lost {} written {}", health.lost(), health.written());
@@ -351,12 +358,15 @@
     disk.with(|state| state.room = 1 << 20);
     // Nothing more comes, and yet the gap is written by itself.
     disk.until(|state| state.files.len() > 1 && state.files.values().last().unwrap().len() > 100);
-    (201..=210).for_each(|seq| sender.put(at(seq), change(seq).event));
+    (201..=210).for_each(|seq| sender.send(at(seq), change(seq).event));
     drop(sender);
     assert!(writer.finish(Instant::now() + PATIENCE));
     let gaps = check_all_accounted(&disk.records(), 210);
     let [gap] = gaps[..] else { panic!("{gaps:?}") };
-    assert!(gap.cause == GapCause::Disk && gap.to == at(200) && gap.events == health.lost(), "{gap:?}");
+    assert!(
+        gap.cause == GapCause::DiskFailed && gap.last == at(200) && gap.events == health.lost(),
+        "{gap:?}"
+    );
 }
 
 /// Whoever tells never waits for a stuck disk; what did not fit stands in the file as a gap.
@@ -364,20 +374,20 @@
 fn a_stuck_disk_holds_up_nobody() {
     let disk = Fake::default();
     disk.with(|state| (state.room, state.stuck) = (1 << 24, true));
-    let (mut sender, waiting) = channel(64);
+    let (mut sender, waiting) = event_channel(64);
     let writer = Writer::start(disk.clone(), waiting, opened(), limits(1 << 20, 1 << 30)).unwrap();
-    sender.put(at(1), Event::Lifecycle(Lifecycle::Started));
+    sender.send(at(1), Event::Lifecycle(Lifecycle::Started));
     disk.until(|state| state.waits);
-    (2..=5000).for_each(|seq| sender.put(at(seq), change(seq).event));
+    (2..=5000).for_each(|seq| sender.send(at(seq), change(seq).event));
     assert_eq!(sender.dropped(), 5000 - 1 - 64);
     let end = Instant::now() + Duration::from_millis(20);
     disk.with(|state| state.stuck = false);
     disk.until(|state| state.files.values().last().unwrap().len() > 1000);
-    (5001..=5010).for_each(|seq| sender.put(at(seq), change(seq).event));
+    (5001..=5010).for_each(|seq| sender.send(at(seq), change(seq).event));
     drop(sender);
     assert!(end < Instant::now() + PATIENCE && writer.finish(Instant::now() + PATIENCE));
     let gaps = check_all_accounted(&disk.records(), 5010);
-    assert!(gaps.iter().all(|gap| gap.cause == GapCause::Queue), "{gaps:?}");
+    assert!(gaps.iter().all(|gap| gap.cause == GapCause::QueueFull), "{gaps:?}");
     assert_eq!(gaps.iter().map(|gap| gap.events).sum::<u64>(), 5000 - 1 - 64);
 }
 
@@ -386,9 +396,9 @@
 fn the_end_does_not_wait_for_a_stuck_disk() {
     let disk = Fake::default();
     disk.with(|state| state.stuck = true);
-    let (mut sender, waiting) = channel(64);
+    let (mut sender, waiting) = event_channel(64);
     let writer = Writer::start(disk.clone(), waiting, opened(), limits(1 << 20, 1 << 30)).unwrap();
-    sender.put(at(1), change(1).event);
+    sender.send(at(1), change(1).event);
     drop(sender);
     assert!(!writer.finish(Instant::now() + Duration::from_millis(50)));
     disk.with(|state| state.stuck = false);
@@ -398,18 +408,18 @@
 #[test]
 fn a_second_comes_back_as_it_was() {
     let second = ClassSecond {
-        from: 5,
-        span: 1_000_000,
+        start: 5,
+        duration: 1_000_000,
         class: 1,
-        taken: 9,
-        in_aim: 4,
+        received: 9,
+        within_objective: 4,
         late: 1,
-        refused: [1, 0, 1, 0, 0],
+        shed: [1, 0, 1, 0, 0],
         failed: [0, 1, 0, 0],
-        gone: 1,
-        times: vec![1, 2, 3],
+        client_disconnects: 1,
+        latency_histogram: vec![1, 2, 3],
     };
-    let record = Record { seq: 1, at: at(1), event: Event::Class(second) };
+    let record = Record { sequence: 1, time: at(1), event: Event::ClassSecond(second) };
     let mut payload = Vec::new();
     record.encode(&mut payload);
     assert_eq!(Record::decode(&payload), Ok(record));
--- a/crates/event-log/tests/stored.rs
+++ b/crates/event-log/tests/stored.rs
@@ -4,29 +4,35 @@
 
 use std::path::PathBuf;
 
-use heathward_event_log::frame::{encode, Identity};
-use heathward_event_log::read::{segments, Item, SegmentReader};
-use heathward_event_log::segment::head;
+use heathward_event_log::frame::{encode, SegmentId};
+use heathward_event_log::read::{find_segments, SegmentItem, SegmentReader};
+use heathward_event_log::segment::encode_header;
 use heathward_event_log::{
-    Attempted, Class, ClassSecond, Ended, Event, Failure, Gap, GapCause, Kind, Lifecycle, Listed, ListedNode,
-    NodeChange, NodeSecond, NodeState, Opened, Outcome, Record, Refusal, RequestDone, Stamp, Why,
+    AttemptEnd, AttemptRecord, ClassInfo, ClassSecond, EndpointUpdate, EndpointUpdateKind, Event,
+    FailureReason, Gap, GapCause, Lifecycle, ListedEndpoint, NodeSecond, NodeState, NodeStateChange, Record,
+    RequestOutcome, RequestRecord, SegmentOpened, ShedReason, StateChangeCause, Timestamp,
 };
 
 /// The segment that the fixture's name and head name.
-const IDENTITY: Identity = Identity { boot: 0xb007, number: 3 };
+const IDENTITY: SegmentId = SegmentId { boot: 0xb007, number: 3 };
 const FIXTURE: &str = "n3-1764600000-000000000000b007-000003.hwr";
 
 fn fixture() -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(FIXTURE)
 }
 
-fn stamp(second: u64) -> Stamp {
-    Stamp { wall: 1_764_600_000_000_000 + second * 1_000_000, mono: second * 1_000_000 + 7 }
+fn stamp(second: u64) -> Timestamp {
+    Timestamp { wall_clock: 1_764_600_000_000_000 + second * 1_000_000, monotonic: second * 1_000_000 + 7 }
 }
 
-fn opened() -> Opened {
-    let class = |name: &str, window| Class { name: name.into(), aim: 150_000, deadline: 1_000_000, window };
-    Opened {
+fn opened() -> SegmentOpened {
+    let class = |name: &str, window| ClassInfo {
+        name: name.into(),
+        latency_objective: 150_000,
+        deadline: 1_000_000,
+        deduplication_window: window,
+    };
+    SegmentOpened {
         scheduler: "n3".into(),
         boot: 0xb007,
         segment: 3,
@@ -34,27 +40,27 @@
         pid: 4711,
         classes: vec![class("consulta", 0), class("pedido", 2_500_000)],
         plans: vec!["base".into(), "vital".into()],
-        cold_units: 24.0,
-        cold_share: 0.24,
-        cold_time: 6_000_000,
-        fall_time: 500_000,
-        requests: true,
+        slow_start_units: 24.0,
+        slow_start_fraction: 0.24,
+        slow_start_duration: 6_000_000,
+        overload_window: 500_000,
+        records_requests: true,
     }
 }
 
 fn lifecycle() -> Vec<Event> {
     let all = [
         Lifecycle::Started,
-        Lifecycle::Ending,
-        Lifecycle::Ended,
+        Lifecycle::ShuttingDown,
+        Lifecycle::Stopped,
         Lifecycle::Reloaded(true),
         Lifecycle::Reloaded(false),
         Lifecycle::HandedOver,
         Lifecycle::TookOver,
         Lifecycle::Paused,
         Lifecycle::Resumed,
-        Lifecycle::Stopped(6_000_000),
-        Lifecycle::WentOn,
+        Lifecycle::LeaseExpired(6_000_000),
+        Lifecycle::LeaseRenewed,
     ];
     all.map(Event::Lifecycle).into()
 }
@@ -62,98 +68,121 @@
 fn node_states() -> [NodeState; 6] {
     [
         NodeState::InService,
-        NodeState::Cold(1_764_599_999_000_000),
-        NodeState::Silent,
+        NodeState::SlowStart(1_764_599_999_000_000),
+        NodeState::Unresponsive,
         NodeState::Suspended,
         NodeState::Draining,
-        NodeState::Gone,
+        NodeState::Removed,
     ]
 }
 
 fn listed() -> Vec<Event> {
-    let kinds = [Kind::Changes, Kind::Whole, Kind::Saved, Kind::Failed];
-    let node = |(place, state): (usize, NodeState)| ListedNode {
+    let kinds = [
+        EndpointUpdateKind::Changes,
+        EndpointUpdateKind::Snapshot,
+        EndpointUpdateKind::Cached,
+        EndpointUpdateKind::Failed,
+    ];
+    let node = |(place, state): (usize, NodeState)| ListedEndpoint {
         node: format!("s-{place}"),
         shard: place as u32,
         state,
-        started: (place % 2 == 1).then_some(1_764_599_000_000_000),
+        started_at: (place % 2 == 1).then_some(1_764_599_000_000_000),
     };
-    let nodes: Vec<ListedNode> = node_states().into_iter().enumerate().map(node).collect();
-    let list = |(place, kind): (usize, Kind)| {
-        Event::Listed(Listed { revision: 40 + place as u64, kind, nodes: nodes.clone() })
+    let nodes: Vec<ListedEndpoint> = node_states().into_iter().enumerate().map(node).collect();
+    let list = |(place, kind): (usize, EndpointUpdateKind)| {
+        Event::EndpointUpdate(EndpointUpdate { revision: 40 + place as u64, kind, nodes: nodes.clone() })
     };
     kinds.into_iter().enumerate().map(list).collect()
 }
 
-fn ends() -> [Ended; 8] {
+fn ends() -> [AttemptEnd; 8] {
     [
-        Ended::Served,
-        Ended::Error,
-        Ended::Full,
-        Ended::TimedOut,
-        Ended::NotConnected,
-        Ended::Reset,
-        Ended::Cancelled,
-        Ended::NotSent,
+        AttemptEnd::Served,
+        AttemptEnd::Error,
+        AttemptEnd::Rejected,
+        AttemptEnd::TimedOut,
+        AttemptEnd::NotConnected,
+        AttemptEnd::Reset,
+        AttemptEnd::Cancelled,
+        AttemptEnd::NotSent,
     ]
 }
 
 fn node_changes() -> Vec<Event> {
-    let reasons = [Why::List(41), Why::Order, Why::Handover, Why::Time].into_iter();
-    let reasons = reasons.chain(ends().map(Why::Attempt));
+    let reasons = [
+        StateChangeCause::EndpointUpdate(41),
+        StateChangeCause::OperatorCommand,
+        StateChangeCause::Handover,
+        StateChangeCause::TimePassed,
+    ]
+    .into_iter();
+    let reasons = reasons.chain(ends().map(StateChangeCause::AttemptEnded));
     let states = node_states().into_iter().cycle();
-    let change = |(why, state)| Event::Node(NodeChange { node: "s-1".into(), state, why });
+    let change =
+        |(why, state)| Event::NodeStateChanged(NodeStateChange { node: "s-1".into(), state, cause: why });
     reasons.zip(states).map(change).collect()
 }
 
 fn seconds() -> [Event; 2] {
     let class = ClassSecond {
-        from: 5_000_007,
-        span: 1_000_000,
+        start: 5_000_007,
+        duration: 1_000_000,
         class: 1,
-        taken: 40,
-        in_aim: 21,
+        received: 40,
+        within_objective: 21,
         late: 3,
-        refused: [1, 2, 3, 4, 5],
+        shed: [1, 2, 3, 4, 5],
         failed: [6, 7, 8, 9],
-        gone: 2,
-        times: vec![0, 1, 127, 128, 255],
+        client_disconnects: 2,
+        latency_histogram: vec![0, 1, 127, 128, 255],
     };
     let node = NodeSecond {
-        from: 5_000_007,
-        span: 1_000_000,
+        start: 5_000_007,
+        duration: 1_000_000,
         node: "s-1".into(),
         sent: 36,
-        cold_units: 12,
-        ends: [8, 7, 6, 5, 4, 3, 2, 1],
-        most_out: 9,
+        slow_start_units: 12,
+        attempt_ends: [8, 7, 6, 5, 4, 3, 2, 1],
+        max_in_flight: 9,
     };
-    [Event::Class(class), Event::NodeSecond(node)]
+    [Event::ClassSecond(class), Event::NodeSecond(node)]
 }
 
 fn requests() -> Vec<Event> {
-    let refusals =
-        [Refusal::NotAdmitted, Refusal::GivenUp, Refusal::TurnedAway, Refusal::NotConnected, Refusal::Lost];
-    let failures = [Failure::Late, Failure::LateMayHaveRun, Failure::MayHaveRun, Failure::Other];
-    let outcomes = [Outcome::Served, Outcome::Gone].into_iter();
-    let outcomes = outcomes.chain(refusals.map(Outcome::Refused)).chain(failures.map(Outcome::Failed));
+    let refusals = [
+        ShedReason::NotAdmitted,
+        ShedReason::ShedFromQueue,
+        ShedReason::RejectedByNode,
+        ShedReason::NotConnected,
+        ShedReason::AttemptLost,
+    ];
+    let failures = [
+        FailureReason::DeadlinePassed,
+        FailureReason::DeadlinePassedPossiblyExecuted,
+        FailureReason::PossiblyExecuted,
+        FailureReason::Other,
+    ];
+    let outcomes = [RequestOutcome::Served, RequestOutcome::ClientDisconnected].into_iter();
+    let outcomes =
+        outcomes.chain(refusals.map(RequestOutcome::Shed)).chain(failures.map(RequestOutcome::Failed));
     let ended = ends().into_iter().map(Some).chain([None]).enumerate();
-    let attempts: Vec<Attempted> = ended
-        .map(|(place, end)| Attempted {
+    let attempts: Vec<AttemptRecord> = ended
+        .map(|(place, end)| AttemptRecord {
             node: format!("s-{place}"),
-            sent: 6_000_000 + place as u64,
-            ended: end.map(|end| (6_000_500 + place as u64, end)),
+            sent_at: 6_000_000 + place as u64,
+            end: end.map(|end| (6_000_500 + place as u64, end)),
         })
         .collect();
-    let request = |(place, outcome): (usize, Outcome)| {
-        Event::Request(RequestDone {
+    let request = |(place, outcome): (usize, RequestOutcome)| {
+        Event::RequestEnded(RequestRecord {
             request: 1000 + place as u64,
             class: 1,
             plan: 0,
             volume: 0x00ff_0000_0000_0001,
             units: 2,
-            arrived: 6_000_000,
-            answered: 6_700_000,
+            arrived_at: 6_000_000,
+            ended_at: 6_700_000,
             outcome,
             attempts: if place == 0 { attempts.clone() } else { Vec::new() },
         })
@@ -162,22 +191,22 @@
 }
 
 fn gaps() -> [Event; 2] {
-    [GapCause::Queue, GapCause::Disk]
-        .map(|cause| Event::Gap(Gap { events: 1, from: stamp(60), to: stamp(61), cause }))
+    [GapCause::QueueFull, GapCause::DiskFailed]
+        .map(|cause| Event::Gap(Gap { events: 1, first: stamp(60), last: stamp(61), cause }))
 }
 
 /// Every kind of event, with every variant of each type in it.
 fn every_event() -> Vec<Record> {
-    let events = [Event::Opened(opened())].into_iter();
+    let events = [Event::SegmentOpened(opened())].into_iter();
     let events = events.chain(lifecycle()).chain(listed()).chain(node_changes()).chain(seconds());
     let events = events.chain(requests()).chain(gaps()).chain([Event::Unknown(99)]);
     let record =
-        |(place, event): (usize, Event)| Record { seq: place as u64, at: stamp(place as u64), event };
+        |(place, event): (usize, Event)| Record { sequence: place as u64, time: stamp(place as u64), event };
     events.enumerate().map(record).collect()
 }
 
 fn bytes_of(records: &[Record]) -> Vec<u8> {
-    let mut bytes = head(IDENTITY).to_vec();
+    let mut bytes = encode_header(IDENTITY).to_vec();
     for record in records {
         let mut payload = Vec::new();
         record.encode(&mut payload);
@@ -189,10 +218,10 @@
 
 #[test]
 fn a_stored_segment_is_read_to_the_same_events() {
-    let found = segments(&[fixture()]).unwrap();
+    let found = find_segments(&[fixture()]).unwrap();
     let mut reader = SegmentReader::open(&found[0]).unwrap();
-    let items: Vec<Item> = std::iter::from_fn(|| reader.next_item().unwrap()).collect();
-    let expected: Vec<Item> = every_event().into_iter().map(Item::Record).collect();
+    let items: Vec<SegmentItem> = std::iter::from_fn(|| reader.next_item().unwrap()).collect();
+    let expected: Vec<SegmentItem> = every_event().into_iter().map(SegmentItem::Record).collect();
     assert_eq!(items, expected);
 }
 
--- a/crates/event-recorder/src/second.rs
+++ b/crates/event-recorder/src/second.rs
@@ -1,146 +1,180 @@
-//! The counts of the second at hand.
+//! Counts of requests and attempts within the present second.
 
 use hdrhistogram::serialization::{Serializer, V2Serializer};
 use hdrhistogram::Histogram;
-use heathward_event_log::{ClassSecond, Ended, Event, Failure, Micros, NodeSecond, Outcome, Refusal};
-use heathward_event_log::{ENDS, FAILURES, REFUSALS};
+use heathward_event_log::{
+    AttemptEnd, ClassSecond, Event, FailureReason, Micros, NodeSecond, RequestOutcome, ShedReason,
+    ATTEMPT_END_NAMES, FAILURE_REASON_NAMES, SHED_REASON_NAMES,
+};
 
-/// How long a second is; the last of a boot is shorter.
+/// The length of a second; the last one of a run is shorter.
 const SECOND: Micros = 1_000_000;
-/// Longest time that a histogram tells apart, microseconds; longer ones count as this.
-const LONGEST: u64 = 120_000_000;
-/// Digits of a time that count.
-const DIGITS: u8 = 2;
-/// Nodes that are counted at a time; those of one second that are more go uncounted until the next begins.
-const NODES: usize = 1024;
+/// The highest latency that a histogram distinguishes; higher ones count as this.
+const MAX_LATENCY: Micros = 120_000_000;
+/// Significant decimal digits of a latency in a histogram.
+const LATENCY_DIGITS: u8 = 2;
+/// Nodes that are counted at a time; attempts at further nodes are not counted until the next second.
+const MAX_NODES: usize = 1024;
 
 /// Counts by class and by node.
 #[derive(Debug, Default)]
 pub struct Second {
-    from: Micros,
-    /// Aims of the classes, by place.
-    pub aims: Vec<Micros>,
-    classes: Vec<(ClassSecond, Option<Histogram<u32>>)>,
-    /// In order of names, with the attempts that are out.
-    nodes: Vec<(Box<str>, (NodeSecond, u32))>,
+    /// When the second began, on the monotonic clock.
+    start: Micros,
+    /// The latency objectives of the classes, by index.
+    pub latency_objectives: Vec<Micros>,
+    classes: Vec<ClassCounts>,
+    /// Sorted by id.
+    nodes: Vec<NodeCounts>,
+}
+
+#[derive(Debug, Default)]
+struct ClassCounts {
+    counts: ClassSecond,
+    /// Of served requests; created with the first one.
+    latencies: Option<Histogram<u32>>,
+}
+
+#[derive(Debug)]
+struct NodeCounts {
+    id: Box<str>,
+    counts: NodeSecond,
+    /// Attempts in flight now.
+    in_flight: u32,
 }
 
 impl Second {
-    /// Whether it is over by then.
+    /// Whether the second has passed.
     pub fn over(&self, now: Micros) -> bool {
-        now.saturating_sub(self.from) >= SECOND
+        now.saturating_sub(self.start) >= SECOND
     }
 
-    /// A class's counts.
+    /// The counts of a class.
     pub fn class(&mut self, class: u16) -> &mut ClassSecond {
-        &mut self.slot(class).0
+        &mut self.class_counts(class).counts
     }
 
-    fn slot(&mut self, class: u16) -> &mut (ClassSecond, Option<Histogram<u32>>) {
-        let place = usize::from(class);
-        if self.classes.len() <= place {
-            self.classes.resize_with(place + 1, Default::default);
+    fn class_counts(&mut self, class: u16) -> &mut ClassCounts {
+        let index = usize::from(class);
+        if self.classes.len() <= index {
+            self.classes.resize_with(index + 1, Default::default);
         }
-        &mut self.classes[place]
+        &mut self.classes[index]
     }
 
-    /// A request has got its answer, or its client has left.
-    pub fn answered(&mut self, class: u16, outcome: Outcome, took: Micros) {
-        let aim = self.aims.get(usize::from(class)).copied().unwrap_or(Micros::MAX);
-        let (counts, times) = self.slot(class);
+    /// Counts the end of a request.
+    pub fn answered(&mut self, class: u16, outcome: RequestOutcome, latency: Micros) {
+        let objective = self.latency_objectives.get(usize::from(class)).copied().unwrap_or(Micros::MAX);
+        let ClassCounts { counts, latencies } = self.class_counts(class);
         match outcome {
-            Outcome::Served if took <= aim => counts.in_aim += 1,
-            Outcome::Served => counts.late += 1,
-            Outcome::Refused(why) => counts.refused[refusal(why)] += 1,
-            Outcome::Failed(why) => counts.failed[failure(why)] += 1,
-            Outcome::Gone => counts.gone += 1,
+            RequestOutcome::Served if latency <= objective => counts.within_objective += 1,
+            RequestOutcome::Served => counts.late += 1,
+            RequestOutcome::Shed(reason) => counts.shed[shed_index(reason)] += 1,
+            RequestOutcome::Failed(reason) => counts.failed[failure_index(reason)] += 1,
+            RequestOutcome::ClientDisconnected => counts.client_disconnects += 1,
         }
-        if outcome == Outcome::Served {
-            // These bounds are sound, so there is one.
-            if times.is_none() {
-                *times = Histogram::new_with_bounds(1, LONGEST, DIGITS).ok();
+        if outcome == RequestOutcome::Served {
+            if latencies.is_none() {
+                // The bounds are constant and valid.
+                *latencies = Histogram::new_with_bounds(1, MAX_LATENCY, LATENCY_DIGITS).ok();
             }
-            if let Some(times) = times {
-                times.saturating_record(took);
+            if let Some(latencies) = latencies {
+                latencies.saturating_record(latency);
             }
         }
     }
 
-    /// An attempt was sent.
-    pub fn sent(&mut self, node: &str, cold_units: u32) {
-        if let Some((counts, out)) = self.node(node) {
-            *out += 1;
+    /// Counts an attempt that was sent to a node.
+    pub fn sent(&mut self, node: &str, slow_start_units: u32) {
+        if let Some(NodeCounts { counts, in_flight, .. }) = self.node_counts(node) {
+            *in_flight += 1;
             counts.sent += 1;
-            counts.cold_units = counts.cold_units.saturating_add(cold_units);
-            counts.most_out = counts.most_out.max(*out);
+            counts.slow_start_units = counts.slow_start_units.saturating_add(slow_start_units);
+            counts.max_in_flight = counts.max_in_flight.max(*in_flight);
         }
     }
 
-    /// An attempt has ended.
-    pub fn ended(&mut self, node: &str, end: Ended) {
-        if let Some((counts, out)) = self.node(node) {
-            counts.ends[ENDS.iter().position(|(known, _)| *known == end).unwrap_or(0)] += 1;
-            if end != Ended::NotSent {
-                *out = out.saturating_sub(1);
+    /// Counts the end of an attempt at a node.
+    pub fn ended(&mut self, node: &str, end: AttemptEnd) {
+        if let Some(NodeCounts { counts, in_flight, .. }) = self.node_counts(node) {
+            counts.attempt_ends[attempt_end_index(end)] += 1;
+            if end != AttemptEnd::NotSent {
+                *in_flight = in_flight.saturating_sub(1);
             }
         }
     }
 
-    fn node(&mut self, node: &str) -> Option<&mut (NodeSecond, u32)> {
-        let place = match self.nodes.binary_search_by(|(name, _)| (**name).cmp(node)) {
-            Ok(place) => place,
-            Err(_) if self.nodes.len() >= NODES => return None,
-            Err(place) => {
-                self.nodes.insert(place, (node.into(), (NodeSecond::default(), 0)));
-                place
+    fn node_counts(&mut self, node: &str) -> Option<&mut NodeCounts> {
+        let index = match self.nodes.binary_search_by(|known| (*known.id).cmp(node)) {
+            Ok(index) => index,
+            Err(_) if self.nodes.len() >= MAX_NODES => return None,
+            Err(index) => {
+                let new = NodeCounts { id: node.into(), counts: NodeSecond::default(), in_flight: 0 };
+                self.nodes.insert(index, new);
+                index
             }
         };
-        Some(&mut self.nodes[place].1)
+        Some(&mut self.nodes[index])
     }
 
-    /// What it came to; the next begins. At least one event, as a sign of life.
+    /// Ends the second, returns its counts, and begins the next one. There is at least one event, which shows
+    /// that the scheduler is running.
     pub fn close(&mut self, now: Micros) -> Vec<Event> {
-        let (from, lasted) = (self.from, now.saturating_sub(self.from));
-        // Every event is preceded by a look at the clock, so that all that was counted lies within the first
-        // second; the next begins at a whole one.
-        let span = lasted.min(SECOND);
-        self.from += lasted - lasted % SECOND;
+        let (start, elapsed) = (self.start, now.saturating_sub(self.start));
+        // The clock is checked before every event, so that all counts belong to the first second of the
+        // elapsed time. The next one begins at a whole second.
+        let duration = elapsed.min(SECOND);
+        self.start += elapsed - elapsed % SECOND;
+        let mut events = self.close_classes(start, duration);
+        if events.is_empty() {
+            events.push(Event::ClassSecond(ClassSecond { start, duration, ..ClassSecond::default() }));
+        }
+        events.extend(self.close_nodes(start, duration));
+        events
+    }
+
+    fn close_classes(&mut self, start: Micros, duration: Micros) -> Vec<Event> {
         let mut events = Vec::new();
-        for (place, (counts, times)) in self.classes.iter_mut().enumerate() {
+        for (index, ClassCounts { counts, latencies }) in self.classes.iter_mut().enumerate() {
             if *counts == ClassSecond::default() {
                 continue;
             }
             let mut counts = std::mem::take(counts);
-            (counts.from, counts.span, counts.class) = (from, span, place as u16);
-            if let Some(times) = times.as_mut().filter(|times| !times.is_empty()) {
-                // A vector takes all of it.
-                let _ = V2Serializer::new().serialize(times, &mut counts.times);
-                times.reset();
+            (counts.start, counts.duration, counts.class) = (start, duration, index as u16);
+            if let Some(latencies) = latencies.as_mut().filter(|latencies| !latencies.is_empty()) {
+                // Writing to a vector does not fail.
+                let _ = V2Serializer::new().serialize(latencies, &mut counts.latency_histogram);
+                latencies.reset();
             }
-            events.push(Event::Class(counts));
-        }
-        if events.is_empty() {
-            events.push(Event::Class(ClassSecond { from, span, ..ClassSecond::default() }));
+            events.push(Event::ClassSecond(counts));
         }
-        for (node, (counts, out)) in &mut self.nodes {
-            let idle = NodeSecond { most_out: 0, ..NodeSecond::default() };
-            let active = NodeSecond { most_out: 0, ..counts.clone() } != idle || *out > 0;
-            if active {
-                let (node, counts) = (node.to_string(), std::mem::take(counts));
-                events.push(Event::NodeSecond(NodeSecond { from, span, node, ..counts }));
+        events
+    }
+
+    fn close_nodes(&mut self, start: Micros, duration: Micros) -> Vec<Event> {
+        let mut events = Vec::new();
+        for NodeCounts { id, counts, in_flight } in &mut self.nodes {
+            let unchanged = NodeSecond { max_in_flight: 0, ..counts.clone() } == NodeSecond::default();
+            if !unchanged || *in_flight > 0 {
+                let (node, counts) = (id.to_string(), std::mem::take(counts));
+                events.push(Event::NodeSecond(NodeSecond { start, duration, node, ..counts }));
             }
-            counts.most_out = *out;
+            counts.max_in_flight = *in_flight;
         }
-        // One at which nothing is out is met again when something is.
-        self.nodes.retain(|(_, (_, out))| *out > 0);
+        // A node without an attempt in flight is added again with its next attempt.
+        self.nodes.retain(|node| node.in_flight > 0);
         events
     }
 }
 
-fn refusal(why: Refusal) -> usize {
-    REFUSALS.iter().position(|(known, _)| *known == why).unwrap_or(0)
+fn shed_index(reason: ShedReason) -> usize {
+    SHED_REASON_NAMES.iter().position(|(known, _)| *known == reason).unwrap_or(0)
+}
+
+fn failure_index(reason: FailureReason) -> usize {
+    FAILURE_REASON_NAMES.iter().position(|(known, _)| *known == reason).unwrap_or(0)
 }
 
-fn failure(why: Failure) -> usize {
-    FAILURES.iter().position(|(known, _)| *known == why).unwrap_or(0)
+fn attempt_end_index(end: AttemptEnd) -> usize {
+    ATTEMPT_END_NAMES.iter().position(|(known, _)| *known == end).unwrap_or(0)
 }
--- a/crates/event-recorder/tests/recorder.rs
+++ b/crates/event-recorder/tests/recorder.rs
@@ -5,28 +5,29 @@
 
 use heathward_core::OperatorCommand;
 use heathward_event_log::{
-    channel, Ended, Event, Failure, Lifecycle, NodeState, Outcome, Record, Refusal, Waiting, Why,
+    event_channel, AttemptEnd, Event, EventReceiver, FailureReason, Lifecycle, NodeState, Record,
+    RequestOutcome, ShedReason, StateChangeCause,
 };
 use heathward_event_recorder::{Clock, Recorder};
 use heathward_fakes::{http_node, member, nobody, request, rig, Does, Log, Rig};
 use tokio::time::{sleep, Instant};
 
-async fn recorded(members: &[String], requests: bool) -> (Rig, Waiting) {
+async fn recorded(members: &[String], requests: bool) -> (Rig, EventReceiver) {
     let rig = rig(members, None).await;
     rig.until(|counters| counters.endpoint_updates == 1).await;
-    let (sender, waiting) = channel(4096);
+    let (sender, waiting) = event_channel(4096);
     rig.core.set_observer(Some(Box::new(Recorder::new(sender, Clock::default(), requests)))).await;
     (rig, waiting)
 }
 
 /// All events up to the recorder's end.
-async fn all(rig: &Rig, waiting: &Waiting) -> Vec<Record> {
+async fn all(rig: &Rig, waiting: &EventReceiver) -> Vec<Record> {
     rig.core.set_observer(None).await;
     let by = Instant::now() + heathward_fakes::PATIENCE;
     let mut records = Vec::new();
     loop {
         records.extend(waiting.try_iter());
-        if records.last().is_some_and(|r: &Record| r.event == Event::Lifecycle(Lifecycle::Ended)) {
+        if records.last().is_some_and(|r: &Record| r.event == Event::Lifecycle(Lifecycle::Stopped)) {
             return records;
         }
         assert!(Instant::now() < by, "never ended: {records:?}");
@@ -47,28 +48,34 @@
     let (status, ..) = rig.ask(&request("consulta", 3, 1, 300, "")).await;
     assert!(status == 503 || status == 504, "{status}");
     let records = all(&rig, &waiting).await;
-    assert!(records.windows(2).all(|pair| pair[1].seq == pair[0].seq + 1), "{records:?}");
+    assert!(records.windows(2).all(|pair| pair[1].sequence == pair[0].sequence + 1), "{records:?}");
     let requests = records.iter().filter_map(|r| match &r.event {
-        Event::Request(done) => Some(done),
+        Event::RequestEnded(done) => Some(done),
         _ => None,
     });
     let requests: Vec<_> = requests.collect();
     assert_eq!(requests.len(), 3, "{requests:?}");
     let ends =
-        |at: usize| requests[at].attempts.iter().filter_map(|a| a.ended.map(|(_, e)| e)).collect::<Vec<_>>();
-    assert_eq!((requests[0].outcome, ends(0)), (Outcome::Served, vec![Ended::Error, Ended::Served]));
-    assert_eq!((requests[1].outcome, ends(1)), (Outcome::Served, vec![Ended::Served]));
-    assert!(ends(2).iter().all(|end| *end == Ended::NotConnected) && !ends(2).is_empty(), "{requests:?}");
-    let refused = Outcome::Refused(Refusal::NotConnected);
-    let failed = Outcome::Failed(Failure::Late);
+        |at: usize| requests[at].attempts.iter().filter_map(|a| a.end.map(|(_, e)| e)).collect::<Vec<_>>();
+    assert_eq!(
+        (requests[0].outcome, ends(0)),
+        (RequestOutcome::Served, vec![AttemptEnd::Error, AttemptEnd::Served])
+    );
+    assert_eq!((requests[1].outcome, ends(1)), (RequestOutcome::Served, vec![AttemptEnd::Served]));
+    assert!(
+        ends(2).iter().all(|end| *end == AttemptEnd::NotConnected) && !ends(2).is_empty(),
+        "{requests:?}"
+    );
+    let refused = RequestOutcome::Shed(ShedReason::NotConnected);
+    let failed = RequestOutcome::Failed(FailureReason::DeadlinePassed);
     assert!([refused, failed].contains(&requests[2].outcome), "{requests:?}");
     let (mut served, mut ended, mut sent) = (0, 0, 0);
     for record in &records {
         match &record.event {
-            Event::Class(second) => served += second.in_aim + second.late,
+            Event::ClassSecond(second) => served += second.within_objective + second.late,
             Event::NodeSecond(second) => {
                 sent += second.sent;
-                ended += second.ends.iter().sum::<u32>();
+                ended += second.attempt_ends.iter().sum::<u32>();
             }
             _ => {}
         }
@@ -85,11 +92,17 @@
     rig.core.run_command(OperatorCommand::Restore("s0".into()), false).await.unwrap().unwrap();
     let records = all(&rig, &waiting).await;
     let changes = records.iter().filter_map(|r| match &r.event {
-        Event::Node(change) => Some((change.state, change.why)),
+        Event::NodeStateChanged(change) => Some((change.state, change.cause)),
         _ => None,
     });
     let changes: Vec<_> = changes.collect();
     let [(first, _), (out, by), (back, again)] = changes[..] else { panic!("{changes:?}") };
-    assert_eq!((first, out, by), (NodeState::InService, NodeState::Suspended, Why::Order));
-    assert!(matches!(back, NodeState::Cold(_)) && again == Why::Order, "{changes:?}");
+    assert_eq!(
+        (first, out, by),
+        (NodeState::InService, NodeState::Suspended, StateChangeCause::OperatorCommand)
+    );
+    assert!(
+        matches!(back, NodeState::SlowStart(_)) && again == StateChangeCause::OperatorCommand,
+        "{changes:?}"
+    );
 }
--- a/crates/incident/src/audit.rs
+++ b/crates/incident/src/audit.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use heathward_event_log::{Micros, Opened};
+use heathward_event_log::{Micros, SegmentOpened};
 use serde::Serialize;
 
 /// Breaches that are kept of each rule; of more only the number is.
@@ -120,15 +120,15 @@
 
 /// Units that a node which started so long ago bears in a window of the rule, from all schedulers together:
 /// its capacity rises evenly from the cold share.
-pub fn bears(settings: &Opened, age: Micros) -> f64 {
-    let share = settings.cold_share.clamp(0.01, 1.0);
-    let warm = (age.min(settings.cold_time) as f64) / settings.cold_time.max(1) as f64;
-    settings.cold_units * (share + (1.0 - share) * warm) / share
+pub fn bears(settings: &SegmentOpened, age: Micros) -> f64 {
+    let share = settings.slow_start_fraction.clamp(0.01, 1.0);
+    let warm = (age.min(settings.slow_start_duration) as f64) / settings.slow_start_duration.max(1) as f64;
+    settings.slow_start_units * (share + (1.0 - share) * warm) / share
 }
 
 /// Units in `span` that break the rule on a cold node for certain, wherever in it they were sent: more than
 /// all windows that touch it bear.
-pub fn certainly_too_much(settings: &Opened, age: Micros, span: Micros) -> f64 {
-    let windows = span.div_ceil(settings.fall_time.max(1)) + 1;
+pub fn certainly_too_much(settings: &SegmentOpened, age: Micros, span: Micros) -> f64 {
+    let windows = span.div_ceil(settings.overload_window.max(1)) + 1;
     bears(settings, age) * windows as f64
 }
--- a/crates/incident/src/findings.rs
+++ b/crates/incident/src/findings.rs
@@ -1,6 +1,9 @@
 //! What happened, in sentences with times and figures.
 
-use heathward_event_log::{Ended, Lifecycle, Micros, NodeState, Why, ENDS, FAILURES, REFUSALS};
+use heathward_event_log::{
+    AttemptEnd, Lifecycle, Micros, NodeState, StateChangeCause, ATTEMPT_END_NAMES, FAILURE_REASON_NAMES,
+    SHED_REASON_NAMES,
+};
 use serde::Serialize;
 
 use crate::audit::Rule;
@@ -147,7 +150,7 @@
     to: Micros,
     /// Whether it lasted to the last that is known of all who saw it.
     open: bool,
-    why: Why,
+    why: StateChangeCause,
     /// When each that saw it did so first, by boot.
     seen: Vec<(Micros, usize)>,
 }
@@ -155,11 +158,11 @@
 fn kind(state: NodeState) -> Option<What> {
     match state {
         NodeState::InService => None,
-        NodeState::Cold(_) => Some(What::Cold),
-        NodeState::Silent => Some(What::Silent),
+        NodeState::SlowStart(_) => Some(What::Cold),
+        NodeState::Unresponsive => Some(What::Silent),
         NodeState::Suspended => Some(What::Suspended),
         NodeState::Draining => Some(What::Draining),
-        NodeState::Gone => Some(What::Gone),
+        NodeState::Removed => Some(What::Gone),
     }
 }
 
@@ -189,17 +192,18 @@
     episodes
 }
 
-fn cause(why: Why) -> String {
+fn cause(why: StateChangeCause) -> String {
     match why {
-        Why::List(revision) => format!(" (list version {revision})"),
-        Why::Order => " (by hand)".to_owned(),
-        Why::Handover => " (as the process before had it)".to_owned(),
-        Why::Attempt(Ended::Served) => " (it answered)".to_owned(),
-        Why::Attempt(end) => {
-            let words = ENDS.iter().find(|(known, _)| *known == end).map_or("", |(_, words)| words);
+        StateChangeCause::EndpointUpdate(revision) => format!(" (list version {revision})"),
+        StateChangeCause::OperatorCommand => " (by hand)".to_owned(),
+        StateChangeCause::Handover => " (as the process before had it)".to_owned(),
+        StateChangeCause::AttemptEnded(AttemptEnd::Served) => " (it answered)".to_owned(),
+        StateChangeCause::AttemptEnded(end) => {
+            let words =
+                ATTEMPT_END_NAMES.iter().find(|(known, _)| *known == end).map_or("", |(_, words)| words);
             format!(" (attempts: {words})")
         }
-        Why::Time => String::new(),
+        StateChangeCause::TimePassed => String::new(),
     }
 }
 
@@ -292,8 +296,8 @@
                     format!("{name} did not take a configuration at {}; the old one stood.", clock(*at));
                 all.push(of_scheduler(boot, *at, None, What::Refused, text));
             }
-            Lifecycle::Stopped(silence) => stopped = Some((*at, *silence)),
-            Lifecycle::WentOn => {
+            Lifecycle::LeaseExpired(silence) => stopped = Some((*at, *silence)),
+            Lifecycle::LeaseRenewed => {
                 all.extend(
                     stopped.take().map(|(from, silence)| sent_nothing(boot, from, Some(*at), silence)),
                 );
@@ -413,11 +417,11 @@
                 sum.late
             );
             if refused > 0 {
-                text.push_str(&format!(" ({})", most(&sum.refused, &REFUSALS)));
+                text.push_str(&format!(" ({})", most(&sum.refused, &SHED_REASON_NAMES)));
             }
             text.push_str(&format!(", {failed} failed"));
             if failed > 0 {
-                text.push_str(&format!(" ({})", most(&sum.failed, &FAILURES)));
+                text.push_str(&format!(" ({})", most(&sum.failed, &FAILURE_REASON_NAMES)));
             }
             text.push('.');
             let subject = table.name.clone();
--- a/crates/incident/src/fold.rs
+++ b/crates/incident/src/fold.rs
@@ -4,10 +4,10 @@
 
 use hdrhistogram::serialization::Deserializer;
 use hdrhistogram::Histogram;
-use heathward_event_log::read::Item;
+use heathward_event_log::read::SegmentItem;
 use heathward_event_log::{
-    ClassSecond, Ended, Event, Gap, GapCause, Kind, Lifecycle, Listed, Micros, NodeChange, NodeState, Opened,
-    Record, RequestDone, Stamp, Why,
+    AttemptEnd, ClassSecond, EndpointUpdate, EndpointUpdateKind, Event, Gap, GapCause, Lifecycle, Micros,
+    NodeState, NodeStateChange, Record, RequestRecord, SegmentOpened, StateChangeCause, Timestamp,
 };
 use serde::Serialize;
 
@@ -104,11 +104,11 @@
     /// The boot.
     pub boot: u64,
     /// The settings, once a segment's head was read.
-    pub opened: Option<Opened>,
+    pub opened: Option<SegmentOpened>,
     /// First and last event.
-    pub first: Option<Stamp>,
-    pub(crate) last: Stamp,
-    pub(crate) changes: Vec<(Micros, NodeChange)>,
+    pub first: Option<Timestamp>,
+    pub(crate) last: Timestamp,
+    pub(crate) changes: Vec<(Micros, NodeStateChange)>,
     pub(crate) lifecycle: Vec<(Micros, Lifecycle)>,
     pub(crate) steps: Vec<Step>,
     pub(crate) holes: Vec<Hole>,
@@ -144,7 +144,7 @@
             boot,
             opened: None,
             first: None,
-            last: Stamp::default(),
+            last: Timestamp::default(),
             changes: Vec::new(),
             lifecycle: Vec::new(),
             steps: Vec::new(),
@@ -167,11 +167,13 @@
     }
 
     /// The next item of the boot's segments.
-    pub fn take(&mut self, item: &Item) {
+    pub fn take(&mut self, item: &SegmentItem) {
         match item {
-            Item::Record(record) => self.record(record),
-            Item::Damaged { .. } | Item::Unreadable { .. } => self.damaged = Some(Missing::Damage),
-            Item::Newer { .. } => self.damaged = Some(Missing::Newer),
+            SegmentItem::Record(record) => self.record(record),
+            SegmentItem::Damaged { .. } | SegmentItem::Unreadable { .. } => {
+                self.damaged = Some(Missing::Damage)
+            }
+            SegmentItem::Newer { .. } => self.damaged = Some(Missing::Newer),
         }
     }
 
@@ -183,95 +185,95 @@
     /// The last item has been taken.
     pub fn finish(&mut self) {
         if self.ending() == Ending::Running {
-            let at = self.last.mono;
+            let at = self.last.monotonic;
             self.holes.push(Hole { from: at, to: at, events: 0, why: Missing::Cut });
         }
     }
 
     /// The last event's time on the boot's own wall clock.
     pub fn last_wall(&self) -> Micros {
-        self.last.wall
+        self.last.wall_clock
     }
 
     pub(crate) fn ending(&self) -> Ending {
         match () {
-            () if self.lifecycle.last().is_some_and(|(_, l)| *l == Lifecycle::Ended) => Ending::Planned,
+            () if self.lifecycle.last().is_some_and(|(_, l)| *l == Lifecycle::Stopped) => Ending::Planned,
             () if self.holes.last().is_some_and(|hole| hole.why == Missing::Cut) => Ending::Cut,
             () => Ending::Running,
         }
     }
 
     fn record(&mut self, record: &Record) {
-        if let Event::Opened(opened) = &record.event {
+        if let Event::SegmentOpened(opened) = &record.event {
             self.scheduler.clone_from(&opened.scheduler);
             self.opened = Some(opened.clone());
             return;
         }
         self.count(record);
-        let mono = record.at.mono;
+        let mono = record.time.monotonic;
         let before = self.first.map(|_| self.last);
-        self.first.get_or_insert(record.at);
+        self.first.get_or_insert(record.time);
         if let Some(before) = before {
-            let wall = record.at.wall as i64 - before.wall as i64;
-            let by = wall - (mono as i64 - before.mono as i64);
+            let wall = record.time.wall_clock as i64 - before.wall_clock as i64;
+            let by = wall - (mono as i64 - before.monotonic as i64);
             if by.abs() > STEP && self.steps.len() < KEPT {
                 self.steps.push(Step { at: mono, by });
             }
         }
-        self.last = record.at;
+        self.last = record.time;
         match &record.event {
-            Event::Opened(_) | Event::Gap(_) => {}
+            Event::SegmentOpened(_) | Event::Gap(_) => {}
             Event::Unknown(_) => self.unknown += 1,
             Event::Lifecycle(lifecycle) => {
                 if self.lifecycle.len() < KEPT {
                     self.lifecycle.push((mono, *lifecycle));
                 }
             }
-            Event::Listed(listed) => self.listed(mono, listed),
-            Event::Node(change) => self.change(mono, change),
-            Event::Class(second) => self.class(second),
+            Event::EndpointUpdate(listed) => self.listed(mono, listed),
+            Event::NodeStateChanged(change) => self.change(mono, change),
+            Event::ClassSecond(second) => self.class(second),
             Event::NodeSecond(second) => {
                 let series = self.nodes.entry(second.node.clone()).or_default();
                 let counts = NodeCounts::of(second);
-                crate::series::Sum::add(series.at(second.from), &counts);
-                self.check_second(second.from, second.span, &second.node, second.sent);
+                crate::series::Sum::add(series.at(second.start), &counts);
+                self.check_second(second.start, second.duration, &second.node, second.sent);
             }
-            Event::Request(done) => self.request(done),
+            Event::RequestEnded(done) => self.request(done),
         }
     }
 
     /// Numbers tell what is missing before this event.
     fn count(&mut self, record: &Record) {
         let damaged = self.damaged.take();
-        let from = self.last.mono;
-        let weight = record.weight();
-        if let Event::Gap(Gap { from, to, events, cause }) = record.event {
-            let why = if cause == GapCause::Queue { Missing::Queue } else { Missing::Disk };
-            self.holes.push(Hole { from: from.mono, to: to.mono, events, why });
+        let from = self.last.monotonic;
+        let weight = record.event_count();
+        if let Event::Gap(Gap { first: from, last: to, events, cause }) = record.event {
+            let why = if cause == GapCause::QueueFull { Missing::Queue } else { Missing::Disk };
+            self.holes.push(Hole { from: from.monotonic, to: to.monotonic, events, why });
         }
-        let missing = (record.seq + 1).saturating_sub(weight).saturating_sub(self.seq + 1);
+        let missing = (record.sequence + 1).saturating_sub(weight).saturating_sub(self.seq + 1);
         // What came before the first that is kept made way for others.
         if missing > 0 && (self.first.is_some() || damaged.is_some()) && self.holes.len() < KEPT {
             let why = damaged.unwrap_or(Missing::Lost);
-            self.holes.push(Hole { from, to: record.at.mono, events: missing, why });
+            self.holes.push(Hole { from, to: record.time.monotonic, events: missing, why });
         }
-        self.seq = self.seq.max(record.seq);
+        self.seq = self.seq.max(record.sequence);
     }
 
-    fn listed(&mut self, mono: Micros, listed: &Listed) {
-        if listed.kind == Kind::Changes && self.revisions.len() < KEPT {
+    fn listed(&mut self, mono: Micros, listed: &EndpointUpdate) {
+        if listed.kind == EndpointUpdateKind::Changes && self.revisions.len() < KEPT {
             self.revisions.entry(listed.revision).or_insert(mono);
         }
         for node in &listed.nodes {
             self.shards.insert(node.node.clone(), node.shard);
-            if let (Some(started), true) = (node.started, self.starts.len() < KEPT) {
+            if let (Some(started), true) = (node.started_at, self.starts.len() < KEPT) {
                 self.starts.entry((node.node.clone(), started)).or_insert(mono);
             }
         }
     }
 
-    fn change(&mut self, mono: Micros, change: &NodeChange) {
-        let closes = matches!(change.state, NodeState::Draining | NodeState::Suspended | NodeState::Gone);
+    fn change(&mut self, mono: Micros, change: &NodeStateChange) {
+        let closes = matches!(change.state, NodeState::Draining | NodeState::Suspended | NodeState::Removed);
         if closes {
             self.closed.entry(change.node.clone()).or_insert(mono);
         } else if let Some(since) = self.closed.remove(&change.node) {
@@ -298,9 +300,10 @@
 
     fn class(&mut self, second: &ClassSecond) {
         let mut counts = ClassCounts::of(second);
-        if !second.times.is_empty() {
+        if !second.latency_histogram.is_empty() {
             let reader = self.times.get_or_insert_with(Deserializer::new);
-            let times: Result<Histogram<u64>, _> = reader.deserialize(&mut second.times.as_slice());
+            let times: Result<Histogram<u64>, _> =
+                reader.deserialize(&mut second.latency_histogram.as_slice());
             // One that can't be read costs the times of its second, not the counts.
             for value in times.iter().flat_map(|times| times.iter_recorded()) {
                 counts.times.add_many(value.value_iterated_to(), value.count_since_last_iteration());
@@ -310,12 +313,12 @@
         if self.classes.len() <= place {
             self.classes.resize_with(place + 1, Series::default);
         }
-        crate::series::Sum::add(self.classes[place].at(second.from), &counts);
+        crate::series::Sum::add(self.classes[place].at(second.start), &counts);
     }
 
     /// A second that lies wholly behind a drain: with single requests recorded, these are looked at instead.
     fn check_second(&mut self, from: Micros, span: Micros, node: &str, sent: u32) {
-        if self.opened.as_ref().is_some_and(|opened| opened.requests) {
+        if self.opened.as_ref().is_some_and(|opened| opened.records_requests) {
             return;
         }
         self.audit.look(Rule::Drains, u64::from(sent));
@@ -329,59 +332,62 @@
         }
     }
 
-    fn request(&mut self, done: &RequestDone) {
+    fn request(&mut self, done: &RequestRecord) {
         let class = self.opened.as_ref().and_then(|o| o.classes.get(usize::from(done.class))).cloned();
         let class = class.unwrap_or_default();
         let id = done.request;
         self.audit.look(Rule::OneAnswer, 1);
         if !self.answered.insert(id) {
-            self.audit.breach(Rule::OneAnswer, done.answered, format!("request {id} was answered twice"));
+            self.audit.breach(Rule::OneAnswer, done.ended_at, format!("request {id} was answered twice"));
         }
         self.newest = self.newest.max(id);
         while self.answered.first().is_some_and(|oldest| oldest + REMEMBERED < self.newest) {
             self.answered.pop_first();
         }
         self.audit.look(Rule::Deadlines, 1);
-        let took = done.answered.saturating_sub(done.arrived);
+        let took = done.ended_at.saturating_sub(done.arrived_at);
         if class.deadline > 0 && took > class.deadline + LATE_GRACE {
             let why = format!("request {id} of {} got its answer after {} ms", class.name, took / 1000);
-            self.audit.breach(Rule::Deadlines, done.answered, why);
+            self.audit.breach(Rule::Deadlines, done.ended_at, why);
         }
         let attempts = &done.attempts;
         self.audit.look(Rule::OneAttempt, attempts.len() as u64);
         for pair in attempts.windows(2) {
-            if pair[0].ended.is_none_or(|(ended, _)| ended > pair[1].sent) {
+            if pair[0].end.is_none_or(|(ended, _)| ended > pair[1].sent_at) {
                 let why =
                     format!("request {id} had attempts at {} and {} at once", pair[0].node, pair[1].node);
-                self.audit.breach(Rule::OneAttempt, pair[1].sent, why);
+                self.audit.breach(Rule::OneAttempt, pair[1].sent_at, why);
             }
         }
         self.audit.look(Rule::Drains, attempts.len() as u64);
         for attempt in attempts {
-            let since = self.closed_at(&attempt.node, attempt.sent);
-            if let Some(since) = since.filter(|since| attempt.sent > since + DRAIN_GRACE) {
-                let after = (attempt.sent - since) / 1000;
+            let since = self.closed_at(&attempt.node, attempt.sent_at);
+            if let Some(since) = since.filter(|since| attempt.sent_at > since + DRAIN_GRACE) {
+                let after = (attempt.sent_at - since) / 1000;
                 let why = format!("request {id} was sent to {} {after} ms after it was closed", attempt.node);
-                self.audit.breach(Rule::Drains, attempt.sent, why);
+                self.audit.breach(Rule::Drains, attempt.sent_at, why);
             }
         }
-        if class.window > 0 {
-            self.keyed(done, class.window);
+        if class.deduplication_window > 0 {
+            self.keyed(done, class.deduplication_window);
         }
     }
 
     /// A keyed write that may have run is sent again only to its shard, and within the window.
-    fn keyed(&mut self, done: &RequestDone, window: Micros) {
+    fn keyed(&mut self, done: &RequestRecord, window: Micros) {
         self.audit.look(Rule::KeyedRepeats, 1);
-        let ran = |ended: Option<(Micros, Ended)>| {
+        let ran = |ended: Option<(Micros, AttemptEnd)>| {
             ended.is_none_or(|(_, end)| {
-                matches!(end, Ended::Error | Ended::TimedOut | Ended::Reset | Ended::Cancelled)
+                matches!(
+                    end,
+                    AttemptEnd::Error | AttemptEnd::TimedOut | AttemptEnd::Reset | AttemptEnd::Cancelled
+                )
             })
         };
-        let Some(first) = done.attempts.iter().position(|a| ran(a.ended)) else { return };
-        let (sent, shard) = (done.attempts[first].sent, self.shards.get(&done.attempts[first].node));
+        let Some(first) = done.attempts.iter().position(|a| ran(a.end)) else { return };
+        let (sent, shard) = (done.attempts[first].sent_at, self.shards.get(&done.attempts[first].node));
         for repeat in &done.attempts[first + 1..] {
-            let after = repeat.sent.saturating_sub(sent);
+            let after = repeat.sent_at.saturating_sub(sent);
             let here = self.shards.get(&repeat.node);
             let why = match () {
                 () if after > window => format!("{} ms after the first that may have run", after / 1000),
@@ -389,7 +395,7 @@
                 () => continue,
             };
             let why = format!("keyed request {} was sent again to {} {why}", done.request, repeat.node);
-            self.audit.breach(Rule::KeyedRepeats, repeat.sent, why);
+            self.audit.breach(Rule::KeyedRepeats, repeat.sent_at, why);
         }
     }
 
@@ -401,7 +407,7 @@
             if let Some(last) = lane.last_mut() {
                 last.to = *at;
             }
-            lane.push(Span { from: *at, to: self.last.mono, state: change.state, why: change.why });
+            lane.push(Span { from: *at, to: self.last.monotonic, state: change.state, why: change.cause });
         }
         lanes
     }
@@ -417,5 +423,5 @@
     /// How.
     pub state: NodeState,
     /// Why it began.
-    pub why: Why,
+    pub why: StateChangeCause,
 }
--- a/crates/incident/src/series.rs
+++ b/crates/incident/src/series.rs
@@ -156,12 +156,12 @@
     /// A second's counts, but for its times.
     pub fn of(second: &ClassSecond) -> Self {
         Self {
-            taken: second.taken.into(),
-            in_aim: second.in_aim.into(),
+            taken: second.received.into(),
+            in_aim: second.within_objective.into(),
             late: second.late.into(),
-            refused: second.refused.map(u64::from),
+            refused: second.shed.map(u64::from),
             failed: second.failed.map(u64::from),
-            gone: second.gone.into(),
+            gone: second.client_disconnects.into(),
             times: Times::default(),
         }
     }
@@ -207,9 +207,9 @@
     pub fn of(second: &NodeSecond) -> Self {
         Self {
             sent: second.sent.into(),
-            cold_units: second.cold_units.into(),
-            ends: second.ends.map(u64::from),
-            most_out: second.most_out.into(),
+            cold_units: second.slow_start_units.into(),
+            ends: second.attempt_ends.map(u64::from),
+            most_out: second.max_in_flight.into(),
         }
     }
 }
--- a/crates/incident/src/timeline.rs
+++ b/crates/incident/src/timeline.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use heathward_event_log::{Lifecycle, Micros, NodeState, Opened, Why};
+use heathward_event_log::{Lifecycle, Micros, NodeState, SegmentOpened, StateChangeCause};
 
 use crate::audit::{certainly_too_much, Audit, Rule};
 use crate::clocks::{solve, Bound, Offset, Sighting};
@@ -70,7 +70,7 @@
     /// What it went through.
     pub lifecycle: Vec<(Micros, Lifecycle)>,
     /// Its settings, where a segment's head was read.
-    pub opened: Option<Opened>,
+    pub opened: Option<SegmentOpened>,
 }
 
 /// A while of which something is missing.
@@ -109,7 +109,7 @@
     /// How.
     pub state: NodeState,
     /// Why it began.
-    pub why: Why,
+    pub why: StateChangeCause,
 }
 
 /// How one boot treated a node.
@@ -164,7 +164,7 @@
     /// Brings boots together, in whatever order they come.
     pub fn of<'a>(folds: impl IntoIterator<Item = &'a Fold>, window: Window) -> Self {
         let mut folds: Vec<&Fold> = folds.into_iter().filter(|fold| fold.first.is_some()).collect();
-        let guess = |fold: &Fold| fold.first.map_or(0, |at| at.wall as i64 - at.mono as i64);
+        let guess = |fold: &Fold| fold.first.map_or(0, |at| at.wall_clock as i64 - at.monotonic as i64);
         folds.sort_by_key(|fold| (guess(fold), fold.boot));
         let guesses: Vec<i64> = folds.iter().map(|fold| guess(fold)).collect();
         let (bounds, sightings) = (orders(&folds, &guesses), sightings(&folds));
@@ -205,7 +205,11 @@
             let name = if told.name.is_empty() { format!("class {class}") } else { told.name };
             let known = self.classes.iter().position(|table| table.name == name);
             let known = known.unwrap_or_else(|| {
-                self.classes.push(ClassTable { name, aim: told.aim, series: Series::default() });
+                self.classes.push(ClassTable {
+                    name,
+                    aim: told.latency_objective,
+                    series: Series::default(),
+                });
                 self.classes.len() - 1
             });
             merge(&mut self.classes[known].series, series, at, self.window);
@@ -273,7 +277,7 @@
     /// Counts of cold nodes by the second, all schedulers together, against what a node bears.
     fn check_cold_nodes(&mut self) {
         let Some(settings) = self.boots.iter().find_map(|boot| boot.opened.clone()) else { return };
-        if settings.cold_units <= 0.0 {
+        if settings.slow_start_units <= 0.0 {
             return;
         }
         let mut breaches = Vec::new();
@@ -309,7 +313,7 @@
         let ages = table.lanes.iter().flat_map(|lane| {
             let ahead = self.boots[lane.boot].ahead;
             lane.spans.iter().filter(|span| span.from <= by).filter_map(move |span| match span.state {
-                NodeState::Cold(since) => {
+                NodeState::SlowStart(since) => {
                     let since = since.saturating_add_signed(-ahead);
                     (span.to + SECOND >= by.saturating_sub(2 * SECOND)).then(|| by.saturating_sub(since))
                 }
@@ -326,8 +330,8 @@
     Boot {
         scheduler: fold.scheduler.clone(),
         boot: fold.boot,
-        from: at(fold.first.map_or(0, |first| first.mono)),
-        to: at(fold.last.mono),
+        from: at(fold.first.map_or(0, |first| first.monotonic)),
+        to: at(fold.last.monotonic),
         ending: fold.ending(),
         offset,
         ahead: guess - offset.value,
@@ -373,7 +377,7 @@
             let taken = has(fold, Lifecycle::TookOver);
             match (handed, taken) {
                 (Some(handed), Some(taken)) => before(a, handed, b, taken, Some(TAKEOVER)),
-                _ => before(a, folds[a].last.mono, b, fold.first.map_or(0, |at| at.mono), None),
+                _ => before(a, folds[a].last.monotonic, b, fold.first.map_or(0, |at| at.monotonic), None),
             }
         }
         earlier.push(b);
--- a/crates/incident/tests/incident.rs
+++ b/crates/incident/tests/incident.rs
@@ -1,8 +1,10 @@
 //! Reconstruction from records written here: clocks that differ, losses, and each rule broken on purpose.
 #![cfg(test)]
 
-use heathward_event_log::read::Item;
-use heathward_event_log::{Ended, Event, Gap, GapCause, Lifecycle, NodeSecond, NodeState, Record, Why};
+use heathward_event_log::read::SegmentItem;
+use heathward_event_log::{
+    AttemptEnd, Event, Gap, GapCause, Lifecycle, NodeSecond, NodeState, Record, StateChangeCause,
+};
 use heathward_fakes::told::{Told, MS, NINE};
 use heathward_incident::audit::Rule;
 use heathward_incident::findings::What;
@@ -23,11 +25,11 @@
     for (name, begun, ahead, late) in [("n0", 0, 0, 3), ("n1", 500, 300, 9), ("n2", 900, -2000, 6)] {
         let mut told = Told::new(name, begun, ahead);
         told.list(2000 + late, 7, "s0", NodeState::InService);
-        told.node(2000 + late, "s0", NodeState::InService, Why::List(7));
+        told.node(2000 + late, "s0", NodeState::InService, StateChangeCause::EndpointUpdate(7));
         told.list(5000 + late, 8, "s0", NodeState::Draining);
-        told.node(5000 + late, "s0", NodeState::Draining, Why::List(8));
+        told.node(5000 + late, "s0", NodeState::Draining, StateChangeCause::EndpointUpdate(8));
         told.list(8000 + late, 9, "s0", NodeState::InService);
-        told.node(8000 + late, "s0", NodeState::InService, Why::List(9));
+        told.node(8000 + late, "s0", NodeState::InService, StateChangeCause::EndpointUpdate(9));
         (0..9).for_each(|second| told.class(1000 * (second + 1), 10, 0));
         all.push(told.end(11_000));
     }
@@ -60,9 +62,9 @@
 #[test]
 fn a_scheduler_that_sent_nothing_is_found_with_the_cause() {
     let mut told = Told::new("n0", 0, 0);
-    told.put(2000, Event::Lifecycle(Lifecycle::Stopped(6_000 * MS)));
-    told.put(4500, Event::Lifecycle(Lifecycle::WentOn));
-    told.put(7000, Event::Lifecycle(Lifecycle::Stopped(6_100 * MS)));
+    told.put(2000, Event::Lifecycle(Lifecycle::LeaseExpired(6_000 * MS)));
+    told.put(4500, Event::Lifecycle(Lifecycle::LeaseRenewed));
+    told.put(7000, Event::Lifecycle(Lifecycle::LeaseExpired(6_100 * MS)));
     let incident = incident(&[told.end(11_000)]);
     assert_eq!(
         texts(&incident, What::Stopped),
@@ -89,8 +91,8 @@
 fn a_step_of_the_clock_is_told_and_moves_nothing() {
     let mut told = drained();
     for item in told[0].items.iter_mut().skip(8) {
-        if let Item::Record(record) = item {
-            record.at.wall -= 2_000_000;
+        if let SegmentItem::Record(record) = item {
+            record.time.wall_clock -= 2_000_000;
         }
     }
     let incident = incident(&told);
@@ -131,8 +133,8 @@
 }
 
 #[rstest]
-#[case::told(Some(GapCause::Disk), Missing::Disk)]
-#[case::queue(Some(GapCause::Queue), Missing::Queue)]
+#[case::told(Some(GapCause::DiskFailed), Missing::Disk)]
+#[case::queue(Some(GapCause::QueueFull), Missing::Queue)]
 #[case::untold(None, Missing::Lost)]
 fn what_is_missing_stays_missing(#[case] cause: Option<GapCause>, #[case] why: Missing) {
     let mut told = Told::new("n0", 0, 0);
@@ -140,8 +142,8 @@
     told.seq += 5;
     if let Some(cause) = cause {
         let (from, to) = (told.stamp(2000), told.stamp(4000));
-        let event = Event::Gap(Gap { events: 5, from, to, cause });
-        told.items.push(Item::Record(Record { seq: told.seq, at: to, event }));
+        let event = Event::Gap(Gap { events: 5, first: from, last: to, cause });
+        told.items.push(SegmentItem::Record(Record { sequence: told.seq, time: to, event }));
     }
     told.class(4000, 10, 0);
     let incident = incident(&[told.end(6000)]);
@@ -158,7 +160,7 @@
     let mut told = Told::new("n0", 0, 0);
     (0..5).for_each(|second| told.class(1000 * second, 10, 0));
     let mut told = told.end(6000);
-    told.items.splice(4..6, [Item::Damaged { from: 100, to: 300 }]);
+    told.items.splice(4..6, [SegmentItem::Damaged { from: 100, to: 300 }]);
     let incident = incident(&[told]);
     assert_eq!(
         incident.holes.iter().map(|h| (h.events, h.why)).collect::<Vec<_>>(),
@@ -172,11 +174,11 @@
     /// s0 is treated so from then on.
     Node(u64, NodeState),
     /// A request of a class that came at 1000: its attempts `(node, sent, ended, how)`, its answer's time.
-    Request(u16, &'static [(&'static str, u64, u64, Ended)], u64),
+    Request(u16, &'static [(&'static str, u64, u64, AttemptEnd)], u64),
     /// A cold s0 gets so many units within a second.
     Cold(u32),
 }
-use Ended::{Full, Reset, Served, TimedOut};
+use AttemptEnd::{Rejected, Reset, Served, TimedOut};
 use NodeState::{Draining, InService, Suspended};
 use Step::{Cold, Node, Request};
 
@@ -185,12 +187,12 @@
 #[case::in_turn(
     Rule::OneAttempt,
     0,
-    &[Request(0, &[("s0", 1000, 1100, Full), ("s1", 1100, 1200, Served)], 1200)],
+    &[Request(0, &[("s0", 1000, 1100, Rejected), ("s1", 1100, 1200, Served)], 1200)],
 )]
 #[case::at_once(
     Rule::OneAttempt,
     1,
-    &[Request(0, &[("s0", 1000, 1150, Full), ("s1", 1100, 1200, Served)], 1200)],
+    &[Request(0, &[("s0", 1000, 1150, Rejected), ("s1", 1100, 1200, Served)], 1200)],
 )]
 #[case::twice(Rule::OneAnswer, 1, &[Request(0, &[], 1200), Request(0, &[], 1300)])]
 #[case::late(Rule::Deadlines, 1, &[Request(0, &[], 2100)])]
@@ -220,7 +222,7 @@
 #[case::keyed_never_ran(
     Rule::KeyedRepeats,
     0,
-    &[Request(1, &[("s0", 1000, 1100, Full), ("s1", 1200, 1300, Served)], 1300)],
+    &[Request(1, &[("s0", 1000, 1100, Rejected), ("s1", 1200, 1300, Served)], 1300)],
 )]
 #[case::cold(Rule::ColdNodes, 1, &[Cold(2000)])]
 #[case::cold_but_bearable(Rule::ColdNodes, 0, &[Cold(40)])]
@@ -230,7 +232,7 @@
     told.list(11, 2, "s1", InService);
     for step in steps {
         match *step {
-            Node(at, state) => told.node(at, "s0", state, Why::List(1)),
+            Node(at, state) => told.node(at, "s0", state, StateChangeCause::EndpointUpdate(1)),
             Request(class, attempts, answered) => told.request(1, class, 1000, attempts, answered),
             Cold(units) => cold(&mut told, units),
         }
@@ -245,14 +247,14 @@
 
 /// A node that came back a second ago gets so many units within a second.
 fn cold(told: &mut Told, units: u32) {
-    told.node(1000, "s0", NodeState::Cold(NINE + 1000 * MS), Why::List(2));
+    told.node(1000, "s0", NodeState::SlowStart(NINE + 1000 * MS), StateChangeCause::EndpointUpdate(2));
     let (from, span) = (told.mono(2000), 1000 * MS);
     let second = NodeSecond {
-        from,
-        span,
+        start: from,
+        duration: span,
         node: "s0".into(),
         sent: units / 2,
-        cold_units: units,
+        slow_start_units: units,
         ..NodeSecond::default()
     };
     told.put(3000, Event::NodeSecond(second));
--- a/crates/report/src/charts.rs
+++ b/crates/report/src/charts.rs
@@ -27,11 +27,11 @@
 pub fn colour(state: NodeState) -> RGBColor {
     match state {
         NodeState::InService => RGBColor(196, 232, 220),
-        NodeState::Cold(_) => RGBColor(86, 180, 233),
-        NodeState::Silent => RGBColor(213, 94, 0),
+        NodeState::SlowStart(_) => RGBColor(86, 180, 233),
+        NodeState::Unresponsive => RGBColor(213, 94, 0),
         NodeState::Suspended => RGBColor(204, 121, 167),
         NodeState::Draining => RGBColor(240, 196, 66),
-        NodeState::Gone => RGBColor(200, 200, 200),
+        NodeState::Removed => RGBColor(200, 200, 200),
     }
 }
 
--- a/crates/report/src/html.rs
+++ b/crates/report/src/html.rs
@@ -1,6 +1,6 @@
 //! The page.
 
-use heathward_event_log::{Micros, NodeState, ENDS, FAILURES, REFUSALS};
+use heathward_event_log::{Micros, NodeState, ATTEMPT_END_NAMES, FAILURE_REASON_NAMES, SHED_REASON_NAMES};
 use heathward_incident::audit::Rule;
 use heathward_incident::findings::{clock, known_to, What};
 use heathward_incident::{Incident, NodeCounts, Sum};
@@ -43,8 +43,8 @@
                 (findings(incident))
                 h2 { "Nodes, as each scheduler treated them" }
                 (legend(&[
-                    NodeState::InService, NodeState::Cold(0), NodeState::Silent, NodeState::Suspended,
-                    NodeState::Draining, NodeState::Gone,
+                    NodeState::InService, NodeState::SlowStart(0), NodeState::Unresponsive,
+                    NodeState::Suspended, NodeState::Draining, NodeState::Removed,
                 ].map(|state| (charts::colour(state), word(state)))))
                 p.dim { "A row for each node; within it, from above, " (names(incident).join(", ")) "." }
                 (PreEscaped(charts::lanes(incident)))
@@ -166,8 +166,8 @@
                     td.n { (least) (total.taken) }
                     td.n { (least) (total.in_aim) }
                     td.n { (least) (total.late) }
-                    td { (counted(&total.refused, &REFUSALS.map(|(_, word)| word))) }
-                    td { (counted(&total.failed, &FAILURES.map(|(_, word)| word))) }
+                    td { (counted(&total.refused, &SHED_REASON_NAMES.map(|(_, word)| word))) }
+                    td { (counted(&total.failed, &FAILURE_REASON_NAMES.map(|(_, word)| word))) }
                     td.n { (total.gone) }
                     @for share in [0.5, 0.99] {
                         td.n { @if let Some(ms) = total.times.quantile(share) { (format!("{ms:.0} ms")) } }
@@ -210,7 +210,7 @@
         table {
             tr {
                 th { "Node" } th.n { "Sent" }
-                @for (_, word) in ENDS { th.n { (word) } }
+                @for (_, word) in ATTEMPT_END_NAMES { th.n { (word) } }
                 th.n { "Most at once" } th.n { "Units while cold" }
             }
             @for table in &incident.nodes { (row(&table.name, &table.series.total())) }
--- a/crates/report/src/tables.rs
+++ b/crates/report/src/tables.rs
@@ -2,7 +2,9 @@
 
 use std::fmt::Write;
 
-use heathward_event_log::{Micros, NodeState, Why, ENDS, FAILURES, REFUSALS};
+use heathward_event_log::{
+    Micros, NodeState, StateChangeCause, ATTEMPT_END_NAMES, FAILURE_REASON_NAMES, SHED_REASON_NAMES,
+};
 use heathward_incident::audit::{Checked, Rule};
 use heathward_incident::findings::Finding;
 use heathward_incident::{ClassCounts, Ending, Incident, Missing, NodeCounts};
@@ -133,22 +135,22 @@
 pub fn word(state: NodeState) -> &'static str {
     match state {
         NodeState::InService => "in service",
-        NodeState::Cold(_) => "cold",
-        NodeState::Silent => "silent",
+        NodeState::SlowStart(_) => "cold",
+        NodeState::Unresponsive => "silent",
         NodeState::Suspended => "suspended",
         NodeState::Draining => "draining",
-        NodeState::Gone => "gone",
+        NodeState::Removed => "gone",
     }
 }
 
 /// A reason as the tables have it; it stays when a variant is renamed.
-fn reason(why: Why) -> String {
+fn reason(why: StateChangeCause) -> String {
     match why {
-        Why::List(revision) => format!("List({revision})"),
-        Why::Order => "Order".to_owned(),
-        Why::Handover => "Handover".to_owned(),
-        Why::Attempt(end) => format!("Attempt({})", end.name()),
-        Why::Time => "Time".to_owned(),
+        StateChangeCause::EndpointUpdate(revision) => format!("List({revision})"),
+        StateChangeCause::OperatorCommand => "Order".to_owned(),
+        StateChangeCause::Handover => "Handover".to_owned(),
+        StateChangeCause::AttemptEnded(end) => format!("Attempt({})", end.name()),
+        StateChangeCause::TimePassed => "Time".to_owned(),
     }
 }
 
@@ -265,8 +267,8 @@
 
     fn classes_csv(&self) -> String {
         let first = strings(&["class", "from_us", "width_us", "at_least", "taken", "in_aim", "late"]);
-        let refused = columns("refused_", &REFUSALS.map(|(_, words)| words));
-        let failed = columns("failed_", &FAILURES.map(|(_, words)| words));
+        let refused = columns("refused_", &SHED_REASON_NAMES.map(|(_, words)| words));
+        let failed = columns("failed_", &FAILURE_REASON_NAMES.map(|(_, words)| words));
         let last = strings(&["gone", "p50_ms", "p99_ms"]);
         let rows = self.classes.iter().map(|row| {
             let ClassCounts { taken, in_aim, late, refused, failed, gone, .. } = &row.counts;
@@ -281,7 +283,7 @@
 
     fn nodes_csv(&self) -> String {
         let first = strings(&["node", "from_us", "width_us", "at_least", "sent", "cold_units", "most_out"]);
-        let ends = columns("", &ENDS.map(|(_, words)| words));
+        let ends = columns("", &ATTEMPT_END_NAMES.map(|(_, words)| words));
         let rows = self.nodes.iter().map(|row| {
             let NodeCounts { sent, cold_units, ends, most_out } = &row.counts;
             let bin =
--- a/testing/fakes/src/hour.rs
+++ b/testing/fakes/src/hour.rs
@@ -6,9 +6,11 @@
 
 use hdrhistogram::serialization::{Serializer, V2Serializer};
 use hdrhistogram::Histogram;
-use heathward_event_log::read::Item;
-use heathward_event_log::segment::{head, SegmentName};
-use heathward_event_log::{frame, ClassSecond, Ended, Event, NodeSecond, NodeState, Record, Why};
+use heathward_event_log::read::SegmentItem;
+use heathward_event_log::segment::{encode_header, SegmentName};
+use heathward_event_log::{
+    frame, AttemptEnd, ClassSecond, Event, NodeSecond, NodeState, Record, StateChangeCause,
+};
 
 use crate::told::{Told, MS, NINE};
 
@@ -32,13 +34,13 @@
             self.name.number += 1;
             self.file = None;
         }
-        let identity = self.name.identity();
+        let identity = self.name.id();
         let file = match &mut self.file {
             Some(file) => file,
             none => {
                 let mut file = BufWriter::new(File::create(self.folder.join(self.name.to_string()))?);
-                file.write_all(&head(identity))?;
-                self.size = head(identity).len() as u64;
+                file.write_all(&encode_header(identity))?;
+                self.size = encode_header(identity).len() as u64;
                 none.insert(file)
             }
         };
@@ -67,50 +69,54 @@
         let mut segments = Segments { folder, name, file: None, size: 0 };
         for (revision, node) in (1..).zip(NAMES) {
             told.list(100 + revision, revision, node, NodeState::InService);
-            told.node(100 + revision, node, NodeState::InService, Why::List(revision));
+            told.node(100 + revision, node, NodeState::InService, StateChangeCause::EndpointUpdate(revision));
         }
         let mut id = 0;
         for second in 0..seconds {
             let begin = 1000 * (second + 1) + told.begun;
             let from = told.mono(begin);
-            let mut classes =
-                [0, 1].map(|class| ClassSecond { from, span: 1000 * MS, class, ..ClassSecond::default() });
+            let mut classes = [0, 1].map(|class| ClassSecond {
+                start: from,
+                duration: 1000 * MS,
+                class,
+                ..ClassSecond::default()
+            });
             let mut times =
                 [0, 1].map(|_| Histogram::<u32>::new_with_bounds(1, 120_000_000, 2).expect("sound"));
             let mut nodes = NAMES.map(|node| NodeSecond {
-                from,
+                start: from,
                 node: node.into(),
-                span: 1000 * MS,
+                duration: 1000 * MS,
                 ..NodeSecond::default()
             });
             for at in 0..u64::from(rate) {
                 id += 1;
                 let (class, node, took) = (rng.usize(0..2), rng.usize(0..NAMES.len()), rng.u64(1..200));
                 let came = begin + at * 999 / u64::from(rate);
-                let attempt = [(NAMES[node], came, came + took, Ended::Served)];
+                let attempt = [(NAMES[node], came, came + took, AttemptEnd::Served)];
                 told.request(id, class as u16, came, &attempt, came + took);
                 let counts = &mut classes[class];
-                counts.taken += 1;
-                *if took <= 150 { &mut counts.in_aim } else { &mut counts.late } += 1;
+                counts.received += 1;
+                *if took <= 150 { &mut counts.within_objective } else { &mut counts.late } += 1;
                 times[class].saturating_record(took * MS);
                 nodes[node].sent += 1;
-                nodes[node].ends[0] += 1;
+                nodes[node].attempt_ends[0] += 1;
             }
             for (mut counts, times) in classes.into_iter().zip(times) {
                 V2Serializer::new()
-                    .serialize(&times, &mut counts.times)
+                    .serialize(&times, &mut counts.latency_histogram)
                     .map_err(|e| io::Error::other(format!("{e:?}")))?;
-                told.put(begin + 1000, Event::Class(counts));
+                told.put(begin + 1000, Event::ClassSecond(counts));
             }
             nodes.into_iter().for_each(|counts| told.put(begin + 1000, Event::NodeSecond(counts)));
             for item in told.items.drain(..) {
-                if let Item::Record(record) = item {
+                if let SegmentItem::Record(record) = item {
                     segments.put(&record)?;
                 }
             }
         }
         for item in told.end(1000 * (seconds + 2) + 100).items {
-            if let Item::Record(record) = item {
+            if let SegmentItem::Record(record) = item {
                 segments.put(&record)?;
             }
         }
--- a/testing/fakes/src/told.rs
+++ b/testing/fakes/src/told.rs
@@ -1,9 +1,10 @@
 //! Records of schedulers that never ran, written here event by event.
 
-use heathward_event_log::read::Item;
+use heathward_event_log::read::SegmentItem;
 use heathward_event_log::{
-    Attempted, Class, ClassSecond, Ended, Event, Kind, Lifecycle, Listed, ListedNode, NodeChange, NodeState,
-    Opened, Outcome, Record, RequestDone, Stamp, Why,
+    AttemptEnd, AttemptRecord, ClassInfo, ClassSecond, EndpointUpdate, EndpointUpdateKind, Event, Lifecycle,
+    ListedEndpoint, NodeState, NodeStateChange, Record, RequestOutcome, RequestRecord, SegmentOpened,
+    StateChangeCause, Timestamp,
 };
 use heathward_incident::Fold;
 
@@ -22,38 +23,45 @@
     /// The last event's number.
     pub seq: u64,
     /// What its segments hold.
-    pub items: Vec<Item>,
+    pub items: Vec<SegmentItem>,
 }
 
 impl Told {
     /// Begins it.
     pub fn new(name: &'static str, begun: u64, ahead: i64) -> Self {
-        let class = |name: &str, window: u64| Class {
+        let class = |name: &str, window: u64| ClassInfo {
             name: name.into(),
-            aim: 150 * MS,
+            latency_objective: 150 * MS,
             deadline: 1000 * MS,
-            window: window * MS,
+            deduplication_window: window * MS,
         };
-        let opened = Opened {
+        let opened = SegmentOpened {
             scheduler: name.into(),
             boot: begun + 1,
             classes: vec![class("consulta", 0), class("pedido", 2500)],
-            cold_units: 24.0,
-            cold_share: 0.24,
-            cold_time: 6_000 * MS,
-            fall_time: 500 * MS,
-            requests: true,
-            ..Opened::default()
+            slow_start_units: 24.0,
+            slow_start_fraction: 0.24,
+            slow_start_duration: 6_000 * MS,
+            overload_window: 500 * MS,
+            records_requests: true,
+            ..SegmentOpened::default()
         };
         let mut new = Self { name, begun, ahead, seq: 0, items: Vec::new() };
-        new.items.push(Item::Record(Record { seq: 0, at: new.stamp(begun), event: Event::Opened(opened) }));
+        new.items.push(SegmentItem::Record(Record {
+            sequence: 0,
+            time: new.stamp(begun),
+            event: Event::SegmentOpened(opened),
+        }));
         new.put(begun, Event::Lifecycle(Lifecycle::Started));
         new
     }
 
     /// The boot's clocks at a true time, ms after nine.
-    pub fn stamp(&self, at: u64) -> Stamp {
-        Stamp { wall: (NINE + at * MS).saturating_add_signed(self.ahead * 1000), mono: self.mono(at) }
+    pub fn stamp(&self, at: u64) -> Timestamp {
+        Timestamp {
+            wall_clock: (NINE + at * MS).saturating_add_signed(self.ahead * 1000),
+            monotonic: self.mono(at),
+        }
     }
 
     /// Its monotonic time at a true time.
@@ -64,32 +72,40 @@
     /// An event.
     pub fn put(&mut self, at: u64, event: Event) {
         self.seq += 1;
-        self.items.push(Item::Record(Record { seq: self.seq, at: self.stamp(at), event }));
+        self.items.push(SegmentItem::Record(Record { sequence: self.seq, time: self.stamp(at), event }));
     }
 
     /// The list changes a node in a version.
     pub fn list(&mut self, at: u64, revision: u64, node: &str, state: NodeState) {
-        let node = ListedNode { node: node.into(), shard: u32::from(node == "s1"), state, started: None };
-        self.put(at, Event::Listed(Listed { revision, kind: Kind::Changes, nodes: vec![node] }));
+        let node =
+            ListedEndpoint { node: node.into(), shard: u32::from(node == "s1"), state, started_at: None };
+        self.put(
+            at,
+            Event::EndpointUpdate(EndpointUpdate {
+                revision,
+                kind: EndpointUpdateKind::Changes,
+                nodes: vec![node],
+            }),
+        );
     }
 
     /// It treats a node so from then on.
-    pub fn node(&mut self, at: u64, node: &str, state: NodeState, why: Why) {
-        self.put(at, Event::Node(NodeChange { node: node.into(), state, why }));
+    pub fn node(&mut self, at: u64, node: &str, state: NodeState, why: StateChangeCause) {
+        self.put(at, Event::NodeStateChanged(NodeStateChange { node: node.into(), state, cause: why }));
     }
 
     /// A second of the first class.
     pub fn class(&mut self, at: u64, in_aim: u32, late: u32) {
         let from = self.mono(at);
         let counts = ClassSecond {
-            from,
-            span: 1000 * MS,
-            taken: in_aim + late,
-            in_aim,
+            start: from,
+            duration: 1000 * MS,
+            received: in_aim + late,
+            within_objective: in_aim,
             late,
             ..ClassSecond::default()
         };
-        self.put(at + 1000, Event::Class(counts));
+        self.put(at + 1000, Event::ClassSecond(counts));
     }
 
     /// A request that came at `at`, with attempts at `(node, sent, ended, how)`.
@@ -98,31 +114,31 @@
         id: u64,
         class: u16,
         at: u64,
-        attempts: &[(&str, u64, u64, Ended)],
+        attempts: &[(&str, u64, u64, AttemptEnd)],
         answered: u64,
     ) {
-        let attempt = |(node, sent, ended, end): &(&str, u64, u64, Ended)| Attempted {
+        let attempt = |(node, sent, ended, end): &(&str, u64, u64, AttemptEnd)| AttemptRecord {
             node: (*node).into(),
-            sent: self.mono(*sent),
-            ended: Some((self.mono(*ended), *end)),
+            sent_at: self.mono(*sent),
+            end: Some((self.mono(*ended), *end)),
         };
-        let done = RequestDone {
+        let done = RequestRecord {
             request: id,
             class,
             plan: 0,
             volume: 7,
             units: 2,
-            arrived: self.mono(at),
-            answered: self.mono(answered),
-            outcome: Outcome::Served,
+            arrived_at: self.mono(at),
+            ended_at: self.mono(answered),
+            outcome: RequestOutcome::Served,
             attempts: attempts.iter().map(attempt).collect(),
         };
-        self.put(answered, Event::Request(done));
+        self.put(answered, Event::RequestEnded(done));
     }
 
     /// It ends by plan.
     pub fn end(mut self, at: u64) -> Self {
-        self.put(at, Event::Lifecycle(Lifecycle::Ended));
+        self.put(at, Event::Lifecycle(Lifecycle::Stopped));
         self
     }
 
--- a/testing/measure/src/report.rs
+++ b/testing/measure/src/report.rs
@@ -8,7 +8,7 @@
 
 use heathward_core::observe::{Observation, Observer};
 use heathward_event_log::segment::Rotation;
-use heathward_event_log::{channel, Disk, Limits, Opened, Writer};
+use heathward_event_log::{event_channel, Disk, SegmentOpened, StorageLimits, Writer};
 use heathward_event_recorder::{Clock, Recorder};
 use heathward_fakes::staged::{stage, unaccounted, untrue, SCHEDULERS};
 use heathward_fakes::{
@@ -282,10 +282,11 @@
     let node = http_node(0, &[Does::Serve], &Log::default()).await;
     let rig = rig(&[member("s0", node, 0, "in_service", 0)], None).await;
     let (disk, longest) = (Stuck::default(), Arc::new(Mutex::new(Duration::ZERO)));
-    let (sender, waiting) = channel(64);
-    let rotation = Rotation { size: 1 << 20, age: 1 << 40 };
-    let limits = Limits { rotation, total: 1 << 30 };
-    let writer = Writer::start(disk.clone(), waiting, Opened::default(), limits).expect("a thread to spare");
+    let (sender, waiting) = event_channel(64);
+    let rotation = Rotation { max_bytes: 1 << 20, max_age: 1 << 40 };
+    let limits = StorageLimits { rotation, max_total_bytes: 1 << 30 };
+    let writer =
+        Writer::start(disk.clone(), waiting, SegmentOpened::default(), limits).expect("a thread to spare");
     let recorder = Recorder::new(sender, Clock::default(), true);
     rig.core.set_observer(Some(Box::new(Timed(recorder, longest.clone())))).await;
     let mut stream = TcpStream::connect(rig.front).await.expect("a front that listens");
