--- a/crates/event-log/src/event.rs
+++ b/crates/event-log/src/event.rs
@@ -1,172 +1,160 @@
-//! The events, and their form in a frame.
+//! The events of the log.
 //!
-//! Rules of the form, by which older and newer programs read each other's records: a kind's number is never
-//! used for anything else; fields are only appended, as an extension behind the body, and an older record's
-//! missing extension reads as its default; a newer one's surplus is passed over; a kind that is not known is
-//! counted as such. [`crate::frame::SCHEMA`] goes up only if that can't be kept.
+//! The order of fields and variants is their binary form (see [`Record::encode`]) and must not change. Names in
+//! exports are those of the `rename` attributes, so that a rename in the code changes no export.
 
 use serde::{Deserialize, Serialize};
 
-/// A time or a span in microseconds.
+/// A time or a duration in microseconds.
 pub type Micros = u64;
 
-/// When something happened, on the clocks of the scheduler that tells of it.
+/// When something happened, on the two clocks of the scheduler that recorded it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Timestamp {
-    /// Unix time; may step.
+    /// Unix time; may be set forward or back while the scheduler runs.
     #[serde(rename = "wall")]
     pub wall_clock: Micros,
-    /// Time since the boot; never steps, and means nothing to others.
+    /// Time since the scheduler started; never set, and not comparable between schedulers.
     #[serde(rename = "mono")]
     pub monotonic: Micros,
 }
 
-/// An event with its number within the boot and its time.
+/// An event with its sequence number and its time.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Record {
-    /// Counts all events of the boot, also those that were lost: a jump is a loss.
+    /// Counts all events since the scheduler started, also lost ones: a missing number is a lost event.
     #[serde(rename = "seq")]
     pub sequence: u64,
-    /// When.
+    /// When it happened.
     #[serde(rename = "at")]
     pub time: Timestamp,
-    /// What.
+    /// What happened.
     pub event: Event,
 }
 
-/// What happened. Its form in a frame is that of [`Record::encode`]; serialized, it is for exports.
+/// What happened. Serialized with serde it has the form of exports; its form in a frame is that of
+/// [`Record::encode`].
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub enum Event {
-    /// The first of each segment: who writes.
+    /// The first event of each segment: which scheduler writes it, with which settings.
     #[serde(rename = "Opened")]
     SegmentOpened(SegmentOpened),
-    /// The scheduler itself.
-    #[serde(rename = "Lifecycle")]
+    /// A step in the life of the scheduler.
     Lifecycle(Lifecycle),
-    /// What the list said.
+    /// An update of the endpoint list.
     #[serde(rename = "Listed")]
     EndpointUpdate(EndpointUpdate),
-    /// A node is treated differently from now on.
+    /// The scheduler treats a node differently from now on.
     #[serde(rename = "Node")]
     NodeStateChanged(NodeStateChange),
-    /// A class's second.
+    /// Requests of one class within a second.
     #[serde(rename = "Class")]
     ClassSecond(ClassSecond),
-    /// A node's second.
-    #[serde(rename = "NodeSecond")]
+    /// Attempts at one node within a second.
     NodeSecond(NodeSecond),
-    /// A request with its attempts.
+    /// A request has ended; with its attempts.
     #[serde(rename = "Request")]
     RequestEnded(RequestRecord),
-    /// Events were lost; the record's number is that of the last of them.
-    #[serde(rename = "Gap")]
+    /// Events were lost; the record's sequence number is that of the last of them.
     Gap(Gap),
-    /// Of a kind that this program does not know.
-    #[serde(rename = "Unknown")]
+    /// An event of a kind, given by its number, that this version does not know.
     Unknown(u16),
 }
 
-/// A class of requests, as far as reports go.
+/// What reports need to know of a request class.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "Class")]
 pub struct ClassInfo {
-    /// Its name.
+    /// The name of the class.
     pub name: String,
-    /// Answers within this time are in aim.
+    /// Answers within this time meet the objective.
     #[serde(rename = "aim")]
     pub latency_objective: Micros,
-    /// How long its clients wait.
+    /// How long its clients wait for an answer.
     pub deadline: Micros,
-    /// For keyed writes: how long after the first send that may have run a repeat may be sent; else 0.
+    /// For writes with an idempotency key: how long after the first attempt that may have been executed a retry
+    /// may be sent; 0 for other classes.
     #[serde(rename = "window")]
     pub deduplication_window: Micros,
 }
 
-/// Who writes, and by which settings.
+/// Which scheduler writes a segment, and with which settings.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename = "Opened")]
 pub struct SegmentOpened {
     /// The scheduler's name.
     pub scheduler: String,
-    /// This run of it: drawn at its start.
-    #[serde(rename = "boot")]
+    /// A random number drawn when the process started; tells its records from those of other runs.
     pub boot: u64,
-    /// The segment's number in the boot, from 0.
+    /// The number of the segment since the process started, from 0.
     pub segment: u32,
-    /// The program's version.
+    /// The version of the program.
     pub version: String,
-    /// The process.
+    /// The process id.
     pub pid: u32,
-    /// The classes, by place.
+    /// The request classes; other events refer to them by index.
     pub classes: Vec<ClassInfo>,
-    /// The plans, by place.
+    /// The names of the plans; other events refer to them by index.
     pub plans: Vec<String>,
-    /// Units that a node which has just started bears within `fall_time`, from all schedulers together.
+    /// Units of work that a node that has just started can take within the overload window, from all schedulers
+    /// together.
     #[serde(rename = "cold_units")]
     pub slow_start_units: f64,
-    /// Share of its capacity at which a node starts.
+    /// Fraction of its capacity, 0 to 1, at which a node starts.
     #[serde(rename = "cold_share")]
     pub slow_start_fraction: f64,
-    /// A node is warm after this.
+    /// After this time a node has its whole capacity.
     #[serde(rename = "cold_time")]
     pub slow_start_duration: Micros,
-    /// Window of the rule on cold nodes.
+    /// The time over which the load of a node in slow start is added up.
     #[serde(rename = "fall_time")]
     pub overload_window: Micros,
-    /// Whether each request is recorded.
+    /// Whether each request is recorded, not only the counts of each second.
     #[serde(rename = "requests")]
     pub records_requests: bool,
 }
 
-/// What the scheduler itself went through.
+/// A step in the life of a scheduler.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Lifecycle {
-    /// Records begin.
-    #[serde(rename = "Started")]
+    /// Recording has begun.
     Started,
-    /// The end was asked for; everything is answered by then.
+    /// A graceful shutdown has begun.
     #[serde(rename = "Ending")]
     ShuttingDown,
-    /// Records end, by plan.
+    /// Recording has ended, as planned.
     #[serde(rename = "Ended")]
     Stopped,
-    /// A configuration was read again and is gone by, or not.
-    #[serde(rename = "Reloaded")]
+    /// The configuration was reloaded; whether it was accepted.
     Reloaded(bool),
-    /// Its state was given to a process that takes over.
-    #[serde(rename = "HandedOver")]
+    /// The state was given to a process that takes over.
     HandedOver,
-    /// It goes on from the state of the process before.
-    #[serde(rename = "TookOver")]
+    /// The state of a previous process was received.
     TookOver,
-    /// Clients are sent away, by hand.
-    #[serde(rename = "Paused")]
+    /// An operator has paused the scheduler: clients are sent away.
     Paused,
-    /// And taken again.
-    #[serde(rename = "Resumed")]
+    /// An operator has resumed it.
     Resumed,
-    /// Nothing is sent by the list: discovery has been silent for so long.
+    /// The lease on the endpoint list has expired; nothing is sent. How long discovery has been silent.
     #[serde(rename = "Stopped")]
     LeaseExpired(Micros),
-    /// Discovery is heard, and the list gone by.
+    /// Discovery has answered, and the lease is valid again.
     #[serde(rename = "WentOn")]
     LeaseRenewed,
 }
 
-/// What a list is.
+/// What an update of the endpoint list contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EndpointUpdateKind {
-    /// Changes, as they come.
-    #[serde(rename = "Changes")]
+    /// The nodes that changed.
     Changes,
-    /// The whole list.
+    /// All nodes.
     #[serde(rename = "Whole")]
     Snapshot,
-    /// As it was saved; maybe old.
+    /// All nodes, as they were saved at an earlier time; possibly out of date.
     #[serde(rename = "Saved")]
     Cached,
-    /// The watch broke.
-    #[serde(rename = "Failed")]
+    /// Nothing: the watch has failed.
     Failed,
 }
 
@@ -182,89 +170,81 @@
     }
 }
 
-/// News of the list.
+/// An update of the endpoint list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "Listed")]
 pub struct EndpointUpdate {
-    /// Its version.
+    /// The version of the list.
     pub revision: u64,
-    /// What it holds.
+    /// What the update contains.
     pub kind: EndpointUpdateKind,
-    /// The nodes named.
+    /// The nodes that it names.
     pub nodes: Vec<ListedEndpoint>,
 }
 
-/// One node of a list.
+/// A node as the endpoint list describes it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "ListedNode")]
 pub struct ListedEndpoint {
-    /// Its id.
-    #[serde(rename = "node")]
+    /// The id of the node.
     pub node: String,
-    /// The shard it holds.
+    /// The shard that the node holds.
     pub shard: u32,
-    /// As listed: in service, draining or gone.
-    #[serde(rename = "state")]
+    /// In service, draining or removed.
     pub state: NodeState,
-    /// When it last started by the list, Unix time.
+    /// When the node last started, Unix time, if the list says so.
     #[serde(rename = "started")]
     pub started_at: Option<Micros>,
 }
 
-/// How a scheduler treats a node; of several that apply, the last here counts.
+/// How a scheduler treats a node. Where several states apply, the last of them in this order is recorded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum NodeState {
-    /// In service and warm.
-    #[serde(rename = "InService")]
+    /// In service, with its whole capacity.
     InService,
-    /// Cold or maybe cold since then, Unix time on the list's clock or the scheduler's.
+    /// In service, in slow start since that Unix time.
     #[serde(rename = "Cold")]
     SlowStart(Micros),
-    /// Down or silent: gets only a try now and then.
+    /// Not responding: gets a single attempt from time to time.
     #[serde(rename = "Silent")]
     Unresponsive,
-    /// Taken out by hand.
-    #[serde(rename = "Suspended")]
+    /// Taken out of service by an operator.
     Suspended,
-    /// Drains by the list.
-    #[serde(rename = "Draining")]
+    /// Draining, as the endpoint list says.
     Draining,
-    /// No longer listed.
+    /// No longer in the endpoint list.
     #[serde(rename = "Gone")]
     Removed,
 }
 
-/// Why that changed.
+/// Why the state of a node changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StateChangeCause {
-    /// The list, in this version.
+    /// The endpoint list, in this version.
     #[serde(rename = "List")]
     EndpointUpdate(u64),
-    /// An order of staff.
+    /// A command of an operator.
     #[serde(rename = "Order")]
     OperatorCommand,
-    /// The state of the process before.
-    #[serde(rename = "Handover")]
+    /// The state that a previous process handed over.
     Handover,
-    /// An attempt ended so.
+    /// An attempt at the node ended in this way.
     #[serde(rename = "Attempt")]
     AttemptEnded(AttemptEnd),
-    /// Time passed.
+    /// Time passed, for instance the end of slow start.
     #[serde(rename = "Time")]
     TimePassed,
 }
 
-/// A node is treated so from now on.
+/// The scheduler treats a node in this way from now on.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "NodeChange")]
 pub struct NodeStateChange {
-    /// Its id.
-    #[serde(rename = "node")]
+    /// The id of the node.
     pub node: String,
-    /// How.
-    #[serde(rename = "state")]
+    /// The new state.
     pub state: NodeState,
-    /// Why.
+    /// What caused the change.
     #[serde(rename = "why")]
     pub cause: StateChangeCause,
 }
@@ -272,29 +252,22 @@
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum AttemptEnd {
-    /// Served.
-    #[serde(rename = "Served")]
+    /// The node served the request.
     Served,
-    /// An error; it may have run.
-    #[serde(rename = "Error")]
+    /// The node answered with an error; the request may have been executed.
     Error,
-    /// Turned away unseen.
+    /// The node rejected the attempt without executing it.
     #[serde(rename = "Full")]
     Rejected,
-    /// No answer in time.
-    #[serde(rename = "TimedOut")]
+    /// There was no answer in time.
     TimedOut,
-    /// No connection.
-    #[serde(rename = "NotConnected")]
+    /// No connection to the node could be made.
     NotConnected,
-    /// The connection broke.
-    #[serde(rename = "Reset")]
+    /// The connection failed during the attempt.
     Reset,
-    /// Called off.
-    #[serde(rename = "Cancelled")]
+    /// The scheduler cancelled the attempt.
     Cancelled,
-    /// Never sent.
-    #[serde(rename = "NotSent")]
+    /// The attempt was never sent completely.
     NotSent,
 }
 
@@ -314,7 +287,8 @@
     }
 }
 
-/// All ends, in the order of the counts in [`NodeSecond::ends`].
+/// All ends of attempts with their names in reports, in the order of the counts in
+/// [`NodeSecond::attempt_ends`].
 pub const ATTEMPT_END_NAMES: [(AttemptEnd, &str); 8] = [
     (AttemptEnd::Served, "served"),
     (AttemptEnd::Error, "error"),
@@ -326,22 +300,20 @@
     (AttemptEnd::NotSent, "moot"),
 ];
 
-/// Why a request was refused, as far as its attempts tell.
+/// Why a request was shed, as far as its attempts show.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum ShedReason {
-    /// At once, with nothing sent.
-    #[serde(rename = "NotAdmitted")]
+    /// On arrival, without an attempt.
     NotAdmitted,
-    /// After it was held, with nothing sent.
+    /// After it was queued, without an attempt.
     #[serde(rename = "GivenUp")]
     ShedFromQueue,
-    /// Its last attempt was turned away by a full node.
+    /// A node rejected its last attempt.
     #[serde(rename = "TurnedAway")]
     RejectedByNode,
-    /// Its last attempt found no connection.
-    #[serde(rename = "NotConnected")]
+    /// There was no connection for its last attempt.
     NotConnected,
-    /// Its last attempt ended in any other way.
+    /// Its last attempt ended in another way.
     #[serde(rename = "Lost")]
     AttemptLost,
 }
@@ -359,7 +331,7 @@
     }
 }
 
-/// All reasons, in the order of the counts in [`ClassSecond::refused`].
+/// All reasons with their names in reports, in the order of the counts in [`ClassSecond::shed`].
 pub const SHED_REASON_NAMES: [(ShedReason, &str); 5] = [
     (ShedReason::NotAdmitted, "not admitted"),
     (ShedReason::ShedFromQueue, "given up while held"),
@@ -371,17 +343,16 @@
 /// Why a request failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum FailureReason {
-    /// Its time had passed, and nothing of it can have run.
+    /// Its deadline had passed, and it was not executed.
     #[serde(rename = "Late")]
     DeadlinePassed,
-    /// Its time had passed, and it may have run.
+    /// Its deadline had passed, and it may have been executed.
     #[serde(rename = "LateMayHaveRun")]
     DeadlinePassedPossiblyExecuted,
-    /// It may have run.
+    /// It may have been executed, so that it could not be retried.
     #[serde(rename = "MayHaveRun")]
     PossiblyExecuted,
-    /// Anything else.
-    #[serde(rename = "Other")]
+    /// Any other reason.
     Other,
 }
 
@@ -397,7 +368,7 @@
     }
 }
 
-/// All of these, in the order of the counts in [`ClassSecond::failed`].
+/// All reasons with their names in reports, in the order of the counts in [`ClassSecond::failed`].
 pub const FAILURE_REASON_NAMES: [(FailureReason, &str); 4] = [
     (FailureReason::DeadlinePassed, "time passed"),
     (FailureReason::DeadlinePassedPossiblyExecuted, "time passed, may have run"),
@@ -405,79 +376,73 @@
     (FailureReason::Other, "other"),
 ];
 
-/// A request's end.
+/// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RequestOutcome {
-    /// Served.
-    #[serde(rename = "Served")]
+    /// It was served.
     Served,
-    /// Refused.
+    /// It was shed.
     #[serde(rename = "Refused")]
     Shed(ShedReason),
-    /// Failed.
-    #[serde(rename = "Failed")]
+    /// It failed.
     Failed(FailureReason),
-    /// Its client left first.
+    /// Its client disconnected first.
     #[serde(rename = "Gone")]
     ClientDisconnected,
 }
 
-/// What became of a class's requests in a second.
+/// The requests of one class that arrived or ended within a second.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename = "ClassSecond")]
 pub struct ClassSecond {
-    /// When the second began, since the boot.
+    /// When the second began, on the monotonic clock.
     #[serde(rename = "from")]
     pub start: Micros,
-    /// How long it was.
+    /// The duration, about a second.
     #[serde(rename = "span")]
     pub duration: Micros,
-    /// The class's place.
+    /// The index of the class in [`SegmentOpened::classes`].
     pub class: u16,
-    /// Requests taken.
+    /// Requests received.
     #[serde(rename = "taken")]
     pub received: u32,
-    /// Served within the aim.
+    /// Requests served within the latency objective.
     #[serde(rename = "in_aim")]
     pub within_objective: u32,
-    /// Served after it.
+    /// Requests served after it.
     pub late: u32,
-    /// Refused, by [`REFUSALS`].
+    /// Requests shed, in the order of [`SHED_REASON_NAMES`].
     #[serde(rename = "refused")]
     pub shed: [u32; 5],
-    /// Failed, by [`FAILURES`].
+    /// Requests failed, in the order of [`FAILURE_REASON_NAMES`].
     pub failed: [u32; 4],
-    /// Whose client left.
+    /// Requests whose client disconnected.
     #[serde(rename = "gone")]
     pub client_disconnects: u32,
-    /// Times of served requests in microseconds: an HDR histogram, V2.
+    /// Latencies of served requests in microseconds: an HDR histogram in its V2 form; empty if there are none.
     #[serde(rename = "times")]
     pub latency_histogram: Vec<u8>,
 }
 
-/// What became of attempts at a node in a second.
+/// The attempts at one node that were sent or ended within a second.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-#[serde(rename = "NodeSecond")]
 pub struct NodeSecond {
-    /// When the second began, since the boot.
+    /// When the second began, on the monotonic clock.
     #[serde(rename = "from")]
     pub start: Micros,
-    /// How long it was.
+    /// The duration, about a second.
     #[serde(rename = "span")]
     pub duration: Micros,
-    /// The node's id.
-    #[serde(rename = "node")]
+    /// The id of the node.
     pub node: String,
-    /// Attempts that the core gave to the node's connections.
-    #[serde(rename = "sent")]
+    /// Attempts handed to the node's connections.
     pub sent: u32,
-    /// Units of those that went there while it was cold.
+    /// Units of work of those that were sent while the node was in slow start.
     #[serde(rename = "cold_units")]
     pub slow_start_units: u32,
-    /// Ends, by [`ENDS`].
+    /// Attempts ended, in the order of [`ATTEMPT_END_NAMES`].
     #[serde(rename = "ends")]
     pub attempt_ends: [u32; 8],
-    /// Most attempts out there at once.
+    /// The highest number of attempts in flight at the same time.
     #[serde(rename = "most_out")]
     pub max_in_flight: u32,
 }
@@ -486,50 +451,49 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "Attempted")]
 pub struct AttemptRecord {
-    /// The node.
-    #[serde(rename = "node")]
+    /// The id of the node.
     pub node: String,
-    /// When it was sent, since the boot.
+    /// When the attempt was sent, on the monotonic clock.
     #[serde(rename = "sent")]
     pub sent_at: Micros,
-    /// When it ended; none if the request's end came first.
+    /// When and how it ended; `None` if the request ended first.
     #[serde(rename = "ended")]
     pub end: Option<(Micros, AttemptEnd)>,
 }
 
-/// A request, from its arrival to its end.
+/// A request from its arrival to its end.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "RequestDone")]
 pub struct RequestRecord {
-    /// Its number in the boot.
+    /// The number of the request since the process started.
     pub request: u64,
-    /// The class's place.
+    /// The index of the class in [`SegmentOpened::classes`].
     pub class: u16,
-    /// The plan's place.
+    /// The index of the plan in [`SegmentOpened::plans`].
     pub plan: u16,
-    /// The volume.
+    /// The volume that it reads or writes.
     pub volume: u64,
-    /// Its size.
+    /// Its size in units of work.
     pub units: u32,
-    /// When it came, since the boot.
+    /// When it arrived, on the monotonic clock.
     #[serde(rename = "arrived")]
     pub arrived_at: Micros,
-    /// When it was answered or its client left.
+    /// When it was answered or its client disconnected.
     #[serde(rename = "answered")]
     pub ended_at: Micros,
-    /// How.
+    /// How it ended.
     pub outcome: RequestOutcome,
-    /// Its attempts, in order.
+    /// Its attempts, in the order in which they were sent.
     pub attempts: Vec<AttemptRecord>,
 }
 
 /// Why events were lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GapCause {
-    /// The writer did not keep up.
+    /// The queue before the writer was full.
     #[serde(rename = "Queue")]
     QueueFull,
-    /// The disk was full, read-only or broken.
+    /// The disk was full, read-only or failing.
     #[serde(rename = "Disk")]
     DiskFailed,
 }
@@ -544,24 +508,23 @@
     }
 }
 
-/// So many events were lost between these times.
+/// Events that were lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename = "Gap")]
 pub struct Gap {
-    /// How many.
+    /// Their number.
     pub events: u64,
-    /// The first one's time.
+    /// The time of the first.
     #[serde(rename = "from")]
     pub first: Timestamp,
-    /// The last one's.
+    /// The time of the last.
     #[serde(rename = "to")]
     pub last: Timestamp,
-    /// Why.
+    /// Why they were lost.
     pub cause: GapCause,
 }
 
 impl Record {
-    /// For how many events it stands.
+    /// The number of events that the record stands for: those of a gap, otherwise 1.
     pub fn event_count(&self) -> u64 {
         match &self.event {
             Event::Gap(gap) => gap.events,
@@ -569,96 +532,3 @@
         }
     }
 }
-
-/// A payload that no event can be read from.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct MalformedEvent;
-
-impl std::fmt::Display for MalformedEvent {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("no event can be read from it")
-    }
-}
-
-impl std::error::Error for MalformedEvent {}
-
-/// Kinds, by number.
-mod kind {
-    pub const OPENED: u16 = 1;
-    pub const LIFECYCLE: u16 = 2;
-    pub const LISTED: u16 = 3;
-    pub const NODE: u16 = 4;
-    pub const CLASS: u16 = 5;
-    pub const NODE_SECOND: u16 = 6;
-    pub const REQUEST: u16 = 7;
-    pub const GAP: u16 = 8;
-}
-
-#[derive(Serialize, Deserialize)]
-struct Head {
-    seq: u64,
-    at: Timestamp,
-    kind: u16,
-}
-
-fn body<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> Result<T, MalformedEvent> {
-    // A newer program's extension behind it is passed over.
-    postcard::take_from_bytes(bytes).map(|(value, _)| value).map_err(|_| MalformedEvent)
-}
-
-impl Record {
-    /// Appends its form.
-    pub fn encode(&self, out: &mut Vec<u8>) {
-        let kind = match &self.event {
-            Event::SegmentOpened(_) => kind::OPENED,
-            Event::Lifecycle(_) => kind::LIFECYCLE,
-            Event::EndpointUpdate(_) => kind::LISTED,
-            Event::NodeStateChanged(_) => kind::NODE,
-            Event::ClassSecond(_) => kind::CLASS,
-            Event::NodeSecond(_) => kind::NODE_SECOND,
-            Event::RequestEnded(_) => kind::REQUEST,
-            Event::Gap(_) => kind::GAP,
-            Event::Unknown(kind) => *kind,
-        };
-        put(out, &Head { seq: self.sequence, at: self.time, kind });
-        match &self.event {
-            Event::SegmentOpened(event) => put(out, event),
-            Event::Lifecycle(event) => put(out, event),
-            Event::EndpointUpdate(event) => put(out, event),
-            Event::NodeStateChanged(event) => put(out, event),
-            Event::ClassSecond(event) => put(out, event),
-            Event::NodeSecond(event) => put(out, event),
-            Event::RequestEnded(event) => put(out, event),
-            Event::Gap(event) => put(out, event),
-            Event::Unknown(_) => {}
-        }
-    }
-
-    /// Reads it back.
-    ///
-    /// # Errors
-    /// [`Unreadable`] where the bytes hold no such event.
-    pub fn decode(bytes: &[u8]) -> Result<Self, MalformedEvent> {
-        let (Head { seq, at, kind }, rest) = postcard::take_from_bytes(bytes).map_err(|_| MalformedEvent)?;
-        let event = match kind {
-            kind::OPENED => Event::SegmentOpened(body(rest)?),
-            kind::LIFECYCLE => Event::Lifecycle(body(rest)?),
-            kind::LISTED => Event::EndpointUpdate(body(rest)?),
-            kind::NODE => Event::NodeStateChanged(body(rest)?),
-            kind::CLASS => Event::ClassSecond(body(rest)?),
-            kind::NODE_SECOND => Event::NodeSecond(body(rest)?),
-            kind::REQUEST => Event::RequestEnded(body(rest)?),
-            kind::GAP => Event::Gap(body(rest)?),
-            other => Event::Unknown(other),
-        };
-        Ok(Self { sequence: seq, time: at, event })
-    }
-}
-
-fn put(out: &mut Vec<u8>, value: &impl Serialize) {
-    let taken = std::mem::take(out);
-    // A vector takes all that these types hold.
-    if let Ok(more) = postcard::to_extend(value, taken) {
-        *out = more;
-    }
-}
