--- a/crates/event-log/src/disk.rs
+++ b/crates/event-log/src/disk.rs
@@ -1,21 +1,21 @@
-//! Where segments lie.
+//! Access to the files of segments.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Write};
 use std::path::PathBuf;
 
-/// A folder of files. The writer's only way to files, so that a test can fill it up, break it or hold it up.
+/// A folder of files. The writer reaches files only through it, so that a test can make them fail or block.
 pub trait Disk: Send + 'static {
-    /// A file that is written to.
+    /// A file that is open for writing.
     type File: Write + Send;
 
-    /// Makes a new file.
+    /// Creates a new file.
     ///
     /// # Errors
-    /// The system's; also where there is one of that name.
+    /// The system's; also where a file of that name exists.
     fn create(&mut self, name: &str) -> io::Result<Self::File>;
 
-    /// Names and sizes of all files.
+    /// The names of all files and their sizes in bytes.
     ///
     /// # Errors
     /// The system's.
@@ -28,7 +28,7 @@
     fn remove(&mut self, name: &str) -> io::Result<()>;
 }
 
-/// A folder of the system, made if it is not there.
+/// A folder of the file system, created when it does not exist.
 #[derive(Clone, Debug)]
 pub struct Folder(pub PathBuf);
 
@@ -44,7 +44,7 @@
         let mut files = Vec::new();
         for entry in fs::read_dir(&self.0)? {
             let entry = entry?;
-            // One that is gone meanwhile is none.
+            // A file that was removed meanwhile is skipped.
             let Ok(about) = entry.metadata() else { continue };
             if let (true, Ok(name)) = (about.is_file(), entry.file_name().into_string()) {
                 files.push((name, about.len()));
--- a/crates/event-log/src/event.rs
+++ b/crates/event-log/src/event.rs
@@ -1,7 +1,7 @@
 //! The events of the log.
 //!
-//! The order of fields and variants is their binary form (see [`Record::encode`]) and must not change. Names in
-//! exports are those of the `rename` attributes, so that a rename in the code changes no export.
+//! The order of fields and variants is their binary form (see [`Record::encode`]) and must not change. Names
+//! in exports are those of the `rename` attributes, so that a rename in the code changes no export.
 
 use serde::{Deserialize, Serialize};
 
@@ -72,8 +72,8 @@
     pub latency_objective: Micros,
     /// How long its clients wait for an answer.
     pub deadline: Micros,
-    /// For writes with an idempotency key: how long after the first attempt that may have been executed a retry
-    /// may be sent; 0 for other classes.
+    /// For writes with an idempotency key: how long after the first attempt that may have been executed a
+    /// retry may be sent; 0 for other classes.
     #[serde(rename = "window")]
     pub deduplication_window: Micros,
 }
@@ -96,8 +96,8 @@
     pub classes: Vec<ClassInfo>,
     /// The names of the plans; other events refer to them by index.
     pub plans: Vec<String>,
-    /// Units of work that a node that has just started can take within the overload window, from all schedulers
-    /// together.
+    /// Units of work that a node that has just started can take within the overload window, from all
+    /// schedulers together.
     #[serde(rename = "cold_units")]
     pub slow_start_units: f64,
     /// Fraction of its capacity, 0 to 1, at which a node starts.
@@ -418,7 +418,8 @@
     /// Requests whose client disconnected.
     #[serde(rename = "gone")]
     pub client_disconnects: u32,
-    /// Latencies of served requests in microseconds: an HDR histogram in its V2 form; empty if there are none.
+    /// Latencies of served requests in microseconds: an HDR histogram in its V2 form; empty if there are
+    /// none.
     #[serde(rename = "times")]
     pub latency_histogram: Vec<u8>,
 }
--- a/crates/event-log/src/frame.rs
+++ b/crates/event-log/src/frame.rs
@@ -1,44 +1,44 @@
-//! Frames: a payload with its length and a checksum, found again behind damage. Plain state, no files.
+//! Frames: a payload with its length and a checksum, which a reader finds again behind damaged bytes. No I/O.
 //!
-//! `magic (2) schema (1) 0 (1) length (4) CRC-32C (4) payload`, numbers little-endian. The checksum covers
-//! the segment's identity and the frame's place in it, so that bytes which only look like a frame (a copy of
-//! one in a payload, or a block of another segment) are none.
+//! `magic (2) schema (1) 0 (1) length (4) CRC-32C (4) payload`, numbers little-endian. The checksum also
+//! covers the id of the segment and the offset of the frame in it, so that bytes which only look like a frame
+//! (a copy within a payload, or a block of another segment) are not taken for one.
 
-/// No payload is longer, bytes.
+/// The longest payload, bytes.
 pub const MAX_PAYLOAD_BYTES: usize = 64 * 1024;
-/// The form of payloads that this program writes, and the last that it reads.
+/// The version of the payload form that this program writes, and the latest that it reads.
 pub const SCHEMA: u8 = 1;
 
 const MAGIC: [u8; 2] = [0xb5, 0x48];
 const HEADER_BYTES: usize = 12;
 
-/// Which segment it is: its boot and its number there.
+/// Identifies a segment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SegmentId {
-    /// The run of the scheduler.
+    /// The random number of the run of the scheduler that wrote it.
     pub boot: u64,
-    /// The segment's number.
+    /// The number of the segment in that run, from 0.
     pub number: u32,
 }
 
-/// The longest payload was exceeded.
+/// A payload is longer than [`MAX_PAYLOAD_BYTES`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PayloadTooLong;
 
-fn checksum(identity: SegmentId, offset: u64, schema: u8, payload: &[u8]) -> u32 {
+fn checksum(id: SegmentId, offset: u64, schema: u8, payload: &[u8]) -> u32 {
     let mut prefix = [0; 25];
-    prefix[..8].copy_from_slice(&identity.boot.to_le_bytes());
-    prefix[8..12].copy_from_slice(&identity.number.to_le_bytes());
+    prefix[..8].copy_from_slice(&id.boot.to_le_bytes());
+    prefix[8..12].copy_from_slice(&id.number.to_le_bytes());
     prefix[12..20].copy_from_slice(&offset.to_le_bytes());
     prefix[20] = schema;
     prefix[21..].copy_from_slice(&(payload.len() as u32).to_le_bytes());
     crc32c::crc32c_append(crc32c::crc32c(&prefix), payload)
 }
 
-/// Appends a frame that will stand at `offset` of its segment.
+/// Appends a frame that will be at byte `offset` of the segment.
 ///
 /// # Errors
-/// [`TooLong`] over [`LONGEST`]; nothing is appended then.
+/// [`PayloadTooLong`] over [`MAX_PAYLOAD_BYTES`]; nothing is appended then.
 pub fn encode(
     out: &mut Vec<u8>,
     identity: SegmentId,
@@ -48,7 +48,7 @@
     encode_as(out, identity, offset, SCHEMA, payload)
 }
 
-/// The same in another schema, for tools that write as another version would.
+/// The same in another schema, for tests that write as another version of the program would.
 ///
 /// # Errors
 /// As [`encode`].
@@ -70,49 +70,50 @@
     Ok(())
 }
 
-/// What a segment holds from one place to another.
+/// A part of a segment.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ScannedItem {
-    /// A whole frame.
+    /// A complete frame.
     Frame {
-        /// Where it begins.
+        /// The offset of its first byte.
         offset: u64,
-        /// Its schema; over [`SCHEMA`] the payload is not to be read.
+        /// Its schema; a payload with one above [`SCHEMA`] cannot be read.
         schema: u8,
-        /// What it holds.
+        /// The payload.
         payload: Vec<u8>,
     },
-    /// Bytes that are no frame: damaged, or the beginning of one that was never finished.
+    /// Bytes that are no frame: damaged, or the beginning of a frame that was never completed.
     Damaged {
-        /// From there.
+        /// The offset of the first byte.
         from: u64,
-        /// To there.
+        /// The offset behind the last byte.
         to: u64,
     },
 }
 
-/// Finds frames in the bytes of a segment, fed in pieces of any size; holds little more than one frame.
+/// Finds frames in the bytes of a segment, which are fed in pieces of any size. Holds little more than one
+/// frame and one piece.
 #[derive(Debug)]
 pub struct Scanner {
-    identity: SegmentId,
-    /// Bytes that are not yet told of, of which the first is at `offset`.
+    id: SegmentId,
+    /// Bytes that are not returned yet; the first is at `offset` of the segment.
     buffer: Vec<u8>,
-    /// How many of them are done with.
+    /// How many bytes of the buffer have been scanned.
     position: usize,
     offset: u64,
-    /// Since where there has been no frame.
+    /// The offset from which on no frame has been found.
     damaged_from: Option<u64>,
-    /// No more will come.
+    /// No more bytes will be fed.
     ended: bool,
 }
 
 impl Scanner {
-    /// For a segment's bytes from `offset` on.
-    pub fn new(identity: SegmentId, offset: u64) -> Self {
-        Self { identity, buffer: Vec::new(), position: 0, offset, damaged_from: None, ended: false }
+    /// A scanner of the bytes of a segment from `offset` on.
+    pub fn new(id: SegmentId, offset: u64) -> Self {
+        Self { id, buffer: Vec::new(), position: 0, offset, damaged_from: None, ended: false }
     }
 
-    /// More bytes.
+    /// Adds the next bytes of the segment.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.buffer.drain(..self.position);
         self.offset += self.position as u64;
@@ -120,18 +121,18 @@
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// There are no more bytes.
+    /// Says that there are no more bytes.
     pub fn finish(&mut self) {
         self.ended = true;
     }
 
-    /// The next find; `None` before more is fed, or at the end.
+    /// The next part of the segment; `None` until more bytes are fed, or at the end.
     pub fn next_item(&mut self) -> Option<ScannedItem> {
         loop {
             let place = self.offset + self.position as u64;
             match self.parse_frame_at(place) {
                 FrameAt::Frame { schema, length } => {
-                    // What lies before it is told of first.
+                    // The damaged bytes before the frame come first.
                     if let Some(from) = self.damaged_from.take() {
                         return Some(ScannedItem::Damaged { from, to: place });
                     }
@@ -171,7 +172,7 @@
             return FrameAt::NotAFrame;
         }
         let Some(payload) = bytes.get(HEADER_BYTES..HEADER_BYTES + length) else { return short };
-        if checksum(self.identity, place, schema, payload) == sum {
+        if checksum(self.id, place, schema, payload) == sum {
             FrameAt::Frame { schema, length }
         } else {
             FrameAt::NotAFrame
@@ -179,6 +180,7 @@
     }
 }
 
+/// What is at one offset of a segment.
 enum FrameAt {
     Frame { schema: u8, length: usize },
     NotAFrame,
--- a/crates/event-log/src/read.rs
+++ b/crates/event-log/src/read.rs
@@ -1,4 +1,5 @@
-//! Reads segments back: whole, damaged, still written to, or deleted meanwhile.
+//! Reads segments: complete ones, damaged ones, and those that are still being written or are deleted
+//! meanwhile.
 
 use std::collections::VecDeque;
 use std::fs::File;
@@ -9,25 +10,25 @@
 use crate::frame::{ScannedItem, Scanner, SegmentId, SCHEMA};
 use crate::segment::{self, SegmentName, FILE_SUFFIX, HEADER_BYTES};
 
-/// Bytes that are read at once.
+/// Bytes that are read from a file at a time.
 const READ_BYTES: usize = 128 * 1024;
 
-/// A segment that was found.
+/// A segment file.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SegmentFile {
-    /// What its name says.
+    /// The parts of its name.
     pub name: SegmentName,
-    /// Where it is.
+    /// Its path.
     pub path: PathBuf,
-    /// Its size when it was found, bytes.
+    /// Its size when it was found, in bytes.
     pub bytes: u64,
 }
 
-/// The segments at the paths, in order of scheduler, boot and number: of a folder those that lie in it, of a
-/// file itself. Files whose names are none of a segment's are passed over in folders.
+/// The segments at the paths, in order of scheduler, boot and number. A path is a segment file, or a folder
+/// whose segment files are found; other files in a folder are ignored.
 ///
 /// # Errors
-/// The path that can't be read, or a file that is no segment.
+/// Names the path that cannot be read, or the file that is not named as a segment.
 pub fn find_segments(paths: &[PathBuf]) -> io::Result<Vec<SegmentFile>> {
     let mut found = Vec::new();
     for path in paths {
@@ -52,43 +53,43 @@
 
 fn segment(path: &Path) -> Option<SegmentFile> {
     let name = path.file_name()?.to_str()?.parse().ok()?;
-    // One that was deleted meanwhile is none.
+    // A file that was deleted meanwhile is skipped.
     let size = std::fs::metadata(path).ok().filter(std::fs::Metadata::is_file)?.len();
     Some(SegmentFile { name, path: path.to_owned(), bytes: size })
 }
 
-/// What a segment holds, in order.
+/// A part of a segment.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SegmentItem {
-    /// An event as it was written.
+    /// A record as it was written.
     Record(Record),
-    /// Bytes that hold none: damage, or a frame that was never finished.
+    /// Bytes that hold no record: damaged, or a frame that was never completed.
     Damaged {
-        /// From there.
+        /// The offset of the first byte.
         from: u64,
-        /// To there.
+        /// The offset behind the last byte.
         to: u64,
     },
-    /// A whole frame of a schema that this program does not read.
+    /// A complete frame of a schema that this program does not read.
     Newer {
-        /// Where.
+        /// The offset of the frame.
         offset: u64,
-        /// Its schema.
+        /// The schema of the frame.
         schema: u8,
     },
-    /// A whole frame whose payload is no event.
+    /// A complete frame whose payload holds no event.
     Unreadable {
-        /// Where.
+        /// The offset of the frame.
         offset: u64,
     },
 }
 
-/// Reads one segment in pieces.
+/// Reads one segment, a piece at a time.
 #[derive(Debug)]
 pub struct SegmentReader {
     file: File,
     scanner: Scanner,
-    /// Known once the head is there.
+    /// The bytes of the header that have been read.
     header: Vec<u8>,
     id_from_name: SegmentId,
     ready: VecDeque<SegmentItem>,
@@ -96,7 +97,7 @@
 }
 
 impl SegmentReader {
-    /// Opens a segment. What is open is read to its end, also if it is deleted meanwhile.
+    /// Opens a segment, which can then be read to its end also if it is deleted meanwhile.
     ///
     /// # Errors
     /// The system's.
@@ -114,8 +115,8 @@
         })
     }
 
-    /// The next item that is there by now; `None` at the end of what was written so far. A frame that is not
-    /// finished may be yet.
+    /// The next part of what has been written so far; `None` at its end. A frame that is incomplete now may
+    /// be completed later.
     ///
     /// # Errors
     /// The system's.
@@ -150,14 +151,14 @@
                 if told.is_none() {
                     self.ready.push_back(SegmentItem::Damaged { from: 0, to: HEADER_BYTES as u64 });
                 }
-                // Where the head is damaged the name tells, which has to be that of the segment then.
+                // With a damaged header the id in the file name is used.
                 self.scanner = Scanner::new(told.unwrap_or(self.id_from_name), HEADER_BYTES as u64);
             }
         }
         self.scanner.feed(bytes);
     }
 
-    /// The next item; no more is written to the segment.
+    /// The next part of a segment that is not written to any more; `None` at its end.
     ///
     /// # Errors
     /// The system's.
--- a/crates/event-log/src/segment.rs
+++ b/crates/event-log/src/segment.rs
@@ -1,4 +1,4 @@
-//! Segments: their names and heads, when one is full, and which make way. Plain decisions, no files.
+//! Segments: their names and headers, when a new one is begun, and which are evicted. No I/O.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,38 +6,38 @@
 use crate::event::Micros;
 use crate::frame::SegmentId;
 
-/// How segments' names end.
+/// The suffix of the names of segment files.
 pub const FILE_SUFFIX: &str = ".hwr";
-/// Bytes of a segment's head.
+/// The length of the header of a segment, in bytes.
 pub const HEADER_BYTES: usize = 24;
-/// No name of a scheduler is longer within a segment's name.
+/// A longer name of a scheduler is cut in the names of its segments.
 const MAX_SCHEDULER_NAME_CHARS: usize = 32;
 
 const MAGIC: [u8; 8] = *b"HWRECORD";
 
-/// A segment's name: `SCHEDULER-STARTED-BOOT-NUMBER.hwr`. In order of names, a scheduler's segments are in
-/// order of time.
+/// The name of a segment file: `SCHEDULER-STARTED-BOOT-NUMBER.hwr`. Sorted by name, the segments of a
+/// scheduler are in order of time.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SegmentName {
-    /// The scheduler's name, with all but letters and digits as `_`.
+    /// The name of the scheduler, with `_` for every character but ASCII letters and digits.
     pub scheduler: String,
-    /// When its boot began, Unix time in seconds.
+    /// When the run of the scheduler began, Unix time in seconds.
     pub started_at_seconds: u64,
-    /// The boot.
+    /// The random number of that run.
     pub boot: u64,
-    /// The segment's number in the boot.
+    /// The number of the segment in that run, from 0.
     pub number: u32,
 }
 
 impl SegmentName {
-    /// The name of a boot's segment.
+    /// The name of a segment; the name of the scheduler is adapted to it.
     pub fn new(scheduler: &str, started: u64, boot: u64, number: u32) -> Self {
         let plain = |c: char| if c.is_ascii_alphanumeric() { c } else { '_' };
         let scheduler = scheduler.chars().take(MAX_SCHEDULER_NAME_CHARS).map(plain).collect();
         Self { scheduler, started_at_seconds: started, boot, number }
     }
 
-    /// Which segment that is.
+    /// The id of the segment.
     pub fn id(&self) -> SegmentId {
         SegmentId { boot: self.boot, number: self.number }
     }
@@ -50,7 +50,7 @@
     }
 }
 
-/// A name that is none of a segment's.
+/// A file name that is not one of a segment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NotASegmentName;
 
@@ -66,7 +66,7 @@
             boot: u64::from_str_radix(boot, 16).map_err(|_| NotASegmentName)?,
             number: number.parse().map_err(|_| NotASegmentName)?,
         };
-        // Only what this program would write.
+        // Only names in the form in which this program writes them.
         if name.to_string() == text {
             Ok(name)
         } else {
@@ -75,7 +75,7 @@
     }
 }
 
-/// A segment's header: magic bytes, boot, number and a checksum, numbers little-endian.
+/// The header of a segment: magic bytes, boot, number and a checksum, numbers little-endian.
 pub fn encode_header(id: SegmentId) -> [u8; HEADER_BYTES] {
     let mut header = [0; HEADER_BYTES];
     header[..8].copy_from_slice(&MAGIC);
@@ -96,42 +96,43 @@
     Some(SegmentId { boot: u64::from_le_bytes(boot), number: u32::from_le_bytes(number) })
 }
 
-/// When a segment is full.
+/// When a new segment is begun.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rotation {
-    /// Bytes.
+    /// The size of a segment, in bytes.
     pub max_bytes: u64,
-    /// How long it is written to.
+    /// The time for which a segment is written.
     pub max_age: Micros,
 }
 
 impl Rotation {
-    /// Whether the next record goes into a new segment.
-    pub fn is_due(self, size: u64, opened: Micros, now: Micros) -> bool {
-        size >= self.max_bytes || now.saturating_sub(opened) >= self.max_age
+    /// Whether the next record goes into a new segment, for a segment of that size that was opened then.
+    pub fn is_due(self, bytes: u64, opened_at: Micros, now: Micros) -> bool {
+        bytes >= self.max_bytes || now.saturating_sub(opened_at) >= self.max_age
     }
 }
 
-/// The segments that make way, oldest first, so that those of a scheduler come to no more than `total` bytes
-/// with `coming` more. The newest of each boot stays: another process may be writing to it.
+/// The segments to remove, oldest first, so that those of a scheduler have at most `max_total_bytes` together
+/// with `additional_bytes` more. The newest segment of each run stays, as another process may be writing it.
 pub fn segments_to_evict(
     files: &[(SegmentName, u64)],
     scheduler: &str,
-    total: u64,
-    coming: u64,
+    max_total_bytes: u64,
+    additional_bytes: u64,
 ) -> Vec<SegmentName> {
     let own = || files.iter().filter(|(name, _)| name.scheduler == scheduler);
-    let newest = |of: &SegmentName| !own().any(|(name, _)| name.boot == of.boot && name.number > of.number);
-    let mut size: u64 = own().map(|(_, size)| size).sum::<u64>() + coming;
-    let mut oldest: Vec<_> = own().filter(|(name, _)| !newest(name)).collect();
+    let is_newest =
+        |of: &SegmentName| !own().any(|(name, _)| name.boot == of.boot && name.number > of.number);
+    let mut total: u64 = own().map(|(_, bytes)| bytes).sum::<u64>() + additional_bytes;
+    let mut oldest: Vec<_> = own().filter(|(name, _)| !is_newest(name)).collect();
     oldest.sort();
-    let mut going = Vec::new();
+    let mut evicted = Vec::new();
     for (name, bytes) in oldest {
-        if size <= total {
+        if total <= max_total_bytes {
             break;
         }
-        size -= bytes;
-        going.push(name.clone());
+        total -= bytes;
+        evicted.push(name.clone());
     }
-    going
+    evicted
 }
--- a/crates/event-log/src/send.rs
+++ b/crates/event-log/src/send.rs
@@ -1,56 +1,56 @@
-//! From whoever tells to the writer, without waiting.
+//! The queue of events before the writer; sending never waits.
 
 use std::sync::mpsc::{sync_channel, Receiver, SyncSender, TrySendError};
 
 use crate::event::{Event, Gap, GapCause, Record, Timestamp};
 
-/// What the writer takes from.
+/// The receiving side of the queue, for the writer.
 pub type EventReceiver = Receiver<Record>;
 
-/// Numbers events and hands them to the writer. Where that does not keep up, events are dropped, counted, and
-/// told of as a gap before the next that passes.
+/// Numbers events and hands them to the writer. While the queue is full, events are dropped and counted, and
+/// a gap is recorded before the next event that is accepted.
 #[derive(Debug)]
 pub struct EventSender {
     queue: SyncSender<Record>,
-    /// The last event's number.
+    /// The sequence number of the last event.
     last_sequence: u64,
-    /// What was dropped since the last that passed.
+    /// Events dropped since the last one that was accepted.
     gap: Option<Gap>,
-    /// All that was dropped.
+    /// All events dropped so far.
     dropped: u64,
 }
 
-/// A way to a writer on which so many events wait at most.
-pub fn event_channel(waiting: usize) -> (EventSender, EventReceiver) {
-    let (queue, records) = sync_channel(waiting);
+/// A queue that holds at most `capacity` events.
+pub fn event_channel(capacity: usize) -> (EventSender, EventReceiver) {
+    let (queue, records) = sync_channel(capacity);
     (EventSender { queue, last_sequence: 0, gap: None, dropped: 0 }, records)
 }
 
 impl EventSender {
-    /// Passes an event on, or drops it; never waits.
-    pub fn send(&mut self, at: Timestamp, event: Event) {
+    /// Puts an event into the queue, or drops it if the queue is full. Never waits.
+    pub fn send(&mut self, time: Timestamp, event: Event) {
         if let Some(gap) = self.gap {
-            // The gap has the number of the last event that it stands for.
+            // A gap has the sequence number of the last event that it stands for.
             if !self.try_send(Record { sequence: self.last_sequence, time: gap.last, event: Event::Gap(gap) })
             {
                 self.last_sequence += 1;
-                return self.extend_gap(at);
+                return self.extend_gap(time);
             }
             self.gap = None;
         }
         self.last_sequence += 1;
-        if !self.try_send(Record { sequence: self.last_sequence, time: at, event }) {
-            self.extend_gap(at);
+        if !self.try_send(Record { sequence: self.last_sequence, time, event }) {
+            self.extend_gap(time);
         }
     }
 
-    /// An event is lost before it could be told.
-    pub fn record_loss(&mut self, at: Timestamp) {
+    /// Counts an event that was lost before it could be sent.
+    pub fn record_loss(&mut self, time: Timestamp) {
         self.last_sequence += 1;
-        self.extend_gap(at);
+        self.extend_gap(time);
     }
 
-    /// Events that were dropped so far.
+    /// The number of events dropped so far.
     pub fn dropped(&self) -> u64 {
         self.dropped
     }
@@ -58,15 +58,16 @@
     fn try_send(&mut self, record: Record) -> bool {
         match self.queue.try_send(record) {
             Ok(()) => true,
-            // Without a writer all is dropped.
+            // Without a writer every event is dropped.
             Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => false,
         }
     }
 
-    fn extend_gap(&mut self, at: Timestamp) {
+    fn extend_gap(&mut self, time: Timestamp) {
         self.dropped += 1;
-        let gap = self.gap.get_or_insert(Gap { events: 0, first: at, last: at, cause: GapCause::QueueFull });
+        let gap =
+            self.gap.get_or_insert(Gap { events: 0, first: time, last: time, cause: GapCause::QueueFull });
         gap.events += 1;
-        gap.last = at;
+        gap.last = time;
     }
 }
--- a/crates/event-log/src/write.rs
+++ b/crates/event-log/src/write.rs
@@ -1,5 +1,4 @@
-//! The writer: a thread that puts records into segments, and goes on by itself once a disk that failed is
-//! back.
+//! The writer: a thread that writes records into segments, and resumes by itself after a disk failure.
 
 use std::io::Write;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -14,23 +13,23 @@
 use crate::segment::{self, Rotation, SegmentName};
 use crate::send::EventReceiver;
 
-/// Bytes that are written at once at most, but for one frame more.
+/// Frames are written to the file once they come to this many bytes.
 const BATCH_BYTES: usize = 256 * 1024;
-/// How often a disk that failed is tried again.
+/// After a failure the disk is tried again at this interval.
 const RETRY_INTERVAL: Duration = Duration::from_secs(1);
-/// How often the end of the thread is looked for.
+/// How often [`Writer::finish`] checks whether the thread has ended.
 const FINISH_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-/// How much is kept.
+/// How much of the log is kept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StorageLimits {
-    /// When a segment is full.
+    /// When a new segment is begun.
     pub rotation: Rotation,
-    /// Bytes of all segments of the scheduler.
+    /// The size of all segments of the scheduler together; beyond it the oldest are removed.
     pub max_total_bytes: u64,
 }
 
-/// How the writer does, for whoever watches.
+/// Counts of the writer, which other threads may read.
 #[derive(Debug, Default)]
 pub struct WriterStatistics {
     written: AtomicU64,
@@ -39,23 +38,23 @@
 }
 
 impl WriterStatistics {
-    /// Events written.
+    /// Events written so far.
     pub fn written(&self) -> u64 {
         self.written.load(Ordering::Relaxed)
     }
 
-    /// Events lost as the disk failed.
+    /// Events lost because the disk failed.
     pub fn lost(&self) -> u64 {
         self.lost.load(Ordering::Relaxed)
     }
 
-    /// How often the disk failed.
+    /// Failures of the disk.
     pub fn failures(&self) -> u64 {
         self.failures.load(Ordering::Relaxed)
     }
 }
 
-/// The writer's thread.
+/// A handle to the writer's thread.
 #[derive(Debug)]
 pub struct Writer {
     thread: JoinHandle<()>,
@@ -63,23 +62,23 @@
 }
 
 impl Writer {
-    /// Starts it; `opened` heads each segment, with the segment's own number. It ends once its sender is
-    /// dropped and all that waits is written.
+    /// Starts the thread. `opened` becomes the first event of each segment, with the number of that segment.
+    /// The thread ends once the sender is dropped and all events in the queue are written.
     ///
     /// # Errors
-    /// The system's, where it has no thread to spare.
+    /// The system's, where no thread can be started.
     pub fn start(
         disk: impl Disk,
-        waiting: EventReceiver,
+        events: EventReceiver,
         opened: SegmentOpened,
         limits: StorageLimits,
     ) -> std::io::Result<Self> {
-        let health = Arc::new(WriterStatistics::default());
-        let work = WriterThread {
+        let statistics = Arc::new(WriterStatistics::default());
+        let writer = WriterThread {
             disk,
             segment_opened: opened,
             limits,
-            statistics: health.clone(),
+            statistics: statistics.clone(),
             file: None,
             segment_number: 0,
             started_at_seconds: None,
@@ -89,21 +88,21 @@
             buffered_records: Vec::new(),
         };
         let thread = std::thread::Builder::new().name("records".to_owned());
-        Ok(Self { thread: thread.spawn(move || work.run(&waiting))?, statistics: health })
+        Ok(Self { thread: thread.spawn(move || writer.run(&events))?, statistics })
     }
 
-    /// How it does.
-    pub fn health(&self) -> Arc<WriterStatistics> {
+    /// The counts of this writer.
+    pub fn statistics(&self) -> Arc<WriterStatistics> {
         self.statistics.clone()
     }
 
-    /// Whether it has ended.
+    /// Whether the thread has ended.
     pub fn is_finished(&self) -> bool {
         self.thread.is_finished()
     }
 
-    /// Waits for its end, whose sender must have been dropped; false if it has not come by the deadline: a
-    /// disk that is stuck holds up nobody's end.
+    /// Waits until the thread has ended, whose sender must have been dropped before. False if it has not
+    /// ended by the deadline: a blocked disk must not delay the end of the program.
     pub fn finish(self, deadline: Instant) -> bool {
         while !self.thread.is_finished() {
             if Instant::now() >= deadline {
@@ -115,44 +114,54 @@
     }
 }
 
+/// The segment that is being written.
 struct OpenSegment<F> {
     file: F,
-    identity: SegmentId,
+    id: SegmentId,
     size: u64,
-    /// On the clock of the records.
+    /// On the monotonic clock of the records.
     opened_at: Micros,
 }
 
+/// A frame in the buffer that is not written yet.
+struct BufferedRecord {
+    /// Where the frame ends in the buffer.
+    end: usize,
+    sequence: u64,
+    time: Timestamp,
+    event_count: u64,
+}
+
+/// The state of the writer's thread.
 struct WriterThread<D: Disk> {
     disk: D,
     segment_opened: SegmentOpened,
     limits: StorageLimits,
     statistics: Arc<WriterStatistics>,
     file: Option<OpenSegment<D::File>>,
-    /// The next segment's.
+    /// The number of the next segment.
     segment_number: u32,
-    /// When the boot began, Unix time in seconds.
+    /// The time of the first record, Unix time in seconds.
     started_at_seconds: Option<u64>,
-    /// What the disk did not take, and the number of its last event.
+    /// Events that the disk did not accept, and the sequence number of the last of them.
     pending_gap: Option<(u64, Gap)>,
-    /// No attempt at the disk before.
+    /// After a failure: the disk is not used before.
     retry_at: Option<Instant>,
-    /// Frames that go out next.
+    /// Frames that are written next.
     buffer: Vec<u8>,
-    /// For each frame there: where it ends, and what it stands for.
-    buffered_records: Vec<(usize, u64, Timestamp, u64)>,
+    buffered_records: Vec<BufferedRecord>,
 }
 
 impl<D: Disk> WriterThread<D> {
-    fn run(mut self, waiting: &EventReceiver) {
+    fn run(mut self, events: &EventReceiver) {
         loop {
-            // While something is lost, its gap is written as soon as there is room, also if nothing comes.
+            // After a failure the gap is written as soon as the disk accepts it, also without another event.
             let next = match self.retry_at {
-                None => waiting.recv().map_err(|_| RecvTimeoutError::Disconnected),
-                Some(at) => waiting.recv_timeout(at.saturating_duration_since(Instant::now())),
+                None => events.recv().map_err(|_| RecvTimeoutError::Disconnected),
+                Some(at) => events.recv_timeout(at.saturating_duration_since(Instant::now())),
             };
             match next {
-                Ok(record) => self.write_record(record, waiting),
+                Ok(record) => self.write_records(record, events),
                 Err(RecvTimeoutError::Timeout) => self.write_pending_gap(),
                 Err(RecvTimeoutError::Disconnected) => {
                     self.write_pending_gap();
@@ -162,20 +171,20 @@
         }
     }
 
-    /// Writes a record and those that wait behind it.
-    fn write_record(&mut self, record: Record, waiting: &EventReceiver) {
+    /// Writes a record and those that wait in the queue behind it.
+    fn write_records(&mut self, first: Record, events: &EventReceiver) {
         if self.retry_at.is_some_and(|at| Instant::now() < at) {
-            self.record_loss(record.sequence, record.time, record.event_count());
+            self.record_loss(first.sequence, first.time, first.event_count());
             return;
         }
-        let mut next = Some(record);
+        let mut next = Some(first);
         while let Some(record) = next {
             if !self.ensure_segment(record.time) {
                 self.record_loss(record.sequence, record.time, record.event_count());
                 return;
             }
-            if let Some((seq, gap)) = self.pending_gap.take() {
-                self.append_frame(&Record { sequence: seq, time: gap.last, event: Event::Gap(gap) });
+            if let Some((sequence, gap)) = self.pending_gap.take() {
+                self.append_frame(&Record { sequence, time: gap.last, event: Event::Gap(gap) });
             }
             self.append_frame(&record);
             let full = self.file.as_ref().is_some_and(|open| {
@@ -185,23 +194,23 @@
                     record.time.monotonic,
                 )
             });
-            next = if self.buffer.len() >= BATCH_BYTES || full { None } else { waiting.try_recv().ok() };
+            next = if self.buffer.len() >= BATCH_BYTES || full { None } else { events.try_recv().ok() };
         }
         self.flush();
     }
 
-    /// Tries to tell of what was lost while nothing else comes.
+    /// Tries to record what was lost, while there is no other event to write.
     fn write_pending_gap(&mut self) {
         self.retry_at = None;
-        let Some((seq, gap)) = self.pending_gap else { return };
+        let Some((sequence, gap)) = self.pending_gap else { return };
         if self.ensure_segment(gap.last) {
             self.pending_gap = None;
-            self.append_frame(&Record { sequence: seq, time: gap.last, event: Event::Gap(gap) });
+            self.append_frame(&Record { sequence, time: gap.last, event: Event::Gap(gap) });
             self.flush();
         }
     }
 
-    /// Sees to it that there is a segment that takes more.
+    /// Opens a new segment if there is none or the present one is full. False if the disk does not accept it.
     fn ensure_segment(&mut self, now: Timestamp) -> bool {
         let size = self.buffer.len() as u64;
         let full = |open: &OpenSegment<D::File>| {
@@ -221,6 +230,7 @@
         opened.is_ok()
     }
 
+    /// Creates the next segment, with its header and its first event.
     fn open_segment(&mut self, now: Timestamp) -> std::io::Result<()> {
         let started = *self.started_at_seconds.get_or_insert(now.wall_clock / 1_000_000);
         let name = SegmentName::new(
@@ -230,23 +240,23 @@
             self.segment_number,
         );
         self.evict_old_segments(&name.scheduler);
-        // A number is used once: what a failed disk has of it may be anything.
+        // A number is used only once: after a failure the file may hold anything.
         self.segment_number += 1;
         let mut file = self.disk.create(&name.to_string())?;
-        let identity = name.id();
-        let head = segment::encode_header(identity);
-        let opened = SegmentOpened { segment: identity.number, ..self.segment_opened.clone() };
-        let mut bytes = head.to_vec();
+        let id = name.id();
+        let header = segment::encode_header(id);
+        let opened = SegmentOpened { segment: id.number, ..self.segment_opened.clone() };
+        let mut bytes = header.to_vec();
         let mut payload = Vec::new();
         Record { sequence: 0, time: now, event: Event::SegmentOpened(opened) }.encode(&mut payload);
-        frame::encode(&mut bytes, identity, head.len() as u64, &payload)
+        frame::encode(&mut bytes, id, header.len() as u64, &payload)
             .map_err(|_| std::io::Error::other("too many classes for a segment's head"))?;
         file.write_all(&bytes)?;
-        self.file = Some(OpenSegment { file, identity, size: bytes.len() as u64, opened_at: now.monotonic });
+        self.file = Some(OpenSegment { file, id, size: bytes.len() as u64, opened_at: now.monotonic });
         Ok(())
     }
 
-    /// Old segments make way for one more. One that can't be removed stays.
+    /// Removes old segments to make room for one more. A segment that cannot be removed stays.
     fn evict_old_segments(&mut self, scheduler: &str) {
         let Ok(files) = self.disk.list() else { return };
         let known = |(name, size): (String, u64)| Some((name.parse::<SegmentName>().ok()?, size));
@@ -261,62 +271,65 @@
         }
     }
 
-    /// Appends a record's frame to what goes out next.
+    /// Appends the frame of a record to the buffer.
     fn append_frame(&mut self, record: &Record) {
         let Some(open) = &self.file else { return };
         let offset = open.size + self.buffer.len() as u64;
         let mut payload = Vec::new();
         record.encode(&mut payload);
-        match frame::encode(&mut self.buffer, open.identity, offset, &payload) {
-            Ok(()) => self.buffered_records.push((
-                self.buffer.len(),
-                record.sequence,
-                record.time,
-                record.event_count(),
-            )),
+        match frame::encode(&mut self.buffer, open.id, offset, &payload) {
+            Ok(()) => self.buffered_records.push(BufferedRecord {
+                end: self.buffer.len(),
+                sequence: record.sequence,
+                time: record.time,
+                event_count: record.event_count(),
+            }),
             Err(frame::PayloadTooLong) => {
                 self.record_loss(record.sequence, record.time, record.event_count())
             }
         }
     }
 
-    /// Writes what is ready. Frames that went out whole are written, whatever happens then.
+    /// Writes the buffer to the file. After a failure the frames that were written completely count as
+    /// written, and the others as lost.
     fn flush(&mut self) {
         let Some(open) = &mut self.file else { return };
-        let (mut out, mut failed) = (0, false);
-        while out < self.buffer.len() && !failed {
-            match open.file.write(&self.buffer[out..]) {
+        let (mut written_bytes, mut failed) = (0, false);
+        while written_bytes < self.buffer.len() && !failed {
+            match open.file.write(&self.buffer[written_bytes..]) {
                 Ok(0) => failed = true,
-                Ok(size) => out += size,
+                Ok(size) => written_bytes += size,
                 Err(error) => failed = error.kind() != std::io::ErrorKind::Interrupted,
             }
         }
-        open.size += out as u64;
+        open.size += written_bytes as u64;
         self.buffer.clear();
-        let ends = std::mem::take(&mut self.buffered_records);
-        let written = ends.iter().filter(|(end, ..)| *end <= out).count() as u64;
-        self.statistics.written.fetch_add(written, Ordering::Relaxed);
-        for (_, seq, at, weight) in ends.into_iter().filter(|(end, ..)| *end > out) {
-            self.record_loss(seq, at, weight);
+        let records = std::mem::take(&mut self.buffered_records);
+        let (written, lost): (Vec<_>, Vec<_>) =
+            records.into_iter().partition(|record| record.end <= written_bytes);
+        self.statistics.written.fetch_add(written.len() as u64, Ordering::Relaxed);
+        for record in lost {
+            self.record_loss(record.sequence, record.time, record.event_count);
         }
         if failed {
             self.on_disk_failure();
         }
     }
 
-    /// The disk does not take it. What it has of this segment stays as it is; later comes another.
+    /// Gives up the present segment, which stays as it is, and the disk until the next attempt.
     fn on_disk_failure(&mut self) {
         self.file = None;
         self.retry_at = Some(Instant::now() + RETRY_INTERVAL);
         self.statistics.failures.fetch_add(1, Ordering::Relaxed);
     }
 
-    fn record_loss(&mut self, seq: u64, at: Timestamp, weight: u64) {
-        self.statistics.lost.fetch_add(weight, Ordering::Relaxed);
-        let fresh = Gap { events: 0, first: at, last: at, cause: GapCause::DiskFailed };
-        let (last, gap) = self.pending_gap.get_or_insert((seq, fresh));
-        *last = seq;
-        gap.events += weight;
-        gap.last = at;
+    /// Counts events as lost and adds them to the pending gap.
+    fn record_loss(&mut self, sequence: u64, time: Timestamp, event_count: u64) {
+        self.statistics.lost.fetch_add(event_count, Ordering::Relaxed);
+        let empty = Gap { events: 0, first: time, last: time, cause: GapCause::DiskFailed };
+        let (last_sequence, gap) = self.pending_gap.get_or_insert((sequence, empty));
+        *last_sequence = sequence;
+        gap.events += event_count;
+        gap.last = time;
     }
 }
--- a/crates/event-log/tests/records.rs
+++ b/crates/event-log/tests/records.rs
@@ -211,7 +211,7 @@
 fn write(disk: impl Disk, limits: StorageLimits, count: u64) -> (EventSender, u64) {
     let (mut sender, waiting) = event_channel(4096);
     let writer = Writer::start(disk, waiting, opened(), limits).unwrap();
-    let health = writer.health();
+    let health = writer.statistics();
     (1..=count).for_each(|seq| sender.send(at(seq), change(seq).event));
     let (rest, _) = event_channel(1);
     drop(std::mem::replace(&mut sender, rest));
@@ -348,7 +348,7 @@
     disk.with(|state| state.room = 1000);
     let (mut sender, waiting) = event_channel(4096);
     let writer = Writer::start(disk.clone(), waiting, opened(), limits(1 << 20, 1 << 30)).unwrap();
-    let health = writer.health();
+    let health = writer.statistics();
     (1..=200).for_each(|seq| sender.send(at(seq), change(seq).event));
     let by = Instant::now() + PATIENCE;
     while health.lost() == 0 || health.lost() + health.written() < 200 {
--- a/crates/scheduler/src/records.rs
+++ b/crates/scheduler/src/records.rs
@@ -57,7 +57,7 @@
     /// Says in the log what went wrong with them since that was said last.
     pub fn tell(&mut self) {
         let Some((settings, writer)) = &self.kept else { return };
-        let health = writer.health();
+        let health = writer.statistics();
         let (failures, lost) = (health.failures(), health.lost());
         if failures > self.told.0 || lost > self.told.1 {
             let folder = settings.folder.display();
