--- a/crates/incident/src/series.rs
+++ b/crates/incident/src/series.rs
@@ -139,10 +139,10 @@
     pub in_aim: u64,
     /// Served after it.
     pub late: u64,
-    /// Refused, by [`heathward_event_log::REFUSALS`].
+    /// Refused, by [`heathward_event_log::SHED_REASON_NAMES`].
     #[serde(rename = "refused")]
     pub refused: [u64; 5],
-    /// Failed, by [`heathward_event_log::FAILURES`].
+    /// Failed, by [`heathward_event_log::FAILURE_REASON_NAMES`].
     pub failed: [u64; 4],
     /// Whose client left.
     #[serde(rename = "gone")]
@@ -194,7 +194,7 @@
     /// Units of those that went there while it was cold.
     #[serde(rename = "cold_units")]
     pub cold_units: u64,
-    /// Ends, by [`heathward_event_log::ENDS`].
+    /// Ends, by [`heathward_event_log::ATTEMPT_END_NAMES`].
     #[serde(rename = "ends")]
     pub ends: [u64; 8],
     /// Most that one scheduler had out there at once.
