--- a/crates/policy/tests/replay.rs
+++ b/crates/policy/tests/replay.rs
@@ -8,7 +8,7 @@
 //! against the recorded counts in `replay/free.txt`.
 
 mod common;
-#[path = "common/day.rs"]
+#[path = "common/simulated_day.rs"]
 mod day;
 
 use common::{deployment, settings, GRANITE_SHELF, PREDIO_NORTE};
