--- /dev/null
+++ b/crates/policy/src/node_table.rs
@@ -0,0 +1,101 @@
+//! All nodes that this scheduler knows, with indexes over them, so that no event has to visit every node.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::ops::Deref;
+
+use crate::api::{EndpointEntry, Micros, NodeId, NodeState, RequestId, Settings};
+use crate::node::Node;
+use crate::node_ranking::NodeRanking;
+use crate::shard_index::ShardIndex;
+use crate::slow_start::NodeDemand;
+
+/// Nodes by id. It is read as a map and changed through its methods.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct NodeTable {
+    nodes: BTreeMap<NodeId, Node>,
+    /// The node in service that holds each shard.
+    pub(crate) shards: ShardIndex,
+    out_of_service: BTreeSet<NodeId>,
+    /// How many nodes requests address.
+    demand: NodeDemand,
+    /// Nodes in service by load.
+    pub(crate) ranking: NodeRanking,
+}
+
+impl Deref for NodeTable {
+    type Target = BTreeMap<NodeId, Node>;
+
+    fn deref(&self) -> &Self::Target {
+        &self.nodes
+    }
+}
+
+impl NodeTable {
+    pub(crate) fn get_mut(&mut self, id: &NodeId) -> Option<&mut Node> {
+        self.nodes.get_mut(id)
+    }
+
+    /// Takes every node out of service, before a complete list is applied. Returns those that were in
+    /// service.
+    pub(crate) fn take_all_out_of_service(&mut self) -> Vec<NodeId> {
+        let mut taken_out = Vec::new();
+        for (&id, node) in self.nodes.iter_mut().filter(|(_, node)| node.ready) {
+            node.ready = false;
+            self.shards.remove(node.shard, id);
+            self.out_of_service.insert(id);
+            taken_out.push(id);
+        }
+        taken_out
+    }
+
+    /// Applies an entry of the endpoint list, adding the node if it is not known yet.
+    pub(crate) fn apply(&mut self, now: Micros, entry: &EndpointEntry, settings: &Settings) {
+        let node = self.nodes.entry(entry.node).or_insert_with(|| Node::new(now, entry, settings));
+        if node.ready {
+            self.shards.remove(node.shard, entry.node);
+        }
+        node.ready = entry.state == NodeState::Ready;
+        node.shard = entry.shard;
+        node.zone = entry.zone;
+        node.on_listed_start(now, entry, settings);
+        if node.ready {
+            self.shards.insert(entry.shard, entry.node);
+            self.out_of_service.remove(&entry.node);
+        } else {
+            self.out_of_service.insert(entry.node);
+        }
+    }
+
+    /// Requests queued for those of the given nodes that are out of service.
+    pub(crate) fn queued_out_of_service(&self, among: &BTreeSet<NodeId>) -> Vec<RequestId> {
+        let nodes = among.iter().filter_map(|id| self.nodes.get(id));
+        nodes.filter(|node| !node.ready).flat_map(|node| node.queue.requests()).collect()
+    }
+
+    /// Removes nodes out of service that have nothing open and have not answered since.
+    pub(crate) fn forget_unused(&mut self, since: Micros) {
+        self.out_of_service.retain(|id| {
+            let is_unused = self.nodes.get(id).is_none_or(|node| node.is_unused_since(since));
+            if is_unused {
+                self.nodes.remove(id);
+            }
+            !is_unused
+        });
+    }
+
+    /// Counts a request for a node. Returns the probability that any one node is addressed
+    /// within `lifetime`.
+    pub(crate) fn record_demand(&mut self, now: Micros, id: NodeId, lifetime: Micros) -> f64 {
+        self.demand.record(now, id, self.shards.len(), lifetime)
+    }
+
+    /// Brings the ranking up to date with a node's state.
+    pub(crate) fn update_rank(&mut self, now: Micros, id: NodeId, settings: &Settings) {
+        let Some(node) = self.nodes.get(&id) else { return };
+        if node.ready {
+            self.ranking.set(now, id, &node.rank(now, settings));
+        } else {
+            self.ranking.remove(id);
+        }
+    }
+}
--- /dev/null
+++ b/crates/policy/src/slow_start/demand.rs
@@ -0,0 +1,103 @@
+//! How many nodes this scheduler's requests address within the lifetime of a slow-start token.
+
+use std::collections::BTreeMap;
+
+use crate::api::{Micros, NodeId};
+use crate::recency::Recency;
+
+/// Lifetimes over which the number of nodes is averaged, and for which the largest one is kept at least.
+const AVERAGING_LIFETIMES: u32 = 4;
+/// A number that exceeds the mean by more than this many standard deviations is a surge.
+const SURGE_DEVIATIONS: f64 = 2.0;
+/// Minimum number of nodes that requests are assumed to address. A scheduler whose requests address a single
+/// node cannot know whether those of all other schedulers address the same one.
+const MIN_NODES: f64 = 2.0;
+
+/// The nodes that requests addressed within one lifetime, and the usual number of them.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct NodeDemand {
+    /// Nodes addressed within the last lifetime, by their latest request.
+    recent: Recency<NodeId>,
+    /// Time of each node's latest request.
+    latest_requests: BTreeMap<NodeId, Micros>,
+    /// Time of the first request of all.
+    first_request_at: Option<Micros>,
+    /// Exponentially weighted mean of the number of nodes, once a lifetime has passed since the first
+    /// request.
+    mean: Option<f64>,
+    mean_updated_at: Micros,
+    /// The largest number of nodes in the current span of lifetimes.
+    largest: usize,
+    /// The same for the span before.
+    previous_largest: usize,
+    span_started_at: Micros,
+}
+
+impl NodeDemand {
+    /// Counts a request for a node, one of `nodes`. Returns the probability that any one node is addressed
+    /// within a lifetime, as it was before this request.
+    pub(crate) fn record(&mut self, now: Micros, node: NodeId, nodes: usize, lifetime: Micros) -> f64 {
+        let first_request_at = *self.first_request_at.get_or_insert(now);
+        self.expire(now, lifetime);
+        let probability = if now < first_request_at + lifetime {
+            self.initial_probability(now - first_request_at, nodes, lifetime)
+        } else {
+            self.update_mean(now, lifetime);
+            self.usual_probability(nodes)
+        };
+        let previous = self.latest_requests.insert(node, now);
+        self.recent.touch(previous.unwrap_or(now), now, node);
+        self.update_largest(now, lifetime);
+        probability
+    }
+
+    /// Removes nodes whose latest request is older than a lifetime.
+    fn expire(&mut self, now: Micros, lifetime: Micros) {
+        while let Some(oldest) = self.recent.oldest().filter(|oldest| oldest.at + lifetime <= now) {
+            self.update_mean(oldest.at + lifetime, lifetime);
+            self.recent.remove(&oldest);
+            self.latest_requests.remove(&oldest.key);
+        }
+    }
+
+    /// Takes the current number of nodes into the mean, for the time up to `until`.
+    fn update_mean(&mut self, until: Micros, lifetime: Micros) {
+        let number = self.recent.len() as f64;
+        let time_constant = f64::from(AVERAGING_LIFETIMES) * lifetime.max(1) as f64;
+        let elapsed = until.saturating_sub(self.mean_updated_at) as f64;
+        let old_weight = (-elapsed / time_constant).exp();
+        self.mean = Some(self.mean.map_or(number, |mean| number + (mean - number) * old_weight));
+        self.mean_updated_at = until;
+    }
+
+    /// Keeps the largest numbers of the current and the previous span.
+    fn update_largest(&mut self, now: Micros, lifetime: Micros) {
+        if now >= self.span_started_at + Micros::from(AVERAGING_LIFETIMES) * lifetime {
+            self.previous_largest = self.largest;
+            self.largest = 0;
+            self.span_started_at = now;
+        }
+        self.largest = self.largest.max(self.recent.len());
+    }
+
+    /// Within the first lifetime: the requests so far, and this one, are assumed to go on at the same rate.
+    fn initial_probability(&self, elapsed: Micros, nodes: usize, lifetime: Micros) -> f64 {
+        let number = ((self.recent.len() + 1) as f64).max(MIN_NODES);
+        let fraction = (number / nodes.max(1) as f64).min(1.0);
+        let elapsed_per_lifetime = lifetime as f64 / elapsed.max(1) as f64;
+        1.0 - (1.0 - fraction).powf(elapsed_per_lifetime)
+    }
+
+    /// By the mean number of nodes or, if the largest one is a surge, by that: a surge comes to all
+    /// schedulers at once.
+    fn usual_probability(&self, nodes: usize) -> f64 {
+        let nodes = nodes.max(1) as f64;
+        let largest = (self.largest.max(self.previous_largest) as f64).min(nodes);
+        let deviation = (largest * (1.0 - largest / nodes)).sqrt();
+        let number = self.mean.unwrap_or(0.0).max(largest - SURGE_DEVIATIONS * deviation);
+        (number.max(MIN_NODES) / nodes).min(1.0)
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/policy/src/slow_start/demand/tests.rs
@@ -0,0 +1,90 @@
+use super::*;
+
+const LIFETIME: Micros = 1_000_000;
+const NODES: usize = 200;
+
+/// Probability as of the last of requests that come at a mean rate for some lifetimes; `node` draws each
+/// request's node.
+fn probability_after(
+    lifetimes: u64,
+    per_lifetime: f64,
+    seed: u64,
+    node: impl Fn(&mut fastrand::Rng) -> u32,
+) -> f64 {
+    let mut random = fastrand::Rng::with_seed(seed);
+    let mut demand = NodeDemand::default();
+    let (mut now, mut probability) = (5_000_000_f64, 0.0);
+    while now < 5_000_000.0 + (lifetimes * LIFETIME) as f64 {
+        now -= (1.0 - random.f64()).ln() * LIFETIME as f64 / per_lifetime;
+        let node = NodeId(node(&mut random));
+        probability = demand.record(now as Micros, node, NODES, LIFETIME);
+    }
+    probability
+}
+
+fn any_node(random: &mut fastrand::Rng) -> u32 {
+    random.u32(0..NODES as u32)
+}
+
+/// Mean over some seeds of the probability after some lifetimes.
+fn mean_probability(lifetimes: u64, per_lifetime: f64) -> f64 {
+    (1..=20).map(|seed| probability_after(lifetimes, per_lifetime, seed, any_node)).sum::<f64>() / 20.0
+}
+
+#[test]
+fn the_probability_is_that_of_a_node_being_addressed_within_a_lifetime() {
+    for per_lifetime in [5.0, 50.0, 500.0] {
+        let truth = 1.0 - (-per_lifetime / NODES as f64).exp();
+        let mean = mean_probability(30, per_lifetime);
+        let is_near = (0.85 * truth..1.35 * truth).contains(&mean);
+        assert!(is_near, "{per_lifetime} per lifetime: {mean}, {truth} in truth");
+    }
+}
+
+/// A scheduler that addresses a few nodes in a lifetime does not assume that it addresses many; one that
+/// addresses fewer than two counts as addressing two.
+#[test]
+fn rare_requests_give_a_low_probability() {
+    for (per_lifetime, nodes) in [(4.0, 4.0), (0.1, 2.0)] {
+        let truth = nodes / NODES as f64;
+        let mean = mean_probability(100, per_lifetime);
+        let is_near = (0.8 * truth..1.5 * truth).contains(&mean);
+        assert!(is_near, "{per_lifetime} per lifetime: {mean}, {truth} in truth");
+    }
+}
+
+/// Guards against tokens that come far too fast in the first moments after a start.
+#[test]
+fn the_probability_is_not_underestimated_right_after_a_start() {
+    let mut demand = NodeDemand::default();
+    let truth = 1.0 - (-1.0_f64).exp();
+    // A request every 5 ms, each for another node.
+    for request in 0..200 {
+        let now = 1_000 + u64::from(request) * 5_000;
+        let probability = demand.record(now, NodeId(request), NODES, LIFETIME);
+        assert!(probability > 0.6 * truth, "request {request}: {probability}");
+    }
+}
+
+/// A surge that comes to all schedulers at once counts by its largest number, though the mean is low.
+#[test]
+fn surges_count_by_their_largest_number_of_nodes() {
+    let mut demand = NodeDemand::default();
+    let mut probability = 0.0;
+    for surge in 0..8 {
+        for node in 0..NODES as u32 {
+            probability = demand.record(1_000 + surge * 3 * LIFETIME, NodeId(node), NODES, LIFETIME);
+        }
+    }
+    assert!(probability > 0.9, "{probability}");
+}
+
+#[test]
+fn nodes_are_kept_for_a_lifetime_only() {
+    let mut demand = NodeDemand::default();
+    for request in 0..10_000 {
+        demand.record(request * 10_000, NodeId(request as u32), NODES, LIFETIME);
+    }
+    let most = (LIFETIME / 10_000) as usize + 1;
+    assert!(demand.recent.len() <= most && demand.latest_requests.len() <= most, "{}", demand.recent.len());
+}
--- /dev/null
+++ b/crates/policy/tests/rate_limit.rs
@@ -0,0 +1,128 @@
+//! A plan's rate limit, kept by all schedulers together without communication: each has an even part of rate
+//! and burst. What a scheduler learns of the others' usage comes late or never (schedulers that use other
+//! nodes of the volume learn nothing of each other), so no part is lent; the price is what a single scheduler
+//! leaves unused.
+#![cfg(test)]
+
+mod common;
+use std::collections::BTreeMap;
+
+use common::{plan, sample_request, settings, Harness};
+use heathward_policy::*;
+use rstest::rstest;
+
+/// Rate limit of a volume in units a second.
+const LIMIT: f64 = 80.0;
+/// Burst of a volume in units.
+const BURST: f64 = 120.0;
+const SECONDS: u64 = 30;
+const STEP: Micros = 20_000;
+/// How long one scheduler has all requests when they take turns.
+const TURN: Micros = 3_000_000;
+
+/// Settings in which nothing but the rate limit holds a request back.
+fn settings_with_limit(rate_limit: f64) -> Settings {
+    let class = settings().classes[0].clone();
+    Settings {
+        schedulers: 5,
+        plans: vec![PlanSettings { rate_limit, burst: BURST, ..plan(10.0, 5.0) }],
+        classes: vec![ClassSettings {
+            idempotency: Idempotency::NotIdempotent,
+            priority_weight: 1.0,
+            ..class
+        }],
+        shared_tier_weight: 1.0,
+        excess_tier_weight: 1.0,
+        ..settings()
+    }
+}
+
+/// Which of a volume's schedulers get requests, and how that changes.
+#[derive(Clone, Copy, Debug, PartialEq)]
+enum Load {
+    All,
+    One,
+    /// Another one every few seconds, and some restart then.
+    RoundRobin,
+}
+
+/// Units that were sent, and when.
+#[derive(Clone, Copy, Debug)]
+struct Sent {
+    at: Micros,
+    units: f64,
+}
+
+fn start(rate_limit: f64, now: Micros, seed: u64) -> Harness {
+    let mut harness = Harness::with_seed(settings_with_limit(rate_limit), seed);
+    harness.now = now;
+    harness.set_endpoints(&[1]);
+    harness
+}
+
+/// What all schedulers send if they get far more than the limit allows.
+fn sent(schedulers: u32, rate_limit: f64, load: Load, seed: u64) -> Vec<Sent> {
+    let mut random = fastrand::Rng::with_seed(seed);
+    let mut fleet: Vec<Harness> =
+        (0..schedulers).map(|number| start(rate_limit, 1_000_000, seed + u64::from(number))).collect();
+    let (mut all, mut id) = (Vec::new(), 0);
+    let mut units_by_request = BTreeMap::new();
+    for step in 0..SECONDS * 1_000_000 / STEP {
+        let now = 1_000_000 + step * STEP;
+        let turn = (step * STEP / TURN) as usize % schedulers as usize;
+        for (number, harness) in fleet.iter_mut().enumerate() {
+            if load == Load::RoundRobin && (step * STEP).is_multiple_of(TURN) && random.bool() {
+                *harness = start(rate_limit, now, random.u64(..));
+            }
+            let seen = harness.actions.len();
+            harness.advance(now.saturating_sub(harness.now));
+            let has_requests = match load {
+                Load::All => true,
+                Load::One => number == 0,
+                Load::RoundRobin => number == turn,
+            };
+            for _ in 0..if has_requests { 3 } else { 0 } {
+                id += 1;
+                let units = random.u32(1..=8);
+                let request = Request { units, schedulers, time_budget: 200_000, ..sample_request(id) };
+                units_by_request.insert(id, f64::from(units));
+                harness.submit(request);
+            }
+            all.extend(harness.actions[seen..].iter().filter_map(|timed| match timed.action {
+                Action::Send { request, .. } => {
+                    Some(Sent { at: timed.at, units: units_by_request[&request.0] })
+                }
+                _ => None,
+            }));
+            harness.serve_all();
+        }
+    }
+    all.sort_by_key(|sent| sent.at);
+    all
+}
+
+/// Guards against schedulers that each see the others idle and all exceed their part at once, against a
+/// restart that forgets what was spent, and against a limit where there is none.
+#[rstest]
+fn all_schedulers_together_keep_to_the_rate_limit(
+    #[values(1, 2, 3, 5)] schedulers: u32,
+    #[values(Load::All, Load::One, Load::RoundRobin)] load: Load,
+) {
+    let seed = 3;
+    let (mut bucket, mut updated_at, mut least) = (BURST, 1_000_000, BURST);
+    let all = sent(schedulers, LIMIT, load, seed);
+    for Sent { at, units } in &all {
+        bucket = (bucket + LIMIT * (at - updated_at) as f64 / 1e6).min(BURST) - units;
+        updated_at = *at;
+        least = least.min(bucket);
+    }
+    let used = all.iter().map(|sent| sent.units).sum::<f64>() / (LIMIT * SECONDS as f64);
+    println!("{schedulers} schedulers, {load:?}, seed {seed}: {used:.2} of the limit, {least:.1} units left");
+    // The tolerance is one of the largest requests or more; none of it is needed.
+    assert!(least >= 0.0, "{least} units over the limit");
+    let part = if load == Load::All { 1.0 } else { 1.0 / f64::from(schedulers) };
+    let least_used = if load == Load::RoundRobin { 0.5 } else { 0.75 };
+    assert!(used >= least_used * part, "{used} of the limit is used, {part} is this part");
+    let unlimited = sent(schedulers, 0.0, load, seed).iter().map(|sent| sent.units).sum::<f64>();
+    assert!(unlimited > 2.0 * LIMIT * SECONDS as f64, "no limit, {unlimited} units");
+}
