--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! A host hands the [`Scheduler`] [`Event`]s with the current time; it answers with [`Action`]s. It does no
 //! I/O, reads no clock, starts no thread, keeps no global state and depends on no runtime. All decisions are
-//! in `choice.rs`; the types that cross its border are in `api.rs`. [`settings`] reads a deployment's.
+//! in `scheduler.rs`; the types that cross its border are in `api.rs`. [`settings`] reads a deployment's.
 //!
 //! ```
 //! use heathward_policy::*;
@@ -50,17 +50,15 @@
 //! ```
 
 mod api;
-mod asked;
-mod choice;
-mod cold;
-mod nodes;
-mod ranking;
+mod node_ranking;
+mod node_table;
 mod recency;
+mod scheduler;
 pub mod settings;
-mod shards;
+mod shard_index;
 mod slow_start;
 mod state;
-mod volumes;
+mod volume_table;
 
 pub use api::*;
-pub use choice::Scheduler;
+pub use scheduler::Scheduler;
--- a/crates/policy/src/nodes.rs
+++ b/crates/policy/src/node_table.rs
@@ -4,9 +4,9 @@
 use std::ops::Deref;
 
 use crate::api::{EndpointEntry, Micros, NodeId, NodeState, RequestId};
-use crate::asked::AskedNodes;
-use crate::ranking::{Rank, Ranking, Tier};
-use crate::shards::ShardIndex;
+use crate::node_ranking::{Rank, Ranking, Tier};
+use crate::shard_index::ShardIndex;
+use crate::slow_start::AskedNodes;
 use crate::state::Node;
 
 /// Nodes by id; read as a map, changed through its methods.
--- a/crates/policy/src/choice.rs
+++ b/crates/policy/src/scheduler.rs
@@ -9,14 +9,14 @@
     Action, EndpointListMode, EntryCounts, Event, Micros, NodeId, NodeStatus, RequestId, Settings,
     SettingsError,
 };
-use crate::nodes::NodeTable;
+use crate::node_table::NodeTable;
 use crate::state::{Following, Held, Job, Lines, Node, Portion, Tally};
-use crate::volumes::VolumeTable;
+use crate::volume_table::VolumeTable;
 
 mod admission;
-mod gate;
-mod list;
+mod endpoints;
 mod outcomes;
+mod send_rules;
 
 /// Lookback of the admission test, from the design page: long enough for a whole surge.
 const LOOKBACK: Micros = 30_000_000;
@@ -281,4 +281,4 @@
 }
 
 #[cfg(test)]
-mod tests;
+mod node_selection_tests;
--- a/crates/policy/src/choice/admission.rs
+++ b/crates/policy/src/scheduler/admission.rs
@@ -4,7 +4,7 @@
 
 use super::{Gate, Scheduler, BURST_PART, CHANCE, NEWS_LIFE, PATIENCE, SHARE_RATES, STUCK_PERIODS, USE_SPAN};
 use crate::api::{Action, KeyId, Micros, NodeId, PlanSettings, Request, RequestId};
-use crate::ranking::{Candidate, Found};
+use crate::node_ranking::{Candidate, Found};
 use crate::state::{Job, Meter, Node, Portion, Stage, Volume};
 
 impl Scheduler {
--- a/crates/policy/src/choice/tests.rs
+++ b/crates/policy/src/scheduler/node_selection_tests.rs
@@ -8,7 +8,7 @@
     AttemptEnd, AttemptOutcome, ClassId, ClassSettings, EndpointEntry, EndpointUpdateKind, NodeState, PlanId,
     PlanSettings, Request, RequestId, ShardId, VolumeId,
 };
-use crate::ranking::Found;
+use crate::node_ranking::Found;
 
 const START: Micros = 40_000_000;
 const AIM: Micros = 300_000;
--- a/crates/policy/tests/replay.rs
+++ b/crates/policy/tests/replay.rs
@@ -9,7 +9,7 @@
 #![cfg(test)]
 
 mod common;
-#[path = "common/day.rs"]
+#[path = "common/simulated_day.rs"]
 mod day;
 
 use common::{deployment, settings, GRANITE_SHELF, PREDIO_NORTE};
--- a/crates/scheduler/tests/deploy.rs
+++ b/crates/scheduler/tests/deploy.rs
@@ -64,7 +64,7 @@
 #[case::an_operator_file("heathward\"\nsim", "heathward --operator x\"\nsim", "run: ")]
 #[case::no_simulator("sim =", "simulator =", "sim: ")]
 #[case::a_wrong_key("build =", "built =", "built: unknown")]
-#[case::a_file_that_moved("choice.rs", "choices.rs", "policy: ")]
+#[case::a_file_that_moved("scheduler.rs", "schedulers.rs", "policy: ")]
 #[case::a_folder_that_moved("crates/transport/src", "crates/wire/src", "node: ")]
 #[case::no_toml("build =", "build", "")]
 fn a_fault_in_the_deploy_file_is_seen(#[case] from: &str, #[case] to: &str, #[case] named: &str) {
