--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -436,7 +436,7 @@
     pub ready: bool,
     /// Since when it counts as down or silent: it gets only a try now and then.
     pub unresponsive_since: Option<Micros>,
-    /// Since when it is cold or may be. It is warm [`Settings::slow_start_duration`] later at the latest.
+    /// Since when it is cold or may be. It is warm [`Settings::cold_time`] later at the latest.
     pub slow_start_since: Option<Micros>,
     /// Units of the attempts that are out there.
     pub in_flight_units: f64,
--- a/crates/policy/src/node_ranking.rs
+++ b/crates/policy/src/node_ranking.rs
@@ -18,31 +18,31 @@
 use crate::api::{Micros, NodeId};
 
 /// Nodes of a tier that one search looks at, at most: it matters where these are all without room.
-pub(crate) const VISITS: usize = 64;
+pub(crate) const MAX_VISITS: usize = 64;
 /// Nodes whose news has faded that one call moves to their next bucket, at most. One that has to wait for its
 /// move counts as having the longer wait of its old bucket until then.
-const MOVES: usize = 64;
+const MAX_MOVES: usize = 64;
 /// Floor of the first bucket of waits above none, microseconds, and the factor from one to the next.
-const FIRST_WAIT: f64 = 50.0;
-const WAIT_STEP: f64 = 1.25;
+const FIRST_DELAY_US: f64 = 50.0;
+const DELAY_STEP: f64 = 1.25;
 /// Buckets by freshness.
-const FRESH_STEPS: f64 = 16.0;
+const FRESHNESS_STEPS: f64 = 16.0;
 
 /// Nodes that are looked at one after the other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Tier {
+pub(crate) enum HealthTier {
     Warm,
     /// It is or may be cold: its part is often used up.
-    Cold,
+    SlowStart,
     /// It errs or is down: the last choice.
-    Shunned,
+    Unhealthy,
 }
 
-impl Tier {
+impl HealthTier {
     pub(crate) fn of(shunned: bool, cold: bool) -> Self {
         match (shunned, cold) {
-            (true, _) => Self::Shunned,
-            (false, true) => Self::Cold,
+            (true, _) => Self::Unhealthy,
+            (false, true) => Self::SlowStart,
             (false, false) => Self::Warm,
         }
     }
@@ -51,18 +51,18 @@
 /// What a node's bound is made of.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Rank {
-    pub(crate) tier: Tier,
+    pub(crate) tier: HealthTier,
     /// Wait as the last news told it, when that came (0 for never), and the time in which it fades.
-    pub(crate) wait: f64,
-    pub(crate) wait_at: Micros,
-    pub(crate) life: f64,
+    pub(crate) delay: f64,
+    pub(crate) delay_updated_at: Micros,
+    pub(crate) delay_lifetime: f64,
     /// Open units that stay open until the node's next event.
     pub(crate) units: f64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Bucket {
-    tier: Tier,
+    tier: HealthTier,
     wait: u8,
     fresh: u8,
     units: u8,
@@ -87,11 +87,11 @@
 
 /// What a search found.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Found {
+pub(crate) struct SearchResult {
     /// The lowest score among open nodes, else among all.
     pub(crate) node: Option<NodeId>,
     /// Nodes whose bound was well below their score.
-    pub(crate) loose: Vec<NodeId>,
+    pub(crate) outdated: Vec<NodeId>,
     /// Nodes looked at.
     pub(crate) visits: usize,
 }
@@ -107,26 +107,26 @@
     if class == 0 {
         0.0
     } else {
-        FIRST_WAIT * WAIT_STEP.powi(i32::from(class) - 1)
+        FIRST_DELAY_US * DELAY_STEP.powi(i32::from(class) - 1)
     }
 }
 
 impl Rank {
     /// Its bucket, and when that no longer holds.
     fn bucket(&self, now: Micros) -> (Bucket, Option<Micros>) {
-        let age = now.saturating_sub(self.wait_at) as f64;
-        let fresh = if self.wait_at == 0 { 0.0 } else { (-age / self.life).exp() };
-        let left = self.wait * fresh;
-        let steps = (left / FIRST_WAIT).ln() / WAIT_STEP.ln();
-        let mut wait = if left < FIRST_WAIT { 0 } else { (steps as u8).saturating_add(1) };
+        let age = now.saturating_sub(self.delay_updated_at) as f64;
+        let fresh = if self.delay_updated_at == 0 { 0.0 } else { (-age / self.delay_lifetime).exp() };
+        let left = self.delay * fresh;
+        let steps = (left / FIRST_DELAY_US).ln() / DELAY_STEP.ln();
+        let mut wait = if left < FIRST_DELAY_US { 0 } else { (steps as u8).saturating_add(1) };
         if wait > 0 && wait_floor(wait) > left {
             wait -= 1;
         }
         let expires = (wait > 0).then(|| {
-            let span = self.life * (self.wait / wait_floor(wait)).ln();
-            (self.wait_at + span as Micros).max(now) + 1
+            let span = self.delay_lifetime * (self.delay / wait_floor(wait)).ln();
+            (self.delay_updated_at + span as Micros).max(now) + 1
         });
-        let (fresh, units) = ((fresh * FRESH_STEPS).ceil() as u8, self.units as u8);
+        let (fresh, units) = ((fresh * FRESHNESS_STEPS).ceil() as u8, self.units as u8);
         (Bucket { tier: self.tier, wait, fresh, units }, expires)
     }
 }
@@ -134,7 +134,7 @@
 impl Bucket {
     /// No member's score is lower.
     fn bound(&self, prior: f64, unit_time: f64) -> f64 {
-        let stale = 1.0 - f64::from(self.fresh) / FRESH_STEPS;
+        let stale = 1.0 - f64::from(self.fresh) / FRESHNESS_STEPS;
         wait_floor(self.wait) + prior * stale + f64::from(self.units) * unit_time
     }
 }
@@ -180,7 +180,7 @@
     /// Nodes whose bucket no longer holds, the most overdue first.
     pub(crate) fn expired(&self, now: Micros) -> Vec<NodeId> {
         let due = self.expiries.iter().take_while(|(at, _)| *at <= now);
-        due.take(MOVES).map(|(_, node)| *node).collect()
+        due.take(MAX_MOVES).map(|(_, node)| *node).collect()
     }
 
     /// The node with the lowest score among those where a request may go now; where there is none, among all.
@@ -191,25 +191,25 @@
         unit_time: f64,
         rng: &mut fastrand::Rng,
         mut look: impl FnMut(NodeId) -> Option<Candidate>,
-    ) -> Found {
-        let mut found = Found::default();
+    ) -> SearchResult {
+        let mut found = SearchResult::default();
         // Lowest scores so far, of open nodes and of others.
         let (mut open, mut closed) = (None, None);
-        for tier in [Tier::Warm, Tier::Cold, Tier::Shunned] {
-            let shunned = tier == Tier::Shunned;
+        for tier in [HealthTier::Warm, HealthTier::SlowStart, HealthTier::Unhealthy] {
+            let shunned = tier == HealthTier::Unhealthy;
             if shunned && open.is_some() {
                 break;
             }
             let mut search = Search::new(self, tier, prior, unit_time);
-            for _ in 0..VISITS {
+            for _ in 0..MAX_VISITS {
                 let best: Option<(f64, NodeId)> = if shunned { closed } else { open };
                 let Some((node, bound, noise)) = search.next(rng, best.map(|(score, _)| score)) else {
                     break;
                 };
                 found.visits += 1;
                 let Some(candidate) = look(node) else { continue };
-                if candidate.score > bound + unit_time / FRESH_STEPS {
-                    found.loose.push(node);
+                if candidate.score > bound + unit_time / FRESHNESS_STEPS {
+                    found.outdated.push(node);
                 }
                 let rank = (candidate.score + noise, node);
                 let best = if candidate.open && !shunned { &mut open } else { &mut closed };
@@ -263,7 +263,7 @@
 }
 
 impl<'a> Search<'a> {
-    fn new(ranking: &'a Ranking, tier: Tier, prior: f64, unit_time: f64) -> Self {
+    fn new(ranking: &'a Ranking, tier: HealthTier, prior: f64, unit_time: f64) -> Self {
         let first = Bucket { tier, wait: 0, fresh: 0, units: 0 };
         let last = Bucket { tier, wait: u8::MAX, fresh: u8::MAX, units: u8::MAX };
         let buckets = ranking.buckets.range(first..=last);
--- a/crates/policy/src/node_table.rs
+++ b/crates/policy/src/node_table.rs
@@ -4,9 +4,9 @@
 use std::ops::Deref;
 
 use crate::api::{EndpointEntry, Micros, NodeId, NodeState, RequestId};
-use crate::node_ranking::{Rank, Ranking, Tier};
+use crate::node_ranking::{HealthTier, Rank, Ranking};
 use crate::shard_index::ShardIndex;
-use crate::slow_start::AskedNodes;
+use crate::slow_start::NodeDemand;
 use crate::state::Node;
 
 /// Nodes by id; read as a map, changed through its methods.
@@ -16,9 +16,9 @@
     /// Which node in service holds a shard.
     pub(crate) shards: ShardIndex,
     /// Nodes not in service.
-    unready: BTreeSet<NodeId>,
+    out_of_service: BTreeSet<NodeId>,
     /// Nodes asked for within the life of a token of slow start.
-    asked: AskedNodes,
+    demand: NodeDemand,
     /// Nodes in service by score.
     pub(crate) ranking: Ranking,
 }
@@ -37,19 +37,19 @@
     }
 
     /// Takes every node out of service, before a whole list; says which were in service.
-    pub(crate) fn unlist_all(&mut self) -> Vec<NodeId> {
+    pub(crate) fn take_all_out_of_service(&mut self) -> Vec<NodeId> {
         let mut unlisted = Vec::new();
         for (&id, node) in self.records.iter_mut().filter(|(_, node)| node.ready) {
             node.ready = false;
             self.shards.remove(node.shard, id);
-            self.unready.insert(id);
+            self.out_of_service.insert(id);
             unlisted.push(id);
         }
         unlisted
     }
 
     /// Takes over where a node stands in the list; `fresh` makes the record of a new one.
-    pub(crate) fn list(&mut self, entry: &EndpointEntry, fresh: impl FnOnce() -> Node) -> &mut Node {
+    pub(crate) fn update_entry(&mut self, entry: &EndpointEntry, fresh: impl FnOnce() -> Node) -> &mut Node {
         let node = self.records.entry(entry.node).or_insert_with(fresh);
         if node.ready {
             self.shards.remove(node.shard, entry.node);
@@ -58,23 +58,24 @@
         (node.shard, node.zone) = (entry.shard, entry.zone);
         if node.ready {
             self.shards.insert(entry.shard, entry.node);
-            self.unready.remove(&entry.node);
+            self.out_of_service.remove(&entry.node);
         } else {
-            self.unready.insert(entry.node);
+            self.out_of_service.insert(entry.node);
         }
         node
     }
 
     /// Requests that are held for such of these nodes as are not in service.
-    pub(crate) fn stranded(&self, among: &BTreeSet<NodeId>) -> Vec<RequestId> {
+    pub(crate) fn queued_on_unavailable(&self, among: &BTreeSet<NodeId>) -> Vec<RequestId> {
         let left = among.iter().filter_map(|id| self.records.get(id)).filter(|node| !node.ready);
-        left.flat_map(|node| node.held.iter().map(|(_, id)| *id)).collect()
+        left.flat_map(|node| node.queued.iter().map(|(_, id)| *id)).collect()
     }
 
     /// Forgets nodes out of service that have nothing open and were not heard of after `old`.
     pub(crate) fn forget_unused(&mut self, old: Micros) {
-        let unused = |node: &Node| node.heard <= old && node.out.is_empty() && node.held.is_empty();
-        self.unready.retain(|id| {
+        let unused =
+            |node: &Node| node.last_response <= old && node.in_flight.is_empty() && node.queued.is_empty();
+        self.out_of_service.retain(|id| {
             let gone = self.records.get(id).is_none_or(unused);
             if gone {
                 self.records.remove(id);
@@ -84,8 +85,8 @@
     }
 
     /// A request asks for the node now. Returns the chance that a node is asked for within `life`.
-    pub(crate) fn ask(&mut self, now: Micros, id: NodeId, life: Micros) -> f64 {
-        self.asked.note(now, id, self.shards.len(), life)
+    pub(crate) fn note_demand(&mut self, now: Micros, id: NodeId, life: Micros) -> f64 {
+        self.demand.note(now, id, self.shards.len(), life)
     }
 
     /// Brings the indexes up to date with a node's record; `life` says how long news of it lives.
@@ -94,8 +95,12 @@
         if !node.ready {
             return self.ranking.remove(id);
         }
-        let tier = Tier::of(shunned, cold);
-        let (wait, wait_at, units) = (node.wait, node.wait_at, node.lasting_units());
-        self.ranking.set(now, id, &Rank { tier, wait, wait_at, life, units });
+        let tier = HealthTier::of(shunned, cold);
+        let (wait, wait_at, units) = (node.delay, node.delay_updated_at, node.lasting_open_units());
+        self.ranking.set(
+            now,
+            id,
+            &Rank { tier, delay: wait, delay_updated_at: wait_at, delay_lifetime: life, units },
+        );
     }
 }
--- a/crates/policy/src/scheduler/endpoints.rs
+++ b/crates/policy/src/scheduler/endpoints.rs
@@ -5,10 +5,10 @@
 use super::{Scheduler, FLOOR_REQUESTS, RESUBSCRIBE};
 use crate::api::{Action, EndpointEntry, EndpointListMode, EndpointUpdateKind, Micros, NodeId};
 use crate::slow_start::TokenBucket;
-use crate::state::{Following, Node};
+use crate::state::{EndpointSubscription, Node};
 
 impl Scheduler {
-    pub(super) fn on_list(
+    pub(super) fn on_endpoint_update(
         &mut self,
         now: Micros,
         kind: EndpointUpdateKind,
@@ -16,37 +16,43 @@
         out: &mut Vec<Action>,
     ) {
         if let (EndpointListMode::Polled { max_interval: within }, EndpointUpdateKind::Failed) =
-            (self.set.endpoint_list_mode, kind)
+            (self.settings.endpoint_list_mode, kind)
         {
             let most = RESUBSCRIBE.1.min(within / 4).max(1);
-            let pause = (RESUBSCRIBE.0 << self.list.failures.min(8)).min(most);
-            self.list.failures += 1;
-            self.list.due = Some(now + self.rng.u64(pause / 2..=pause));
+            let pause = (RESUBSCRIBE.0 << self.subscription.failures.min(8)).min(most);
+            self.subscription.failures += 1;
+            self.subscription.next_subscription = Some(now + self.random.u64(pause / 2..=pause));
         } else if kind != EndpointUpdateKind::Cached {
-            self.list = Following::default();
+            self.subscription = EndpointSubscription::default();
         }
         // Nodes that may have left service.
         let mut changed: BTreeSet<NodeId> = entries.iter().map(|entry| entry.node).collect();
         if kind == EndpointUpdateKind::Snapshot || kind == EndpointUpdateKind::Cached {
-            changed.extend(self.nodes.unlist_all());
+            changed.extend(self.nodes.take_all_out_of_service());
         }
         for entry in entries {
-            let (budget, heard) = (FLOOR_REQUESTS * self.set.mean_units, now);
+            let (budget, heard) = (FLOOR_REQUESTS * self.settings.mean_units, now);
             let end = now + self.period;
-            let slow_start = || TokenBucket::new(now, entry.started_at, entry.shard, &self.set);
-            let fresh =
-                || Node { budget, heard, period_end: end, slow_start: slow_start(), ..Node::default() };
-            let node = self.nodes.list(entry, fresh);
-            if entry.started_at > node.started {
-                (node.started, node.suspect) = (entry.started_at, None);
-                node.slow_start = node.slow_start.restarted(now, entry.started_at, entry.shard, &self.set);
+            let slow_start = || TokenBucket::new(now, entry.started_at, entry.shard, &self.settings);
+            let fresh = || Node {
+                budget,
+                last_response: heard,
+                period_end: end,
+                slow_start: slow_start(),
+                ..Node::default()
+            };
+            let node = self.nodes.update_entry(entry, fresh);
+            if entry.started_at > node.started_at {
+                (node.started_at, node.suspected_since) = (entry.started_at, None);
+                node.slow_start =
+                    node.slow_start.restarted(now, entry.started_at, entry.shard, &self.settings);
             }
         }
         for node_id in &changed {
             self.index(now, *node_id);
         }
-        for id in self.nodes.stranded(&changed) {
-            self.unhold(now, id);
+        for id in self.nodes.queued_on_unavailable(&changed) {
+            self.dequeue(now, id);
             self.admit(now, id, out);
         }
     }
--- a/crates/policy/src/scheduler/node_selection_tests.rs
+++ b/crates/policy/src/scheduler/node_selection_tests.rs
@@ -8,7 +8,7 @@
     AttemptEnd, AttemptOutcome, ClassId, ClassSettings, EndpointEntry, EndpointUpdateKind, NodeState, PlanId,
     PlanSettings, Request, RequestId, ShardId, VolumeId,
 };
-use crate::node_ranking::Found;
+use crate::node_ranking::SearchResult;
 
 const START: Micros = 40_000_000;
 const AIM: Micros = 300_000;
@@ -142,16 +142,16 @@
     }
 
     /// A request for any node that nothing was decided on.
-    fn place(&mut self, portion: Portion, luck: f64) -> RequestId {
+    fn place(&mut self, portion: QuotaTier, luck: f64) -> RequestId {
         self.next += 1;
         let request = request(self.next, 2, None);
         let id = request.id;
-        let job = Job::new(request, self.now + AIM, self.now + 1_000_000, portion, 0.8, luck);
-        self.scheduler.jobs.insert(id, job);
+        let job = TrackedRequest::new(request, self.now + AIM, self.now + 1_000_000, portion, 0.8, luck);
+        self.scheduler.requests.insert(id, job);
         id
     }
 
-    fn search(&mut self, id: RequestId) -> Found {
+    fn search(&mut self, id: RequestId) -> SearchResult {
         for node_id in self.scheduler.nodes.ranking.expired(self.now) {
             self.scheduler.index(self.now, node_id);
         }
@@ -161,11 +161,11 @@
     /// Whether a node comes last, and its score without noise; `None` if the request must never go there.
     fn rank(&self, id: RequestId, node_id: NodeId) -> Option<(bool, f64)> {
         let (s, node) = (&self.scheduler, &self.scheduler.nodes[&node_id]);
-        let gate = s.gate(self.now, id, node_id);
-        let open = (s.open(self.now, node) + node.held_units) * s.unit_time;
-        let shunned = node.suspect.is_some() || node.errors > 1;
-        let rank = (gate != Gate::Go || shunned, s.wait(self.now, node) + open);
-        (gate != Gate::Never).then_some(rank)
+        let gate = s.check_send(self.now, id, node_id);
+        let open = (s.open_units(self.now, node) + node.queued_units) * s.unit_service_time;
+        let shunned = node.suspected_since.is_some() || node.consecutive_errors > 1;
+        let rank = (gate != SendDecision::Allowed || shunned, s.queueing_delay(self.now, node) + open);
+        (gate != SendDecision::Never).then_some(rank)
     }
 
     /// Ranks of all nodes that the request may go to.
@@ -178,7 +178,7 @@
     fn walk(&mut self, ranks: &BTreeMap<NodeId, (bool, f64)>) -> Option<NodeId> {
         let mut best: Option<(bool, f64, NodeId)> = None;
         for (node, (last, score)) in ranks {
-            let rank = (*last, score + self.scheduler.unit_time * self.rng.f64(), *node);
+            let rank = (*last, score + self.scheduler.unit_service_time * self.rng.f64(), *node);
             best = best.filter(|least| *least < rank).or(Some(rank));
         }
         best.map(|(_, _, node)| node)
@@ -194,7 +194,7 @@
 ) {
     const DRAWS: u32 = 4_000;
     let mut bench = Bench::new(nodes, state, seed, 1_500);
-    let id = bench.place(Portion::Share, 0.5);
+    let id = bench.place(QuotaTier::Shared, 0.5);
     let ranks = bench.ranks(id);
     let mut counts: BTreeMap<NodeId, (u32, u32)> = BTreeMap::new();
     for _ in 0..DRAWS {
@@ -222,18 +222,18 @@
     for _ in 0..rounds {
         bench.step(800, state);
         let luck = bench.rng.f64();
-        let id = bench.place(Portion::Share, luck);
+        let id = bench.place(QuotaTier::Shared, luck);
         let ranks = bench.ranks(id);
         let least = ranks.values().copied().reduce(|a, b| if b < a { b } else { a }).expect("nodes");
         let (last, score) = ranks[&bench.search(id).node.expect("a node")];
         assert_eq!(last, least.0, "a node without room, where others have it");
-        assert!(score <= least.1 + bench.scheduler.unit_time, "{score}, {} at the best", least.1);
+        assert!(score <= least.1 + bench.scheduler.unit_service_time, "{score}, {} at the best", least.1);
         found += score;
         walked += ranks[&bench.walk(&ranks).expect("a node")].1;
-        bench.scheduler.jobs.remove(&id);
+        bench.scheduler.requests.remove(&id);
     }
     let (found, walked) = (found / f64::from(rounds), walked / f64::from(rounds));
-    let noise = bench.scheduler.unit_time;
+    let noise = bench.scheduler.unit_service_time;
     assert!((found - walked).abs() < 0.1 * noise, "{found} in the mean, {walked} by a walk");
 }
 
@@ -246,15 +246,16 @@
         if round % 10 == 0 {
             bench.now += bench.rng.u64(0..400_000);
             bench.feed(Event::TimerFired { token: 0 });
-            let id = bench.place(Portion::Reserve, 0.5);
+            let id = bench.place(QuotaTier::Reserved, 0.5);
             bench.search(id);
-            let prior = bench.scheduler.prior_now(bench.now);
+            let prior = bench.scheduler.decayed_fleet_delay(bench.now);
             for (node, (_, score)) in bench.ranks(id) {
-                let bound = bench.scheduler.nodes.ranking.bound(node, prior, bench.scheduler.unit_time);
+                let bound =
+                    bench.scheduler.nodes.ranking.bound(node, prior, bench.scheduler.unit_service_time);
                 let bound = bound.expect("nodes in service have a place");
                 assert!(bound <= score + 1e-6, "{node:?}: a bound of {bound} over a score of {score}");
             }
-            bench.scheduler.jobs.remove(&id);
+            bench.scheduler.requests.remove(&id);
         }
     }
 }
@@ -267,13 +268,13 @@
     for _ in 0..rounds {
         bench.step(nodes, state);
         let luck = bench.rng.f64();
-        let id = bench.place(Portion::Share, luck);
+        let id = bench.place(QuotaTier::Shared, luck);
         let found = bench.search(id);
         visits += found.visits;
-        for node in found.loose {
+        for node in found.outdated {
             bench.scheduler.index(bench.now, node);
         }
-        bench.scheduler.jobs.remove(&id);
+        bench.scheduler.requests.remove(&id);
     }
     visits as f64 / f64::from(rounds)
 }
--- a/crates/policy/src/scheduler/send_rules.rs
+++ b/crates/policy/src/scheduler/send_rules.rs
@@ -1,80 +1,83 @@
 //! The send gate: every rule that a request has to pass before it goes to a node, and the room there.
 
-use super::{Gate, Scheduler, CHANCE, GIVE_UP, USE_SPAN};
+use super::{
+    Scheduler, SendDecision, ATTEMPT_TIMEOUT_FACTOR, STALE_ESTIMATE_JITTER, USAGE_AVERAGING_SECONDS,
+};
 use crate::api::{Action, DeduplicationScope, Idempotency, Micros, NodeId, RequestId};
-use crate::state::{Job, Meter, Node, Portion, Stage, CONFIRMED};
+use crate::state::{Node, QuotaBucket, QuotaTier, RequestState, TrackedRequest, UNANNOUNCED_START_LIFETIME};
 
 impl Scheduler {
     /// The only way out to a node: asks the gate, then books the send.
-    pub(super) fn offer(
+    pub(super) fn try_send(
         &mut self,
         now: Micros,
         id: RequestId,
         node_id: NodeId,
         out: &mut Vec<Action>,
-    ) -> Gate {
-        let gate = self.gate(now, id, node_id);
+    ) -> SendDecision {
+        let gate = self.check_send(now, id, node_id);
         let mut cold = None;
-        if gate == Gate::Go {
-            cold = self.nodes.get(&node_id).and_then(|node| self.cold_requests(now, node));
-            self.unhold(now, id);
+        if gate == SendDecision::Allowed {
+            cold = self.nodes.get(&node_id).and_then(|node| self.slow_start_requests(now, node));
+            self.dequeue(now, id);
         }
-        let (Some(job), Some(node)) = (self.jobs.get_mut(&id), self.nodes.get_mut(&node_id)) else {
-            return Gate::Never;
+        let (Some(job), Some(node)) = (self.requests.get_mut(&id), self.nodes.get_mut(&node_id)) else {
+            return SendDecision::Never;
         };
-        node.filled |= gate == Gate::Closed;
-        if gate != Gate::Go {
+        node.budget_filled |= gate == SendDecision::NoCapacity;
+        if gate != SendDecision::Allowed {
             return gate;
         }
         let units = f64::from(job.request.units);
-        if job.sends == 0 {
+        if job.attempts_sent == 0 {
             if let Some(volume) = self.volumes.get_mut(&job.request.volume) {
-                let plan = &self.set.plans[job.request.plan.0 as usize];
-                volume.limit = Meter { tokens: volume.allowed(now, plan) - units, at: now };
+                let plan = &self.settings.plans[job.request.plan.0 as usize];
+                volume.limit_bucket =
+                    QuotaBucket { units: volume.units_within_limit(now, plan) - units, updated_at: now };
             }
-            if let Some(volume) = self.volumes.fade(now, job.request.volume, USE_SPAN) {
-                volume.sent += units / USE_SPAN;
+            if let Some(volume) = self.volumes.fade(now, job.request.volume, USAGE_AVERAGING_SECONDS) {
+                volume.sent_rate += units / USAGE_AVERAGING_SECONDS;
             }
-        } else if self.set.retry_budget.is_some() {
-            self.tally.extras.push_back(now);
+        } else if self.settings.retry_budget.is_some() {
+            self.counters.retries.push_back(now);
         }
         if let Some(total) = cold {
-            node.slow_start.spend(now, total, units, &self.set);
+            node.slow_start.spend(now, total, units, &self.settings);
         }
-        job.out.push((job.sends, node_id, now));
+        job.in_flight.push((job.attempts_sent, node_id, now));
         if !job.request.is_streaming {
-            node.out.insert((now, id, job.sends), units);
+            node.in_flight.insert((now, id, job.attempts_sent), units);
         }
         node.sessions.insert(job.request.volume, now);
-        job.sends += 1;
-        job.stage = Stage::Out;
-        node.out_units += job.load();
-        node.peak = node.peak.max(node.out_units + node.held_units);
-        node.filled |= node.out_units + self.set.mean_units > node.budget;
-        let give_up = Some(GIVE_UP * job.due.saturating_sub(now).max(1));
+        job.attempts_sent += 1;
+        job.state = RequestState::InFlight;
+        node.in_flight_units += job.node_units();
+        node.peak_units = node.peak_units.max(node.in_flight_units + node.queued_units);
+        node.budget_filled |= node.in_flight_units + self.settings.mean_units > node.budget;
+        let give_up = Some(ATTEMPT_TIMEOUT_FACTOR * job.due.saturating_sub(now).max(1));
         self.index(now, node_id);
         out.push(Action::Send { request: id, node: node_id, timeout: give_up });
-        Gate::Go
+        SendDecision::Allowed
     }
 
     /// Checks every rule, then the room. Nothing goes out that this has not passed.
-    pub(super) fn gate(&self, now: Micros, id: RequestId, node_id: NodeId) -> Gate {
-        let Some(job) = self.jobs.get(&id) else { return Gate::Never };
-        let Some(node) = self.nodes.get(&node_id) else { return Gate::Never };
-        let class = &self.set.classes[job.request.class.0 as usize];
+    pub(super) fn check_send(&self, now: Micros, id: RequestId, node_id: NodeId) -> SendDecision {
+        let Some(job) = self.requests.get(&id) else { return SendDecision::Never };
+        let Some(node) = self.nodes.get(&node_id) else { return SendDecision::Never };
+        let class = &self.settings.classes[job.request.class.0 as usize];
         let units = f64::from(job.request.units);
         // No request is lost: nothing after its end, and no attempt beside another.
         // Drains: nothing from the moment that this host knows.
-        let over = job.stage == Stage::Over || now >= job.deadline;
+        let over = job.state == RequestState::Answered || now >= job.deadline;
         let elsewhere = job.request.shard.is_some_and(|shard| shard != node.shard);
-        if over || job.sends >= self.set.max_attempts.max(1) || !node.ready || elsewhere {
-            return Gate::Never;
+        if over || job.attempts_sent >= self.settings.max_attempts.max(1) || !node.ready || elsewhere {
+            return SendDecision::Never;
         }
-        if !job.out.is_empty() {
-            return Gate::Later;
+        if !job.in_flight.is_empty() {
+            return SendDecision::NotYet;
         }
         // No effect twice.
-        if let Some((first, at)) = job.ran {
+        if let Some((first, at)) = job.possibly_executed {
             let first = self.nodes.get(&first);
             let same = match class.deduplication_scope {
                 DeduplicationScope::AllNodes => true,
@@ -84,81 +87,86 @@
             match class.idempotency {
                 Idempotency::Idempotent => {}
                 Idempotency::WithKey if same && now < at + class.deduplication_window => {}
-                _ => return Gate::Never,
+                _ => return SendDecision::Never,
             }
         }
         // Order per key.
         if let (true, Some(key)) = (class.ordered_per_key, job.request.key) {
-            let turn = self.lines.queues.get(&key);
-            if !turn.is_some_and(|(l, rest)| l.front() == Some(&id) && (*rest <= now || job.sends > 0)) {
-                return Gate::Later;
+            let turn = self.key_queues.queues.get(&key);
+            if !turn
+                .is_some_and(|(l, rest)| l.front() == Some(&id) && (*rest <= now || job.attempts_sent > 0))
+            {
+                return SendDecision::NotYet;
             }
         }
         // Further attempts within their budget.
-        if let (true, Some(budget)) = (job.sends > 0, self.set.retry_budget) {
+        if let (true, Some(budget)) = (job.attempts_sent > 0, self.settings.retry_budget) {
             let since = now.saturating_sub(budget.window);
-            let (taken, extras) = self.tally.counts(since);
+            let (taken, extras) = self.counters.counts(since);
             if extras + 1.0 > budget.free_retries + budget.retries_per_request * taken {
-                return Gate::Never;
+                return SendDecision::Never;
             }
         }
         // Limits: this host's even part of rate and burst, from a store that starts empty with the host:
         // a restarted one forgot what it spent.
-        let plan = &self.set.plans[job.request.plan.0 as usize];
-        if plan.rate_limit > 0.0 && job.sends == 0 {
-            let Some(volume) = self.volumes.get(&job.request.volume) else { return Gate::Never };
-            if volume.allowed(now, plan) < units {
-                return Gate::Later;
+        let plan = &self.settings.plans[job.request.plan.0 as usize];
+        if plan.rate_limit > 0.0 && job.attempts_sent == 0 {
+            let Some(volume) = self.volumes.get(&job.request.volume) else { return SendDecision::Never };
+            if volume.units_within_limit(now, plan) < units {
+                return SendDecision::NotYet;
             }
         }
         // Cold nodes: a token of slow start for each request.
-        if let Some(total) = self.cold_requests(now, node) {
-            let level = if job.portion == Portion::Reserve { 1.0 } else { job.level };
-            let free = job.request.shard.is_none().then_some(job.luck);
-            if !node.slow_start.lets_through(now, total, level, free, &self.set) {
-                return Gate::Later;
+        if let Some(total) = self.slow_start_requests(now, node) {
+            let level = if job.quota_tier == QuotaTier::Reserved { 1.0 } else { job.priority };
+            let free = job.request.shard.is_none().then_some(job.admission_draw);
+            if !node.slow_start.lets_through(now, total, level, free, &self.settings) {
+                return SendDecision::NotYet;
             }
         }
-        self.room(now, job, node)
+        self.check_capacity(now, job, node)
     }
 
     /// The design's budget, and what a wait leaves of it.
-    pub(super) fn room(&self, now: Micros, job: &Job, node: &Node) -> Gate {
-        let open = self.open(now, node);
+    pub(super) fn check_capacity(&self, now: Micros, job: &TrackedRequest, node: &Node) -> SendDecision {
+        let open = self.open_units(now, node);
         let used = open + f64::from(job.request.units);
-        let wait = self.wait(now, node);
-        if (open > 0.0 && used > node.budget) || wait > self.patience(1.0) {
-            return Gate::Closed;
+        let wait = self.queueing_delay(now, node);
+        if (open > 0.0 && used > node.budget) || wait > self.delay_limit(1.0) {
+            return SendDecision::NoCapacity;
         }
         // Below the reserve a request fills its level of the budget only, and all fill less the longer the
         // wait: else a backlog floods the node at each dip. With nothing out one finds room, by chance
         // the more the staler the news: many hosts that each let one through would flood a full node.
-        let left = 1.0 - wait / self.patience_of(now, job);
-        let part = if job.portion == Portion::Reserve { left } else { left * job.level };
-        if CHANCE * job.luck * (1.0 - node.fresh(now)) > left || (open > 0.0 && used > part * node.budget) {
-            return Gate::Later;
+        let left = 1.0 - wait / self.request_delay_limit(now, job);
+        let part = if job.quota_tier == QuotaTier::Reserved { left } else { left * job.priority };
+        if STALE_ESTIMATE_JITTER * job.admission_draw * (1.0 - node.delay_freshness(now)) > left
+            || (open > 0.0 && used > part * node.budget)
+        {
+            return SendDecision::NotYet;
         }
-        Gate::Go
+        SendDecision::Allowed
     }
 
     /// Requests of mean size that a node which is or may be cold gets within the fall time from all hosts
     /// together; `None` if warm.
-    pub(super) fn cold_requests(&self, now: Micros, node: &Node) -> Option<f64> {
+    pub(super) fn slow_start_requests(&self, now: Micros, node: &Node) -> Option<f64> {
         // As cold as can be until it answers.
-        let suspect =
-            node.suspect.is_some_and(|since| now.saturating_sub(since) < self.set.slow_start_duration);
-        let guess = node.guess.filter(|at| now.saturating_sub(*at) < CONFIRMED);
-        let started = if suspect { now } else { node.started.max(guess)? };
-        Some(self.set.cold_total(now.saturating_sub(started))? / self.set.mean_units)
+        let suspect = node
+            .suspected_since
+            .is_some_and(|since| now.saturating_sub(since) < self.settings.slow_start_duration);
+        let guess = node.presumed_start.filter(|at| now.saturating_sub(*at) < UNANNOUNCED_START_LIFETIME);
+        let started = if suspect { now } else { node.started_at.max(guess)? };
+        Some(self.settings.slow_start_total(now.saturating_sub(started))? / self.settings.mean_units)
     }
 
     /// Notes that this host is asked for a node.
-    pub(super) fn ask(&mut self, now: Micros, node_id: NodeId) {
-        let total = self.nodes.get(&node_id).and_then(|node| self.cold_requests(now, node));
-        let chance = self.nodes.ask(now, node_id, self.set.token_life());
-        let luck = self.rng.f64();
+    pub(super) fn note_demand(&mut self, now: Micros, node_id: NodeId) {
+        let total = self.nodes.get(&node_id).and_then(|node| self.slow_start_requests(now, node));
+        let chance = self.nodes.note_demand(now, node_id, self.settings.token_life());
+        let luck = self.random.f64();
         if let Some(node) = self.nodes.get_mut(&node_id) {
-            node.slow_start.ask(now, total, chance, luck, &self.set);
+            node.slow_start.ask(now, total, chance, luck, &self.settings);
         }
     }
 }
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -5,5 +5,5 @@
 mod demand;
 mod token_bucket;
 
-pub(crate) use demand::AskedNodes;
+pub(crate) use demand::NodeDemand;
 pub(crate) use token_bucket::TokenBucket;
--- a/crates/policy/src/slow_start/demand/tests.rs
+++ b/crates/policy/src/slow_start/demand/tests.rs
@@ -6,7 +6,7 @@
 /// The chance as told by the last of requests that come at that rate, after so many lives. `node` draws each.
 fn after(lives: u64, per_life: f64, seed: u64, node: impl Fn(&mut fastrand::Rng) -> u32) -> f64 {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let mut asked = AskedNodes::default();
+    let mut asked = NodeDemand::default();
     let (mut now, mut chance) = (5_000_000_f64, 0.0);
     while now < 5_000_000.0 + (lives * LIFE) as f64 {
         now -= (1.0 - rng.f64()).ln() * LIFE as f64 / per_life;
@@ -43,7 +43,7 @@
 /// Guards against tokens that come far too fast in the first moments after a start.
 #[test]
 fn a_start_does_not_take_itself_to_be_asked_seldom() {
-    let mut asked = AskedNodes::default();
+    let mut asked = NodeDemand::default();
     let truth = 1.0 - (-1.0_f64).exp();
     // A request each 5 ms, for another node each time.
     for request in 0..200 {
@@ -56,7 +56,7 @@
 /// A surge that comes to all schedulers at once counts by its largest number, though the mean is low.
 #[test]
 fn bursts_count_by_their_height() {
-    let mut asked = AskedNodes::default();
+    let mut asked = NodeDemand::default();
     let mut chance = 0.0;
     for burst in 0..8 {
         for node in 0..NODES as u32 {
@@ -68,7 +68,7 @@
 
 #[test]
 fn nothing_is_kept_beyond_a_life() {
-    let mut asked = AskedNodes::default();
+    let mut asked = NodeDemand::default();
     for request in 0..10_000 {
         asked.note(request * 10_000, NodeId(request as u32), NODES, LIFE);
     }
--- a/crates/policy/src/slow_start/token_bucket.rs
+++ b/crates/policy/src/slow_start/token_bucket.rs
@@ -13,8 +13,8 @@
 
 use crate::api::{Micros, Settings, ShardId};
 
-/// How long a whole token stays good, in windows of [`Settings::overload_window`]. All tokens of a window and
-/// those still good at its beginning may be used within it: at this value and the part of the multiple that
+/// How long a whole token stays good, in windows of [`Settings::fall_time`]. All tokens of a window and those
+/// still good at its beginning may be used within it: at this value and the part of the multiple that
 /// `cold_total` uses, that is less than the multiple itself.
 const TOKEN_LIFE: f64 = 0.5;
 
@@ -33,7 +33,7 @@
         let hash = fastrand::Rng::with_seed(u64::from(shard.0)).f64();
         let place = (f64::from(settings.scheduler_index) + 0.5) / f64::from(settings.schedulers) + hash;
         let age = started.map_or(0, |started| now.saturating_sub(started));
-        let (first, last) = (settings.cold_total(0), settings.cold_total(age));
+        let (first, last) = (settings.slow_start_total(0), settings.slow_start_total(age));
         let mean_total = 0.5 * (first.unwrap_or(0.0) + last.unwrap_or(0.0)) / settings.mean_units;
         let windows = age as f64 / settings.overload_window.max(1) as f64;
         let filled = place + mean_total / f64::from(settings.schedulers) * windows;
--- a/crates/policy/src/state/tests.rs
+++ b/crates/policy/src/state/tests.rs
@@ -7,7 +7,7 @@
 #[test]
 fn the_attempt_budget_counts_what_a_walk_would() {
     let mut rng = fastrand::Rng::with_seed(1);
-    let mut tally = Tally::default();
+    let mut tally = RequestCounters::default();
     let (mut taken, mut extras): (Vec<Micros>, Vec<Micros>) = (vec![], vec![]);
     let mut now = 0;
     for _ in 0..20_000 {
@@ -16,11 +16,11 @@
         let since = now.saturating_sub(SPAN);
         match rng.u32(0..3) {
             0 => {
-                tally.take(now, since);
+                tally.record_request(now, since);
                 taken.push(now);
             }
             1 => {
-                tally.extras.push_back(now);
+                tally.retries.push_back(now);
                 extras.push(now);
             }
             _ => {
@@ -30,26 +30,29 @@
             }
         }
     }
-    assert!(tally.taken.len() < 200, "{} times kept", tally.taken.len());
+    assert!(tally.requests.len() < 200, "{} times kept", tally.requests.len());
 }
 
 #[test]
 fn what_is_given_back_is_told_once_a_second() {
-    let mut tally = Tally::default();
-    assert_eq!(tally.give_back(1_000_000), Some(1));
-    assert_eq!(tally.give_back(1_999_999), None);
-    assert_eq!(tally.give_back(2_000_000), Some(2));
+    let mut tally = RequestCounters::default();
+    assert_eq!(tally.record_local_answer(1_000_000), Some(1));
+    assert_eq!(tally.record_local_answer(1_999_999), None);
+    assert_eq!(tally.record_local_answer(2_000_000), Some(2));
 }
 
 #[test]
 fn a_line_serves_its_requests_in_turn_and_rests() {
-    let (mut lines, key) = (Lines::default(), KeyId(1));
+    let (mut lines, key) = (KeyQueues::default(), KeyId(1));
     assert!(lines.join(10, key, RequestId(1)));
     assert!(!lines.join(10, key, RequestId(2)), "one is before it");
     assert!(!lines.leave(key, RequestId(2)) && lines.leave(key, RequestId(1)));
-    lines.rest(key, 30);
+    lines.start_cool_down(key, 30);
     assert!(!lines.join(20, key, RequestId(3)), "the key rests");
-    assert_eq!((lines.rested(29), lines.rested(30), lines.rested(30)), (None, Some(key), None));
-    lines.rest(KeyId(2), 40);
-    assert_eq!(lines.rested(50), None, "an unknown key does not rest");
+    assert_eq!(
+        (lines.end_cool_down(29), lines.end_cool_down(30), lines.end_cool_down(30)),
+        (None, Some(key), None)
+    );
+    lines.start_cool_down(KeyId(2), 40);
+    assert_eq!(lines.end_cool_down(50), None, "an unknown key does not rest");
 }
--- a/crates/policy/src/volume_table.rs
+++ b/crates/policy/src/volume_table.rs
@@ -40,8 +40,9 @@
     /// Lets a volume's use fade to now, over a span in seconds.
     pub(crate) fn fade(&mut self, now: Micros, id: VolumeId, span: f64) -> Option<&mut Volume> {
         let volume = self.records.get_mut(&id)?;
-        let kept = (-seconds(now.saturating_sub(volume.asked_at)) / span).exp();
-        (volume.asked, volume.sent, volume.asked_at) = (volume.asked * kept, volume.sent * kept, now);
+        let kept = (-seconds(now.saturating_sub(volume.rates_updated_at)) / span).exp();
+        (volume.requested_rate, volume.sent_rate, volume.rates_updated_at) =
+            (volume.requested_rate * kept, volume.sent_rate * kept, now);
         Some(volume)
     }
 
--- a/crates/policy/tests/replay.rs
+++ b/crates/policy/tests/replay.rs
@@ -1,8 +1,7 @@
 //! Recorded days: every action of today's code against those that were recorded, so that a change of how
 //! decisions are computed is seen to change none. Each line of `replay/pinned.txt` is a digest of the actions
-//! of a thousand events (as numbers), or the count of a day's actions by kind. They were first
-//! written by the code that walked all nodes and volumes (02ae8e1), and anew when the law of slow start
-//! changed.
+//! of a thousand events (as numbers), or the count of a day's actions by kind. They were first written by the
+//! code that walked all nodes and volumes (02ae8e1), and anew when the law of slow start changed.
 //!
 //! Requests that any node may serve draw from a stream of chance of their own: days with them are held
 //! against the recorded counts in `replay/free.txt`.
--- a/crates/policy/tests/settings.rs
+++ b/crates/policy/tests/settings.rs
@@ -16,22 +16,8 @@
 }
 
 #[rstest]
-#[case::predio_norte(
-    PREDIO_NORTE,
-    250_000,
-    3,
-    4.0,
-    0.0,
-    &[Idempotency::Idempotent, Idempotency::WithKey, Idempotency::Idempotent],
-)]
-#[case::granite_shelf(
-    GRANITE_SHELF,
-    1_000_000,
-    4,
-    2.0,
-    40.0,
-    &[Idempotency::Idempotent, Idempotency::NotIdempotent],
-)]
+#[case::predio_norte(PREDIO_NORTE, 250_000, 3, 4.0, 0.0, &[Idempotency::Idempotent, Idempotency::WithKey, Idempotency::Idempotent])]
+#[case::granite_shelf(GRANITE_SHELF, 1_000_000, 4, 2.0, 40.0, &[Idempotency::Idempotent, Idempotency::NotIdempotent])]
 fn what_differs_is_read_from_the_settings(
     #[case] text: &str,
     #[case] grace: Micros,
@@ -40,7 +26,7 @@
     #[case] limit: f64,
     #[case] effects: &[Idempotency],
 ) {
-    let Deployment { settings, drain_grace: read_grace, .. } = read(text).unwrap();
+    let Deployment { settings, grace: read_grace, .. } = read(text).unwrap();
     assert_eq!(read_grace, Some(grace));
     assert_eq!((settings.max_attempts, settings.overload_multiple), (attempts, multiple));
     assert_eq!(settings.plans[0].rate_limit, limit);
@@ -82,5 +68,5 @@
 #[rstest]
 fn without_a_rule_on_drains_there_is_no_grace(#[values(PREDIO_NORTE, GRANITE_SHELF)] text: &str) {
     let none = text.replace("stopSendingWithinMs", "someOtherField");
-    assert_eq!(read(&none).unwrap().drain_grace, None);
+    assert_eq!(read(&none).unwrap().grace, None);
 }
