--- a/crates/policy/src/node_table.rs
+++ b/crates/policy/src/node_table.rs
@@ -4,7 +4,7 @@
 use std::ops::Deref;
 
 use crate::api::{EndpointEntry, Micros, NodeId, NodeState, RequestId};
-use crate::node_ranking::{HealthTier, Rank, Ranking};
+use crate::node_ranking::{HealthTier, NodeRanking, Rank};
 use crate::shard_index::ShardIndex;
 use crate::slow_start::NodeDemand;
 use crate::state::Node;
@@ -20,7 +20,7 @@
     /// Nodes asked for within the life of a token of slow start.
     demand: NodeDemand,
     /// Nodes in service by score.
-    pub(crate) ranking: Ranking,
+    pub(crate) ranking: NodeRanking,
 }
 
 impl Deref for NodeTable {
@@ -86,7 +86,7 @@
 
     /// A request asks for the node now. Returns the chance that a node is asked for within `life`.
     pub(crate) fn note_demand(&mut self, now: Micros, id: NodeId, life: Micros) -> f64 {
-        self.demand.note(now, id, self.shards.len(), life)
+        self.demand.record(now, id, self.shards.len(), life)
     }
 
     /// Brings the indexes up to date with a node's record; `life` says how long news of it lives.
@@ -95,12 +95,13 @@
         if !node.ready {
             return self.ranking.remove(id);
         }
-        let tier = HealthTier::of(shunned, cold);
-        let (wait, wait_at, units) = (node.delay, node.delay_updated_at, node.lasting_open_units());
-        self.ranking.set(
-            now,
-            id,
-            &Rank { tier, delay: wait, delay_updated_at: wait_at, delay_lifetime: life, units },
-        );
+        let rank = Rank {
+            tier: HealthTier::of(shunned, cold),
+            delay: node.delay,
+            delay_updated_at: (node.delay_updated_at > 0).then_some(node.delay_updated_at),
+            delay_lifetime: life,
+            lasting_units: node.lasting_open_units(),
+        };
+        self.ranking.set(now, id, &rank);
     }
 }
--- a/crates/policy/src/scheduler/admission.rs
+++ b/crates/policy/src/scheduler/admission.rs
@@ -156,15 +156,20 @@
     }
 
     pub(super) fn search(&self, now: Micros, id: RequestId, ties: &mut fastrand::Rng) -> SearchResult {
-        self.nodes.ranking.best(self.decayed_fleet_delay(now), self.unit_service_time, ties, |node_id| {
-            let gate = self.check_send(now, id, node_id);
-            let node = self.nodes.get(&node_id).filter(|_| gate != SendDecision::Never)?;
-            let open = (self.open_units(now, node) + node.queued_units) * self.unit_service_time;
-            Some(Candidate {
-                open: gate == SendDecision::Allowed,
-                score: self.queueing_delay(now, node) + open,
-            })
-        })
+        self.nodes.ranking.find_lowest(
+            self.decayed_fleet_delay(now),
+            self.unit_service_time,
+            ties,
+            |node_id| {
+                let gate = self.check_send(now, id, node_id);
+                let node = self.nodes.get(&node_id).filter(|_| gate != SendDecision::Never)?;
+                let open = (self.open_units(now, node) + node.queued_units) * self.unit_service_time;
+                Some(Candidate {
+                    is_open: gate == SendDecision::Allowed,
+                    load: self.queueing_delay(now, node) + open,
+                })
+            },
+        )
     }
 
     /// Brings the indexes up to date with a node's record.
--- a/crates/policy/src/scheduler/send_rules.rs
+++ b/crates/policy/src/scheduler/send_rules.rs
@@ -112,7 +112,7 @@
         if let Some(total) = self.slow_start_requests(now, node) {
             let level = if job.quota_tier == QuotaTier::Reserved { 1.0 } else { job.priority };
             let free = job.request.shard.is_none().then_some(job.admission_draw);
-            if !node.slow_start.lets_through(now, total, level, free, &self.settings) {
+            if !node.slow_start.allows(now, total, level, free, &self.settings) {
                 return SendDecision::NotYet;
             }
         }
@@ -149,16 +149,16 @@
             .is_some_and(|since| now.saturating_sub(since) < self.settings.slow_start_duration);
         let guess = node.presumed_start.filter(|at| now.saturating_sub(*at) < UNANNOUNCED_START_LIFETIME);
         let started = if suspect { now } else { node.started_at.max(guess)? };
-        Some(self.settings.slow_start_total(now.saturating_sub(started))? / self.settings.mean_units)
+        Some(self.settings.slow_start_allowance(now.saturating_sub(started))? / self.settings.mean_units)
     }
 
     /// Notes that this host is asked for a node.
     pub(super) fn note_demand(&mut self, now: Micros, node_id: NodeId) {
         let total = self.nodes.get(&node_id).and_then(|node| self.slow_start_requests(now, node));
-        let chance = self.nodes.note_demand(now, node_id, self.settings.token_life());
+        let chance = self.nodes.note_demand(now, node_id, self.settings.token_lifetime());
         let luck = self.random.f64();
         if let Some(node) = self.nodes.get_mut(&node_id) {
-            node.slow_start.ask(now, total, chance, luck, &self.settings);
+            node.slow_start.on_request(now, total, chance, luck, &self.settings);
         }
     }
 }
--- a/crates/policy/src/shard_index.rs
+++ b/crates/policy/src/shard_index.rs
@@ -1,37 +1,45 @@
-//! Which node in service holds a shard, kept up entry by entry.
+//! Which node in service holds each shard.
 
 use std::collections::BTreeSet;
 
 use crate::api::{NodeId, ShardId};
 
-/// Nodes in service by shard. Where several hold one, the lowest id counts.
+/// A node in service and the shard it holds.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Holder {
+    shard: ShardId,
+    node: NodeId,
+}
+
+/// Nodes in service by shard, updated entry by entry. If several hold a shard, the one with the lowest id
+/// counts.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ShardIndex {
-    pairs: BTreeSet<(ShardId, NodeId)>,
+    holders: BTreeSet<Holder>,
     shards: usize,
 }
 
 impl ShardIndex {
     /// The node that holds a shard.
     pub(crate) fn holder(&self, shard: ShardId) -> Option<NodeId> {
-        let (found, node) = *self.pairs.range((shard, NodeId(0))..).next()?;
-        (found == shard).then_some(node)
+        let first = self.holders.range(Holder { shard, node: NodeId(0) }..).next()?;
+        (first.shard == shard).then_some(first.node)
     }
 
-    /// How many shards have a node.
+    /// Number of shards that have a node.
     pub(crate) fn len(&self) -> usize {
         self.shards
     }
 
     pub(crate) fn insert(&mut self, shard: ShardId, node: NodeId) {
-        let new = self.holder(shard).is_none();
-        self.pairs.insert((shard, node));
-        self.shards += usize::from(new);
+        let is_new = self.holder(shard).is_none();
+        self.holders.insert(Holder { shard, node });
+        self.shards += usize::from(is_new);
     }
 
     pub(crate) fn remove(&mut self, shard: ShardId, node: NodeId) {
-        let removed = self.pairs.remove(&(shard, node));
-        self.shards -= usize::from(removed && self.holder(shard).is_none());
+        let is_removed = self.holders.remove(&Holder { shard, node });
+        self.shards -= usize::from(is_removed && self.holder(shard).is_none());
     }
 }
 
--- a/crates/policy/src/shard_index/tests.rs
+++ b/crates/policy/src/shard_index/tests.rs
@@ -1,4 +1,4 @@
-//! The index against one that is built anew after each change.
+//! The index compared with one that is built anew after each change.
 
 use std::collections::BTreeMap;
 
@@ -6,21 +6,23 @@
 
 #[test]
 fn changes_leave_what_a_new_index_would_hold() {
-    let mut rng = fastrand::Rng::with_seed(1);
-    let (mut index, mut holders) = (ShardIndex::default(), BTreeMap::new());
+    let mut random = fastrand::Rng::with_seed(1);
+    let mut index = ShardIndex::default();
+    let mut shards_by_node = BTreeMap::new();
     for _ in 0..5_000 {
-        let (node, shard) = (NodeId(rng.u32(0..40)), ShardId(rng.u32(0..15)));
-        if let Some(old) = holders.remove(&node) {
+        let (node, shard) = (NodeId(random.u32(0..40)), ShardId(random.u32(0..15)));
+        if let Some(old) = shards_by_node.remove(&node) {
             index.remove(old, node);
         }
-        if rng.bool() {
-            holders.insert(node, shard);
+        if random.bool() {
+            shards_by_node.insert(node, shard);
             index.insert(shard, node);
         }
-        let anew: BTreeMap<ShardId, NodeId> = holders.iter().map(|(n, s)| (*s, *n)).rev().collect();
-        assert_eq!(index.len(), anew.len());
+        let by_shard = shards_by_node.iter().map(|(node, shard)| (*shard, *node));
+        let rebuilt: BTreeMap<ShardId, NodeId> = by_shard.rev().collect();
+        assert_eq!(index.len(), rebuilt.len());
         for shard in (0..15).map(ShardId) {
-            assert_eq!(index.holder(shard), anew.get(&shard).copied());
+            assert_eq!(index.holder(shard), rebuilt.get(&shard).copied());
         }
     }
 }
--- a/crates/policy/src/slow_start/demand.rs
+++ b/crates/policy/src/slow_start/demand.rs
@@ -1,98 +1,101 @@
-//! How many nodes a scheduler is asked for within the life of a token of slow start.
+//! How many nodes this scheduler's requests address within the lifetime of a slow-start token.
 
 use std::collections::BTreeMap;
 
 use crate::api::{Micros, NodeId};
 use crate::recency::Recency;
 
-/// Lives over which the number is averaged, and for which the largest one is remembered at the least.
-const REMEMBERED_LIVES: u32 = 4;
-/// A number beyond the mean by more than so many standard deviations is a surge, and not chance.
+/// Lifetimes over which the number of nodes is averaged, and for which the largest one is kept at least.
+const AVERAGING_LIFETIMES: u32 = 4;
+/// A number that exceeds the mean by more than this many standard deviations is a surge.
 const SURGE_DEVIATIONS: f64 = 2.0;
-/// Nodes that a scheduler is taken to be asked for at the least: one that is asked for a single node takes
-/// that for one of many, and so may all others.
-const MIN_REQUESTED_NODES: f64 = 2.0;
+/// Minimum number of nodes that requests are assumed to address. A scheduler whose requests address a single
+/// node cannot know whether those of all other schedulers address the same one.
+const MIN_NODES: f64 = 2.0;
 
-/// The nodes that requests asked for within one life, and the usual number of them.
+/// The nodes that requests addressed within one lifetime, and the usual number of them.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct NodeDemand {
-    /// Nodes asked for within the last life, by their latest request.
+    /// Nodes addressed within the last lifetime, by their latest request.
     recent: Recency<NodeId>,
-    /// When that was.
-    latest: BTreeMap<NodeId, Micros>,
-    /// The first request ever.
+    /// Time of each node's latest request.
+    latest_requests: BTreeMap<NodeId, Micros>,
+    /// Time of the first request of all.
     first_request_at: Option<Micros>,
-    /// Exponentially weighted mean of the number of nodes, from one life after the first request on.
+    /// Exponentially weighted mean of the number of nodes, once a lifetime has passed since the first
+    /// request.
     mean: Option<f64>,
-    /// Until when the mean is told.
     mean_updated_at: Micros,
-    /// The largest number of this span of remembered lives, and of the one before.
-    largest: [usize; 2],
-    /// When this span began.
+    /// The largest number of nodes in the current span of lifetimes.
+    largest: usize,
+    /// The same for the span before.
+    previous_largest: usize,
     span_started_at: Micros,
 }
 
 impl NodeDemand {
-    /// Notes a request for one of so many nodes. Returns the chance that a given node was asked for within a
-    /// life, as it was before this request.
-    pub(crate) fn note(&mut self, now: Micros, node: NodeId, nodes: usize, life: Micros) -> f64 {
-        let first = *self.first_request_at.get_or_insert(now);
-        self.expire(now, life);
-        let chance = if now < first + life {
-            self.chance_at_start(now - first, nodes, life)
+    /// Counts a request for a node, one of `nodes`. Returns the probability that any one node is addressed
+    /// within a lifetime, as it was before this request.
+    pub(crate) fn record(&mut self, now: Micros, node: NodeId, nodes: usize, lifetime: Micros) -> f64 {
+        let first_request_at = *self.first_request_at.get_or_insert(now);
+        self.expire(now, lifetime);
+        let probability = if now < first_request_at + lifetime {
+            self.initial_probability(now - first_request_at, nodes, lifetime)
         } else {
-            self.average(now, life);
-            self.usual_chance(nodes)
+            self.update_mean(now, lifetime);
+            self.usual_probability(nodes)
         };
-        let before = self.latest.insert(node, now);
-        self.recent.touch(before.unwrap_or(now), now, node);
-        self.remember(now, life);
-        chance
+        let previous = self.latest_requests.insert(node, now);
+        self.recent.touch(previous.unwrap_or(now), now, node);
+        self.update_largest(now, lifetime);
+        probability
     }
 
-    /// Forgets nodes whose latest request is older than a life.
-    fn expire(&mut self, now: Micros, life: Micros) {
-        while let Some((at, node)) = self.recent.oldest().filter(|(at, _)| at + life <= now) {
-            self.average(at + life, life);
-            self.recent.remove(at, node);
-            self.latest.remove(&node);
+    /// Removes nodes whose latest request is older than a lifetime.
+    fn expire(&mut self, now: Micros, lifetime: Micros) {
+        while let Some(oldest) = self.recent.oldest().filter(|oldest| oldest.at + lifetime <= now) {
+            self.update_mean(oldest.at + lifetime, lifetime);
+            self.recent.remove(&oldest);
+            self.latest_requests.remove(&oldest.key);
         }
     }
 
-    /// Takes the number of nodes as it is into the mean, up to a moment.
-    fn average(&mut self, until: Micros, life: Micros) {
+    /// Takes the current number of nodes into the mean, for the time up to `until`.
+    fn update_mean(&mut self, until: Micros, lifetime: Micros) {
         let number = self.recent.len() as f64;
-        let span = f64::from(REMEMBERED_LIVES) * life.max(1) as f64;
-        let weight = (-(until.saturating_sub(self.mean_updated_at) as f64) / span).exp();
-        self.mean = Some(self.mean.map_or(number, |mean| number + (mean - number) * weight));
+        let time_constant = f64::from(AVERAGING_LIFETIMES) * lifetime.max(1) as f64;
+        let elapsed = until.saturating_sub(self.mean_updated_at) as f64;
+        let old_weight = (-elapsed / time_constant).exp();
+        self.mean = Some(self.mean.map_or(number, |mean| number + (mean - number) * old_weight));
         self.mean_updated_at = until;
     }
 
-    /// Keeps the largest number of the last spans.
-    fn remember(&mut self, now: Micros, life: Micros) {
-        if now >= self.span_started_at + Micros::from(REMEMBERED_LIVES) * life {
-            self.largest = [0, self.largest[0]];
+    /// Keeps the largest numbers of the current and the previous span.
+    fn update_largest(&mut self, now: Micros, lifetime: Micros) {
+        if now >= self.span_started_at + Micros::from(AVERAGING_LIFETIMES) * lifetime {
+            self.previous_largest = self.largest;
+            self.largest = 0;
             self.span_started_at = now;
         }
-        self.largest[0] = self.largest[0].max(self.recent.len());
+        self.largest = self.largest.max(self.recent.len());
     }
 
-    /// Within the first life: what the requests so far and this one come to if they go on alike.
-    fn chance_at_start(&self, passed: Micros, nodes: usize, life: Micros) -> f64 {
-        let number = ((self.recent.len() + 1) as f64).max(MIN_REQUESTED_NODES);
-        let part = (number / nodes.max(1) as f64).min(1.0);
-        let lives = life as f64 / passed.max(1) as f64;
-        1.0 - (1.0 - part).powf(lives)
+    /// Within the first lifetime: the requests so far, and this one, are assumed to go on at the same rate.
+    fn initial_probability(&self, elapsed: Micros, nodes: usize, lifetime: Micros) -> f64 {
+        let number = ((self.recent.len() + 1) as f64).max(MIN_NODES);
+        let fraction = (number / nodes.max(1) as f64).min(1.0);
+        let elapsed_per_lifetime = lifetime as f64 / elapsed.max(1) as f64;
+        1.0 - (1.0 - fraction).powf(elapsed_per_lifetime)
     }
 
-    /// By the mean, or by the largest number where chance does not explain it: a surge comes to all
+    /// By the mean number of nodes or, if the largest one is a surge, by that: a surge comes to all
     /// schedulers at once.
-    fn usual_chance(&self, nodes: usize) -> f64 {
+    fn usual_probability(&self, nodes: usize) -> f64 {
         let nodes = nodes.max(1) as f64;
-        let largest = (self.largest[0].max(self.largest[1]) as f64).min(nodes);
+        let largest = (self.largest.max(self.previous_largest) as f64).min(nodes);
         let deviation = (largest * (1.0 - largest / nodes)).sqrt();
         let number = self.mean.unwrap_or(0.0).max(largest - SURGE_DEVIATIONS * deviation);
-        (number.max(MIN_REQUESTED_NODES) / nodes).min(1.0)
+        (number.max(MIN_NODES) / nodes).min(1.0)
     }
 }
 
--- a/crates/policy/src/slow_start/token_bucket.rs
+++ b/crates/policy/src/slow_start/token_bucket.rs
@@ -1,141 +1,163 @@
-//! Slow start: how much of what a node that has just started bears each scheduler may send, with no word
-//! between schedulers.
+//! The token buckets by which schedulers divide what a node in slow start may be sent.
 //!
-//! What all schedulers together may send is a rate of whole requests (`cold.rs`). Each scheduler has a
-//! token bucket for the node that fills at its even part of that rate. At a large fleet that part is far
-//! under one request, so the buckets are not alike: each starts at a place of its own between 0 and 1, by
-//! scheduler and shard, evenly spread over the fleet. Whole tokens then come to one scheduler after
-//! another, and the sum over all schedulers within any time is the rate times that time, give or take one.
+//! What all schedulers together may send is a rate of whole requests (`allowance.rs`). Each scheduler has a
+//! token bucket for the node that is filled at an even part of that rate. In a large fleet this part is far
+//! below one request, so the buckets start at different levels between 0 and 1, by scheduler and shard,
+//! evenly spread over the fleet. Whole tokens then come to one scheduler after another, and the sum over all
+//! schedulers within any time is the rate times that time, plus or minus one.
 //!
-//! A scheduler whose token comes may have nothing to send. So a whole token stays good for a part of the
-//! window, and lapses; and tokens come faster by the inverse of the chance that one is used, as the
-//! scheduler's own demand tells it. The mean of what is sent is the allowed rate again.
+//! A scheduler that gets a whole token may have nothing to send. A whole token therefore remains valid for a
+//! part of the window and then expires. To make up for expired tokens, buckets fill faster by the inverse of
+//! the probability that a token is used, which each scheduler estimates from its own demand. The mean of what
+//! is sent is then the allowed rate.
 
 use crate::api::{Micros, Settings, ShardId};
 
-/// How long a whole token stays good, in windows of [`Settings::fall_time`]. All tokens of a window and those
-/// still good at its beginning may be used within it: at this value and the part of the multiple that
-/// `cold_total` uses, that is less than the multiple itself.
-const TOKEN_LIFE: f64 = 0.5;
-
-/// One scheduler's token bucket for one node; a token is a request of mean size.
+/// How long a whole token remains valid, as a fraction of the overload window. All tokens of a window and
+/// those that are still valid at its beginning may be used within it; with the target fraction of
+/// `allowance.rs` this is less than what makes the node fail.
+const TOKEN_LIFETIME_WINDOWS: f64 = 0.5;
+/// Fraction of a bucket's capacity that requests of the lowest priority leave to others.
+const LOW_PRIORITY_RESERVE: f64 = 0.5;
+/// Minimum of the random factor on the tokens that have come. It is 1 on average.
+const MIN_REFILL_FACTOR: f64 = 0.5;
+
+/// The token bucket of this scheduler for one node. A token is a request of mean size.
+///
+/// In all methods `allowance` is what all schedulers together may send, in requests of mean size within the
+/// overload window.
 #[derive(Clone, Debug)]
 pub(crate) struct TokenBucket {
     tokens: f64,
-    at: Micros,
-    /// Chance that a whole token is used before it lapses, as of the last request for the node.
-    chance_of_use: f64,
+    updated_at: Micros,
+    /// Probability that a whole token is used before it expires, as of the last request for the node.
+    use_probability: f64,
 }
 
 impl TokenBucket {
-    /// At this scheduler's place for that shard. For a node that has started the bucket has filled since.
-    pub(crate) fn new(now: Micros, started: Option<Micros>, shard: ShardId, settings: &Settings) -> Self {
-        let hash = fastrand::Rng::with_seed(u64::from(shard.0)).f64();
-        let place = (f64::from(settings.scheduler_index) + 0.5) / f64::from(settings.schedulers) + hash;
-        let age = started.map_or(0, |started| now.saturating_sub(started));
-        let (first, last) = (settings.slow_start_total(0), settings.slow_start_total(age));
-        let mean_total = 0.5 * (first.unwrap_or(0.0) + last.unwrap_or(0.0)) / settings.mean_units;
-        let windows = age as f64 / settings.overload_window.max(1) as f64;
-        let filled = place + mean_total / f64::from(settings.schedulers) * windows;
-        // Whole tokens are gone: a scheduler that restarted forgot whether it used them.
+    /// A bucket at this scheduler's starting level for the shard. If the node has started already, the bucket
+    /// has been filled since; its whole tokens are taken as used, as a restarted scheduler does not know
+    /// whether it used them.
+    pub(crate) fn new(now: Micros, started_at: Option<Micros>, shard: ShardId, settings: &Settings) -> Self {
+        let schedulers = f64::from(settings.schedulers);
+        let shard_offset = fastrand::Rng::with_seed(u64::from(shard.0)).f64();
+        let initial_level = (f64::from(settings.scheduler_index) + 0.5) / schedulers + shard_offset;
+        let age = started_at.map_or(0, |started_at| now.saturating_sub(started_at));
+        let first_allowance = settings.slow_start_allowance(0).unwrap_or(0.0);
+        let last_allowance = settings.slow_start_allowance(age).unwrap_or(0.0);
+        let mean_allowance = 0.5 * (first_allowance + last_allowance) / settings.mean_units;
+        let level = initial_level + mean_allowance / schedulers * windows(age, settings);
         Self {
-            tokens: filled.fract(),
-            at: started.map_or(now, |started| now.max(started)),
-            chance_of_use: 1.0,
+            tokens: level.fract(),
+            updated_at: started_at.map_or(now, |started_at| now.max(started_at)),
+            use_probability: 1.0,
         }
     }
 
-    /// Goes on for a node that has started again.
+    /// The bucket for the same node after a restart.
     pub(crate) fn restarted(
         &self,
         now: Micros,
-        started: Option<Micros>,
+        started_at: Option<Micros>,
         shard: ShardId,
         settings: &Settings,
     ) -> Self {
-        Self { chance_of_use: self.chance_of_use, ..Self::new(now, started, shard, settings) }
+        Self { use_probability: self.use_probability, ..Self::new(now, started_at, shard, settings) }
     }
 
-    /// Notes a request for the node, where tokens are used by that chance, and all schedulers together may
-    /// send it `total` requests of mean size within the window; `None` for a warm node.
-    pub(crate) fn ask(
+    /// Takes in a request for the node. `allowance` is `None` if the node is not in slow start; `draw` is
+    /// random between 0 and 1.
+    pub(crate) fn on_request(
         &mut self,
         now: Micros,
-        total: Option<f64>,
-        chance_of_use: f64,
-        luck: f64,
+        allowance: Option<f64>,
+        use_probability: f64,
+        draw: f64,
         settings: &Settings,
     ) {
-        self.chance_of_use = chance_of_use;
-        if let Some(total) = total {
-            self.fill(now, total, luck, settings);
+        self.use_probability = use_probability;
+        if let Some(allowance) = allowance {
+            self.refill(now, allowance, draw, settings);
         }
     }
 
-    /// Brings the tokens up to date. What has come since is taken by chance for a half to one and a half
-    /// times as much: requests at a fixed pace would else meet every token, or none.
-    fn fill(&mut self, now: Micros, total: f64, luck: f64, settings: &Settings) {
-        let (gained, most) = self.gained(now, total, settings);
-        let tokens = self.tokens + gained * (0.5 + luck);
-        (self.tokens, self.at) = (without_lapsed(tokens, most), now);
+    /// Brings the tokens up to date. What has come since is multiplied by a random factor between a half and
+    /// one and a half: otherwise requests at a fixed interval could find every token, or none.
+    fn refill(&mut self, now: Micros, allowance: f64, draw: f64, settings: &Settings) {
+        let gained = self.gained(now, allowance, settings);
+        let tokens = self.tokens + gained * (MIN_REFILL_FACTOR + draw);
+        self.tokens = without_expired(tokens, self.capacity(allowance, settings));
+        self.updated_at = now;
+    }
+
+    /// Tokens that come within an overload window.
+    fn rate(&self, allowance: f64, settings: &Settings) -> f64 {
+        let use_probability = self.use_probability.max(f64::MIN_POSITIVE);
+        (allowance / (f64::from(settings.schedulers) * use_probability)).min(allowance)
     }
 
-    /// Tokens that come within a window.
-    fn rate(&self, total: f64, settings: &Settings) -> f64 {
-        (total / (f64::from(settings.schedulers) * self.chance_of_use.max(f64::MIN_POSITIVE))).min(total)
+    /// Tokens that have come since the last update.
+    fn gained(&self, now: Micros, allowance: f64, settings: &Settings) -> f64 {
+        let elapsed = now.saturating_sub(self.updated_at);
+        self.rate(allowance, settings) * windows(elapsed, settings)
     }
 
-    /// Tokens that came since they were counted last, and the most that can be good.
-    fn gained(&self, now: Micros, total: f64, settings: &Settings) -> (f64, f64) {
-        let rate = self.rate(total, settings);
-        let windows = now.saturating_sub(self.at) as f64 / settings.overload_window.max(1) as f64;
-        (rate * windows, 1.0 + TOKEN_LIFE * rate)
+    /// The most tokens that can be valid at a time.
+    fn capacity(&self, allowance: f64, settings: &Settings) -> f64 {
+        1.0 + TOKEN_LIFETIME_WINDOWS * self.rate(allowance, settings)
     }
 
-    /// Tokens that it holds now.
-    fn filled(&self, now: Micros, total: f64, settings: &Settings) -> f64 {
-        let (gained, most) = self.gained(now, total, settings);
-        without_lapsed(self.tokens + gained, most)
+    /// Tokens that are valid now.
+    fn available(&self, now: Micros, allowance: f64, settings: &Settings) -> f64 {
+        let gained = self.gained(now, allowance, settings);
+        without_expired(self.tokens + gained, self.capacity(allowance, settings))
     }
 
-    /// Whether a request may go. One of less than the highest worth, `level` below 1, leaves up to half of
-    /// what the bucket can hold to others. One that any node may serve looks for a node with a token, and
-    /// would use those that the chance of use has added: by its `luck`, from 0 to 1, it passes as seldom.
-    pub(crate) fn lets_through(
+    /// Whether a request may be sent. One of a priority below 1 leaves a part of the bucket to others. One
+    /// that any node may serve looks for a node with a token and would find all tokens that were added for
+    /// the probability of use; `unsharded_draw`, its random draw between 0 and 1, lets it use them with that
+    /// probability.
+    pub(crate) fn allows(
         &self,
         now: Micros,
-        total: f64,
-        level: f64,
-        free_luck: Option<f64>,
+        allowance: f64,
+        priority: f64,
+        unsharded_draw: Option<f64>,
         settings: &Settings,
     ) -> bool {
-        let left_to_others = 0.5 * TOKEN_LIFE * self.rate(total, settings) * (1.0 - level);
-        let chosen = free_luck.is_none_or(|luck| luck <= self.chance_of_use);
-        chosen && self.filled(now, total, settings) >= 1.0 + left_to_others
+        let capacity = TOKEN_LIFETIME_WINDOWS * self.rate(allowance, settings);
+        let left_to_others = LOW_PRIORITY_RESERVE * capacity * (1.0 - priority);
+        let is_drawn = unsharded_draw.is_none_or(|draw| draw <= self.use_probability);
+        is_drawn && self.available(now, allowance, settings) >= 1.0 + left_to_others
     }
 
-    /// Takes the tokens of a request that goes.
-    pub(crate) fn spend(&mut self, now: Micros, total: f64, units: f64, settings: &Settings) {
-        self.tokens = self.filled(now, total, settings) - units / settings.mean_units;
-        self.at = now;
+    /// Takes the tokens of a request that is sent.
+    pub(crate) fn spend(&mut self, now: Micros, allowance: f64, units: f64, settings: &Settings) {
+        self.tokens = self.available(now, allowance, settings) - units / settings.mean_units;
+        self.updated_at = now;
     }
 }
 
-/// Takes away the whole tokens beyond the most that can be good.
-fn without_lapsed(tokens: f64, most: f64) -> f64 {
-    tokens - (tokens - most).ceil().max(0.0)
+/// A duration in overload windows.
+fn windows(duration: Micros, settings: &Settings) -> f64 {
+    duration as f64 / settings.overload_window.max(1) as f64
+}
+
+/// Removes the whole tokens that exceed the most that can be valid.
+fn without_expired(tokens: f64, capacity: f64) -> f64 {
+    tokens - (tokens - capacity).ceil().max(0.0)
 }
 
 impl Default for TokenBucket {
     fn default() -> Self {
-        Self { tokens: 0.0, at: 0, chance_of_use: 1.0 }
+        Self { tokens: 0.0, updated_at: 0, use_probability: 1.0 }
     }
 }
 
 impl Settings {
-    /// How long a whole token stays good.
-    pub(crate) fn token_life(&self) -> Micros {
-        (TOKEN_LIFE * self.overload_window as f64) as Micros
+    /// How long a whole slow-start token remains valid.
+    pub(crate) fn token_lifetime(&self) -> Micros {
+        (TOKEN_LIFETIME_WINDOWS * self.overload_window as f64) as Micros
     }
 }
 
--- a/crates/policy/src/volume_table.rs
+++ b/crates/policy/src/volume_table.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use crate::api::{Micros, VolumeId};
-use crate::recency::Recency;
+use crate::recency::{LastUse, Recency};
 use crate::volume::Volume;
 
 /// Volumes by id.
@@ -42,11 +42,11 @@
     /// Removes volumes that were last requested at `until` or before, except those to keep. Only these
     /// volumes are visited.
     pub(crate) fn forget_idle(&mut self, until: Micros, keep: impl Fn(&Volume) -> bool) {
-        let idle: Vec<(Micros, VolumeId)> = self.by_last_request.until(until).collect();
-        for (requested_at, id) in idle {
-            if !self.volumes.get(&id).is_some_and(&keep) {
-                self.volumes.remove(&id);
-                self.by_last_request.remove(requested_at, id);
+        let idle: Vec<LastUse<VolumeId>> = self.by_last_request.until(until).collect();
+        for last_request in idle {
+            if !self.volumes.get(&last_request.key).is_some_and(&keep) {
+                self.volumes.remove(&last_request.key);
+                self.by_last_request.remove(&last_request);
             }
         }
     }
