--- a/crates/policy/src/api/events.rs
+++ b/crates/policy/src/api/events.rs
@@ -89,6 +89,18 @@
     NotSent,
 }
 
+impl AttemptEnd {
+    /// Whether the node may have executed the request without confirming it.
+    pub(crate) fn is_possibly_executed(self) -> bool {
+        self == Self::Error || self.is_unknown()
+    }
+
+    /// Whether the node said nothing, so that it may still be executing the request.
+    pub(crate) fn is_unknown(self) -> bool {
+        matches!(self, Self::TimedOut | Self::Reset | Self::Cancelled)
+    }
+}
+
 /// The end of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AttemptOutcome {
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -62,15 +62,16 @@
 mod endpoint_subscription;
 mod key_queues;
 mod local_answer_log;
+mod node;
 mod node_ranking;
 mod node_table;
 mod recency;
+mod request;
 mod retry_window;
 mod scheduler;
 pub mod settings;
 mod shard_index;
 mod slow_start;
-mod state;
 mod volume;
 mod volume_table;
 
--- /dev/null
+++ b/crates/policy/src/node/admission_history.rs
@@ -0,0 +1,60 @@
+//! The load of the volumes that use a node, for the admission of further volumes.
+
+use std::collections::{BTreeMap, VecDeque};
+
+use crate::api::{Micros, VolumeId};
+
+/// Time over which the load of volumes is averaged: longer than a surge. What was not used within it, or
+/// twice that at most, is forgotten.
+pub(crate) const ADMISSION_LOOKBACK: Micros = 30_000_000;
+/// Fraction of the budget up to which volumes are admitted. Mean load of the whole budget would leave no room
+/// for variation.
+const MAX_ADMITTED_LOAD: f64 = 0.9;
+
+/// The volumes that use a node, and their mean load in past budget periods.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct AdmissionHistory {
+    /// Open sessions: volumes by the time of their latest request.
+    sessions: BTreeMap<VolumeId, Micros>,
+    /// Peak load of each period for one session, as a fraction of the budget.
+    session_loads: VecDeque<f64>,
+    /// Sum of `session_loads`.
+    load_sum: f64,
+}
+
+impl AdmissionHistory {
+    /// Opens the session of a request's volume or keeps it open.
+    pub(crate) fn record_request(&mut self, now: Micros, volume: VolumeId) {
+        self.sessions.insert(volume, now);
+    }
+
+    pub(crate) fn has_session(&self, volume: VolumeId) -> bool {
+        self.sessions.contains_key(&volume)
+    }
+
+    pub(crate) fn close_idle_sessions(&mut self, now: Micros, idle_time: Micros) {
+        self.sessions.retain(|_, last_request| now.saturating_sub(*last_request) < idle_time);
+    }
+
+    /// Takes in the peak load of a period as a fraction of the budget; keeps `max_periods` periods.
+    pub(crate) fn record_period(&mut self, peak_fraction: f64, max_periods: usize) {
+        if self.sessions.is_empty() {
+            return;
+        }
+        let load = peak_fraction / self.sessions.len() as f64;
+        self.session_loads.push_back(load);
+        self.load_sum += load;
+        if self.session_loads.len() > max_periods {
+            self.load_sum -= self.session_loads.pop_front().unwrap_or(0.0);
+        }
+    }
+
+    /// Whether one more session of mean load stays within the budget. A node without a history has room.
+    pub(crate) fn has_capacity_for_new_session(&self) -> bool {
+        if self.session_loads.is_empty() {
+            return true;
+        }
+        let mean_load = self.load_sum / self.session_loads.len() as f64;
+        mean_load * (self.sessions.len() as f64 + 1.0) < MAX_ADMITTED_LOAD
+    }
+}
--- a/crates/policy/src/node_table.rs
+++ b/crates/policy/src/node_table.rs
@@ -1,25 +1,24 @@
-//! All nodes that this host knows of, with the indexes over them, so that no event walks them all.
+//! All nodes that this scheduler knows, with indexes over them, so that no event has to visit every node.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Deref;
 
-use crate::api::{EndpointEntry, Micros, NodeId, NodeState, RequestId};
-use crate::node_ranking::{HealthTier, NodeRanking, Rank};
+use crate::api::{EndpointEntry, Micros, NodeId, NodeState, RequestId, Settings};
+use crate::node::Node;
+use crate::node_ranking::NodeRanking;
 use crate::shard_index::ShardIndex;
 use crate::slow_start::NodeDemand;
-use crate::state::Node;
 
-/// Nodes by id; read as a map, changed through its methods.
+/// Nodes by id. It is read as a map and changed through its methods.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct NodeTable {
-    records: BTreeMap<NodeId, Node>,
-    /// Which node in service holds a shard.
+    nodes: BTreeMap<NodeId, Node>,
+    /// The node in service that holds each shard.
     pub(crate) shards: ShardIndex,
-    /// Nodes not in service.
     out_of_service: BTreeSet<NodeId>,
-    /// Nodes asked for within the life of a token of slow start.
+    /// How many nodes requests address.
     demand: NodeDemand,
-    /// Nodes in service by score.
+    /// Nodes in service by load.
     pub(crate) ranking: NodeRanking,
 }
 
@@ -27,81 +26,76 @@
     type Target = BTreeMap<NodeId, Node>;
 
     fn deref(&self) -> &Self::Target {
-        &self.records
+        &self.nodes
     }
 }
 
 impl NodeTable {
     pub(crate) fn get_mut(&mut self, id: &NodeId) -> Option<&mut Node> {
-        self.records.get_mut(id)
+        self.nodes.get_mut(id)
     }
 
-    /// Takes every node out of service, before a whole list; says which were in service.
+    /// Takes every node out of service, before a complete list is applied. Returns those that were in
+    /// service.
     pub(crate) fn take_all_out_of_service(&mut self) -> Vec<NodeId> {
-        let mut unlisted = Vec::new();
-        for (&id, node) in self.records.iter_mut().filter(|(_, node)| node.ready) {
+        let mut taken_out = Vec::new();
+        for (&id, node) in self.nodes.iter_mut().filter(|(_, node)| node.ready) {
             node.ready = false;
             self.shards.remove(node.shard, id);
             self.out_of_service.insert(id);
-            unlisted.push(id);
+            taken_out.push(id);
         }
-        unlisted
+        taken_out
     }
 
-    /// Takes over where a node stands in the list; `fresh` makes the record of a new one.
-    pub(crate) fn update_entry(&mut self, entry: &EndpointEntry, fresh: impl FnOnce() -> Node) -> &mut Node {
-        let node = self.records.entry(entry.node).or_insert_with(fresh);
+    /// Applies an entry of the endpoint list, adding the node if it is not known yet.
+    pub(crate) fn apply(&mut self, now: Micros, entry: &EndpointEntry, settings: &Settings) {
+        let node = self.nodes.entry(entry.node).or_insert_with(|| Node::new(now, entry, settings));
         if node.ready {
             self.shards.remove(node.shard, entry.node);
         }
         node.ready = entry.state == NodeState::Ready;
-        (node.shard, node.zone) = (entry.shard, entry.zone);
+        node.shard = entry.shard;
+        node.zone = entry.zone;
+        node.on_listed_start(now, entry, settings);
         if node.ready {
             self.shards.insert(entry.shard, entry.node);
             self.out_of_service.remove(&entry.node);
         } else {
             self.out_of_service.insert(entry.node);
         }
-        node
     }
 
-    /// Requests that are held for such of these nodes as are not in service.
-    pub(crate) fn queued_on_unavailable(&self, among: &BTreeSet<NodeId>) -> Vec<RequestId> {
-        let left = among.iter().filter_map(|id| self.records.get(id)).filter(|node| !node.ready);
-        left.flat_map(|node| node.queued.iter().map(|(_, id)| *id)).collect()
+    /// Requests queued for those of the given nodes that are out of service.
+    pub(crate) fn queued_out_of_service(&self, among: &BTreeSet<NodeId>) -> Vec<RequestId> {
+        let nodes = among.iter().filter_map(|id| self.nodes.get(id));
+        nodes.filter(|node| !node.ready).flat_map(|node| node.queue.requests()).collect()
     }
 
-    /// Forgets nodes out of service that have nothing open and were not heard of after `old`.
-    pub(crate) fn forget_unused(&mut self, old: Micros) {
-        let unused =
-            |node: &Node| node.last_response <= old && node.in_flight.is_empty() && node.queued.is_empty();
+    /// Removes nodes out of service that have nothing open and have not answered since.
+    pub(crate) fn forget_unused(&mut self, since: Micros) {
         self.out_of_service.retain(|id| {
-            let gone = self.records.get(id).is_none_or(unused);
-            if gone {
-                self.records.remove(id);
+            let is_unused = self.nodes.get(id).is_none_or(|node| node.is_unused_since(since));
+            if is_unused {
+                self.nodes.remove(id);
             }
-            !gone
+            !is_unused
         });
     }
 
-    /// A request asks for the node now. Returns the chance that a node is asked for within `life`.
-    pub(crate) fn note_demand(&mut self, now: Micros, id: NodeId, life: Micros) -> f64 {
-        self.demand.record(now, id, self.shards.len(), life)
+    /// Counts a request for a node. Returns the probability that any one node is addressed
+    /// within `lifetime`.
+    pub(crate) fn record_demand(&mut self, now: Micros, id: NodeId, lifetime: Micros) -> f64 {
+        self.demand.record(now, id, self.shards.len(), lifetime)
     }
 
-    /// Brings the indexes up to date with a node's record; `life` says how long news of it lives.
-    pub(crate) fn index(&mut self, now: Micros, id: NodeId, shunned: bool, cold: bool, life: f64) {
-        let Some(node) = self.records.get(&id) else { return };
-        if !node.ready {
-            return self.ranking.remove(id);
+    /// Brings the ranking up to date with a node's state.
+    pub(crate) fn update_rank(&mut self, now: Micros, id: NodeId, settings: &Settings) {
+        let Some(node) = self.nodes.get(&id) else { return };
+        if node.ready {
+            self.ranking.set(now, id, &node.rank(now, settings));
+        } else {
+            self.ranking.remove(id);
         }
-        let rank = Rank {
-            tier: HealthTier::of(shunned, cold),
-            delay: node.delay,
-            delay_updated_at: (node.delay_updated_at > 0).then_some(node.delay_updated_at),
-            delay_lifetime: life,
-            lasting_units: node.lasting_open_units(),
-        };
-        self.ranking.set(now, id, &rank);
     }
 }
--- /dev/null
+++ b/crates/policy/src/request/queued.rs
@@ -0,0 +1,31 @@
+//! Which requests are queued, apart from the queues of the nodes themselves.
+
+use std::collections::BTreeSet;
+
+use crate::api::{Micros, NodeId};
+use crate::node::QueueEntry;
+
+/// Queued requests that any node may serve, and the nodes that other requests are queued for.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct QueuedRequests {
+    pub(crate) unbound: BTreeSet<QueueEntry>,
+    pub(crate) nodes_with_queue: BTreeSet<NodeId>,
+    next_scan: Micros,
+}
+
+impl QueuedRequests {
+    /// Whether all queues are to be examined now.
+    pub(crate) fn is_scan_due(&self, now: Micros) -> bool {
+        now >= self.next_scan
+    }
+
+    pub(crate) fn schedule_scan(&mut self, at: Micros) {
+        self.next_scan = at;
+    }
+
+    /// When all queues are to be examined next, if there is anything in them.
+    pub(crate) fn next_scan(&self) -> Option<Micros> {
+        let is_empty = self.unbound.is_empty() && self.nodes_with_queue.is_empty();
+        (!is_empty).then_some(self.next_scan)
+    }
+}
--- /dev/null
+++ b/crates/policy/src/scheduler/node_selection.rs
@@ -0,0 +1,35 @@
+//! The node for a request that any node may serve.
+
+use super::send_rules::SendDecision;
+use super::Scheduler;
+use crate::api::{Micros, NodeId, RequestId};
+use crate::node_ranking::{Candidate, SearchResult};
+
+impl Scheduler {
+    /// The least loaded node that the request may be sent to, as seen from this scheduler; random among nodes
+    /// of similar load.
+    pub(super) fn least_loaded(&mut self, now: Micros, id: RequestId) -> Option<NodeId> {
+        for node_id in self.nodes.ranking.expired(now) {
+            self.update_rank(now, node_id);
+        }
+        let mut random = self.random.node_choice.clone();
+        let found = self.search(now, id, &mut random);
+        self.random.node_choice = random;
+        for node_id in found.outdated {
+            self.update_rank(now, node_id);
+        }
+        found.node
+    }
+
+    pub(super) fn search(&self, now: Micros, id: RequestId, random: &mut fastrand::Rng) -> SearchResult {
+        let (fleet_delay, unit_service_time) = (self.fleet.delay(now), self.fleet.unit_service_time());
+        self.nodes.ranking.find_lowest(fleet_delay, unit_service_time, random, |node_id| {
+            let decision = self.check_send(now, id, node_id);
+            let node = self.nodes.get(&node_id).filter(|_| decision != SendDecision::Never)?;
+            Some(Candidate {
+                is_open: decision == SendDecision::Allowed,
+                load: node.load(now, self.period, &self.fleet),
+            })
+        })
+    }
+}
--- a/crates/policy/src/scheduler/node_selection_tests.rs
+++ b/crates/policy/src/scheduler/node_selection_tests.rs
@@ -1,22 +1,28 @@
-//! The search for a new object's node against a walk over all nodes, which was the law before: the same
-//! choice by the same chances, and the number of nodes that it looks at.
+//! The search for the node of a request that any node may serve, compared with a walk over all nodes: the
+//! same choice with the same probabilities, and the number of nodes that it visits.
+
+use std::collections::BTreeMap;
 
 use rstest::rstest;
 
+use super::send_rules::SendDecision;
 use super::*;
 use crate::api::{
     AttemptEnd, AttemptOutcome, ClassId, ClassSettings, EndpointEntry, EndpointUpdateKind, NodeState, PlanId,
     PlanSettings, Request, RequestId, ShardId, VolumeId,
 };
 use crate::node_ranking::SearchResult;
+use crate::request::{RequestTiming, TrackedRequest};
+use crate::volume::QuotaTier;
 
 const START: Micros = 40_000_000;
-const AIM: Micros = 300_000;
+const LATENCY_OBJECTIVE: Micros = 300_000;
+const DEADLINE: Micros = 1_000_000;
 
 fn settings() -> Settings {
     let class = ClassSettings {
-        latency_objective: AIM,
-        deadline: 1_000_000,
+        latency_objective: LATENCY_OBJECTIVE,
+        deadline: DEADLINE,
         priority_weight: 1.0,
         ..ClassSettings::default()
     };
@@ -53,7 +59,7 @@
         plan: PlanId(0),
         volume: VolumeId(id % 97),
         units,
-        time_budget: 1_000_000,
+        time_budget: DEADLINE,
         shard,
         key: None,
         schedulers: 3,
@@ -62,43 +68,66 @@
     }
 }
 
-/// How nodes fare.
+/// The state of the fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum State {
-    /// All answer without a wait.
-    Calm,
-    /// Waits differ, some nodes err, some are down, some have just started.
+enum Fleet {
+    /// All nodes answer without queueing.
+    Idle,
+    /// Delays differ, some nodes return errors, some are down, some are in slow start.
     Mixed,
-    /// As calm, and all have just started.
-    Cold,
+    /// As idle, and all nodes are in slow start.
+    SlowStart,
+}
+
+/// A node's place in a walk over all nodes: the lowest one is chosen.
+#[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
+struct WalkRank {
+    /// The request cannot be sent there now, or the node is unhealthy.
+    is_last: bool,
+    /// Score; without noise unless it is added.
+    score: f64,
+}
+
+/// How often a node was chosen.
+#[derive(Clone, Copy, Debug, Default)]
+struct Choices {
+    found: u32,
+    walked: u32,
 }
 
 struct Bench {
     scheduler: Scheduler,
     now: Micros,
-    rng: fastrand::Rng,
-    next: u64,
+    random: fastrand::Rng,
+    next_id: u64,
 }
 
 impl Bench {
     /// A scheduler that was given `arrivals` requests, one a millisecond, most of them answered.
-    fn new(nodes: u32, state: State, seed: u64, arrivals: u64) -> Self {
-        let scheduler = Scheduler::new(settings(), seed).expect("sound settings");
-        let mut bench = Self { scheduler, now: START, rng: fastrand::Rng::with_seed(seed), next: 0 };
+    fn new(nodes: u32, fleet: Fleet, seed: u64, arrivals: u64) -> Self {
+        let scheduler = Scheduler::new(settings(), seed).expect("valid settings");
+        let mut bench = Self { scheduler, now: START, random: fastrand::Rng::with_seed(seed), next_id: 0 };
         let mut entries = Vec::new();
         for number in 0..nodes {
-            let cold = state == State::Cold || state == State::Mixed && bench.rng.u32(0..10) == 0;
-            let (node, shard, zone, state) = (NodeId(number), ShardId(number), 0, NodeState::Ready);
-            entries.push(EndpointEntry { node, shard, zone, state, started_at: cold.then_some(START) });
+            let is_mixed = fleet == Fleet::Mixed;
+            let is_starting = fleet == Fleet::SlowStart || is_mixed && bench.random.u32(0..10) == 0;
+            entries.push(EndpointEntry {
+                node: NodeId(number),
+                shard: ShardId(number),
+                zone: 0,
+                state: NodeState::Ready,
+                started_at: is_starting.then_some(START),
+            });
         }
-        bench.feed(Event::EndpointUpdate { kind: EndpointUpdateKind::Snapshot, entries });
+        bench.handle(Event::EndpointUpdate { kind: EndpointUpdateKind::Snapshot, entries });
         for _ in 0..arrivals {
-            bench.step(nodes, state);
+            bench.step(nodes, fleet);
         }
         bench
     }
 
-    fn feed(&mut self, event: Event) -> Vec<(RequestId, NodeId)> {
+    /// Passes an event to the scheduler; returns the attempts that it starts.
+    fn handle(&mut self, event: Event) -> Vec<(RequestId, NodeId)> {
         let mut actions = Vec::new();
         self.scheduler.handle(self.now, event, &mut actions);
         let sent = |action| match action {
@@ -108,183 +137,191 @@
         actions.into_iter().filter_map(sent).collect()
     }
 
-    fn step(&mut self, nodes: u32, state: State) {
+    fn step(&mut self, nodes: u32, fleet: Fleet) {
         self.now += 1_000;
-        self.next += 1;
-        let shard = self.rng.bool().then(|| ShardId(self.rng.u32(0..nodes)));
-        let request = request(self.next, self.rng.u32(1..=4), shard);
-        for (request, node) in self.feed(Event::RequestArrived(request)) {
-            let mixed = state == State::Mixed;
-            if mixed && self.rng.u32(0..20) == 0 {
+        self.next_id += 1;
+        let shard = self.random.bool().then(|| ShardId(self.random.u32(0..nodes)));
+        let request = request(self.next_id, self.random.u32(1..=4), shard);
+        for (request, node) in self.handle(Event::RequestArrived(request)) {
+            let is_mixed = fleet == Fleet::Mixed;
+            if is_mixed && self.random.u32(0..20) == 0 {
                 continue;
             }
-            let long = if mixed { u64::from(node.0 % 7) * 30_000 } else { 0 };
-            let end = match self.rng.u32(0..30) {
-                0 if mixed => AttemptEnd::Error,
-                1 if mixed => AttemptEnd::NotConnected,
+            let delay = if is_mixed { u64::from(node.0 % 7) * 30_000 } else { 0 };
+            let end = match self.random.u32(0..30) {
+                0 if is_mixed => AttemptEnd::Error,
+                1 if is_mixed => AttemptEnd::NotConnected,
                 _ => AttemptEnd::Served,
             };
-            let took = 10_000 + long + self.rng.u64(0..10_000);
-            let (attempt, closed) = (0, true);
-            let (used, elsewhere, busy) = (None, None, None);
-            self.feed(Event::AttemptEnded(AttemptOutcome {
+            let latency = 10_000 + delay + self.random.u64(0..10_000);
+            self.handle(Event::AttemptEnded(AttemptOutcome {
                 request,
-                attempt,
+                attempt: 0,
                 node,
                 end,
-                request_closed: closed,
-                latency: took,
-                volume_usage_percent: used,
-                served_elsewhere: elsewhere,
-                utilization: busy,
+                request_closed: true,
+                latency,
+                volume_usage_percent: None,
+                served_elsewhere: None,
+                utilization: None,
             }));
         }
     }
 
-    /// A request for any node that nothing was decided on.
-    fn place(&mut self, portion: QuotaTier, luck: f64) -> RequestId {
-        self.next += 1;
-        let request = request(self.next, 2, None);
+    /// Adds a request for any node that nothing has been decided on.
+    fn add_request(&mut self, quota_tier: QuotaTier, admission_draw: f64) -> RequestId {
+        self.next_id += 1;
+        let request = request(self.next_id, 2, None);
+        let timing = RequestTiming {
+            due: self.now + LATENCY_OBJECTIVE,
+            deadline: self.now + DEADLINE,
+            is_late: false,
+        };
         let id = request.id;
-        let job = TrackedRequest::new(request, self.now + AIM, self.now + 1_000_000, portion, 0.8, luck);
-        self.scheduler.requests.insert(id, job);
+        self.scheduler.requests.insert(TrackedRequest::new(request, timing, quota_tier, 0.8, admission_draw));
         id
     }
 
     fn search(&mut self, id: RequestId) -> SearchResult {
         for node_id in self.scheduler.nodes.ranking.expired(self.now) {
-            self.scheduler.index(self.now, node_id);
+            self.scheduler.update_rank(self.now, node_id);
         }
-        self.scheduler.search(self.now, id, &mut self.rng)
+        self.scheduler.search(self.now, id, &mut self.random)
     }
 
-    /// Whether a node comes last, and its score without noise; `None` if the request must never go there.
-    fn rank(&self, id: RequestId, node_id: NodeId) -> Option<(bool, f64)> {
-        let (s, node) = (&self.scheduler, &self.scheduler.nodes[&node_id]);
-        let gate = s.check_send(self.now, id, node_id);
-        let open = (s.open_units(self.now, node) + node.queued_units) * s.unit_service_time;
-        let shunned = node.suspected_since.is_some() || node.consecutive_errors > 1;
-        let rank = (gate != SendDecision::Allowed || shunned, s.queueing_delay(self.now, node) + open);
-        (gate != SendDecision::Never).then_some(rank)
+    /// A node's rank without noise; `None` if the request must never be sent there.
+    fn rank(&self, id: RequestId, node_id: NodeId) -> Option<WalkRank> {
+        let (scheduler, node) = (&self.scheduler, &self.scheduler.nodes[&node_id]);
+        let decision = scheduler.check_send(self.now, id, node_id);
+        let rank = WalkRank {
+            is_last: decision != SendDecision::Allowed || node.health.is_unhealthy(),
+            score: node.load(self.now, scheduler.period, &scheduler.fleet),
+        };
+        (decision != SendDecision::Never).then_some(rank)
     }
 
-    /// Ranks of all nodes that the request may go to.
-    fn ranks(&self, id: RequestId) -> BTreeMap<NodeId, (bool, f64)> {
+    /// Ranks of all nodes that the request may be sent to.
+    fn ranks(&self, id: RequestId) -> BTreeMap<NodeId, WalkRank> {
         let ids = self.scheduler.nodes.keys();
         ids.filter_map(|node| Some((*node, self.rank(id, *node)?))).collect()
     }
 
-    /// The law before: a walk over all nodes, ties within a unit's time by chance.
-    fn walk(&mut self, ranks: &BTreeMap<NodeId, (bool, f64)>) -> Option<NodeId> {
-        let mut best: Option<(bool, f64, NodeId)> = None;
-        for (node, (last, score)) in ranks {
-            let rank = (*last, score + self.scheduler.unit_service_time * self.rng.f64(), *node);
-            best = best.filter(|least| *least < rank).or(Some(rank));
+    /// Chooses by a walk over all nodes; random among nodes whose loads differ by less than a unit's time.
+    fn walk(&mut self, ranks: &BTreeMap<NodeId, WalkRank>) -> Option<NodeId> {
+        let mut lowest: Option<(WalkRank, NodeId)> = None;
+        for (node, rank) in ranks {
+            let score = rank.score + self.unit_service_time() * self.random.f64();
+            let candidate = (WalkRank { score, ..*rank }, *node);
+            lowest = lowest.filter(|lowest| *lowest < candidate).or(Some(candidate));
         }
-        best.map(|(_, _, node)| node)
+        lowest.map(|(_, node)| node)
+    }
+
+    fn unit_service_time(&self) -> f64 {
+        self.scheduler.fleet.unit_service_time()
     }
 }
 
 /// Each node is chosen as often as by the walk.
 #[rstest]
-fn chances_are_those_of_a_walk(
-    #[values(State::Calm, State::Mixed, State::Cold)] state: State,
+fn a_search_chooses_each_node_as_often_as_a_walk(
+    #[values(Fleet::Idle, Fleet::Mixed, Fleet::SlowStart)] fleet: Fleet,
     #[values(3, 40, 60)] nodes: u32,
     #[values(1, 2)] seed: u64,
 ) {
     const DRAWS: u32 = 4_000;
-    let mut bench = Bench::new(nodes, state, seed, 1_500);
-    let id = bench.place(QuotaTier::Shared, 0.5);
+    let mut bench = Bench::new(nodes, fleet, seed, 1_500);
+    let id = bench.add_request(QuotaTier::Shared, 0.5);
     let ranks = bench.ranks(id);
-    let mut counts: BTreeMap<NodeId, (u32, u32)> = BTreeMap::new();
+    let mut choices: BTreeMap<NodeId, Choices> = BTreeMap::new();
     for _ in 0..DRAWS {
         let (found, walked) = (bench.search(id).node, bench.walk(&ranks));
-        counts.entry(found.expect("a node")).or_default().0 += 1;
-        counts.entry(walked.expect("a node")).or_default().1 += 1;
+        choices.entry(found.expect("a node")).or_default().found += 1;
+        choices.entry(walked.expect("a node")).or_default().walked += 1;
     }
-    for (node, (found, walked)) in counts {
+    for (node, Choices { found, walked }) in choices {
         let (found, walked) = (f64::from(found), f64::from(walked));
         let error = (found + walked).sqrt().max(1.0);
         assert!((found - walked).abs() <= 5.0 * error, "{node:?}: {found} times, {walked} by a walk");
     }
 }
 
-/// Also where there are more nodes than a search looks at: an open node where there is one, and none that is
+/// Also if there are more nodes than a search visits: it finds an open node if there is one, and none that is
 /// worse than the best by more than the noise.
 #[rstest]
-fn none_better_is_passed_over(
-    #[values(State::Calm, State::Mixed)] state: State,
+fn a_search_passes_over_no_better_node(
+    #[values(Fleet::Idle, Fleet::Mixed)] fleet: Fleet,
     #[values(1, 2, 3)] seed: u64,
 ) {
-    let mut bench = Bench::new(800, state, seed, 3_000);
+    let mut bench = Bench::new(800, fleet, seed, 3_000);
     let (mut found, mut walked) = (0.0, 0.0);
     let rounds = 60;
     for _ in 0..rounds {
-        bench.step(800, state);
-        let luck = bench.rng.f64();
-        let id = bench.place(QuotaTier::Shared, luck);
+        bench.step(800, fleet);
+        let draw = bench.random.f64();
+        let id = bench.add_request(QuotaTier::Shared, draw);
         let ranks = bench.ranks(id);
-        let least = ranks.values().copied().reduce(|a, b| if b < a { b } else { a }).expect("nodes");
-        let (last, score) = ranks[&bench.search(id).node.expect("a node")];
-        assert_eq!(last, least.0, "a node without room, where others have it");
-        assert!(score <= least.1 + bench.scheduler.unit_service_time, "{score}, {} at the best", least.1);
-        found += score;
-        walked += ranks[&bench.walk(&ranks).expect("a node")].1;
-        bench.scheduler.requests.remove(&id);
+        let best = ranks.values().copied().reduce(|a, b| if b < a { b } else { a }).expect("nodes");
+        let rank = ranks[&bench.search(id).node.expect("a node")];
+        assert_eq!(rank.is_last, best.is_last, "a node without capacity, where others have it");
+        let worst_score = best.score + bench.unit_service_time();
+        assert!(rank.score <= worst_score, "{}, {} at the best", rank.score, best.score);
+        found += rank.score;
+        walked += ranks[&bench.walk(&ranks).expect("a node")].score;
+        bench.scheduler.requests.remove(id);
     }
     let (found, walked) = (found / f64::from(rounds), walked / f64::from(rounds));
-    let noise = bench.scheduler.unit_service_time;
+    let noise = bench.unit_service_time();
     assert!((found - walked).abs() < 0.1 * noise, "{found} in the mean, {walked} by a walk");
 }
 
-/// An entry of the index is right whatever happened: no bound lies above its node's score.
+/// The ranking is right whatever happens: no bound lies above its node's score.
 #[rstest]
-fn bounds_stay_below_scores(#[values(State::Calm, State::Mixed, State::Cold)] state: State) {
-    let mut bench = Bench::new(50, state, 5, 0);
+fn bounds_stay_below_scores(#[values(Fleet::Idle, Fleet::Mixed, Fleet::SlowStart)] fleet: Fleet) {
+    let mut bench = Bench::new(50, fleet, 5, 0);
     for round in 0..3_000u64 {
-        bench.step(50, state);
+        bench.step(50, fleet);
         if round % 10 == 0 {
-            bench.now += bench.rng.u64(0..400_000);
-            bench.feed(Event::TimerFired { token: 0 });
-            let id = bench.place(QuotaTier::Reserved, 0.5);
+            bench.now += bench.random.u64(0..400_000);
+            bench.handle(Event::TimerFired { token: 0 });
+            let id = bench.add_request(QuotaTier::Reserved, 0.5);
             bench.search(id);
-            let prior = bench.scheduler.decayed_fleet_delay(bench.now);
-            for (node, (_, score)) in bench.ranks(id) {
-                let bound =
-                    bench.scheduler.nodes.ranking.bound(node, prior, bench.scheduler.unit_service_time);
+            let fleet_delay = bench.scheduler.fleet.delay(bench.now);
+            for (node, WalkRank { score, .. }) in bench.ranks(id) {
+                let bound = bench.scheduler.nodes.ranking.bound(node, fleet_delay, bench.unit_service_time());
                 let bound = bound.expect("nodes in service have a place");
                 assert!(bound <= score + 1e-6, "{node:?}: a bound of {bound} over a score of {score}");
             }
-            bench.scheduler.requests.remove(&id);
+            bench.scheduler.requests.remove(id);
         }
     }
 }
 
-fn mean_visits(nodes: u32, state: State) -> f64 {
-    // Few cold nodes soon leave much to hold, and each step looks at all of that.
-    let arrivals = if state == State::Cold { 500 } else { 5_000 };
-    let mut bench = Bench::new(nodes, state, 3, arrivals);
+fn mean_visits(nodes: u32, fleet: Fleet) -> f64 {
+    // A few nodes in slow start soon leave many requests queued, and each step examines all of them.
+    let arrivals = if fleet == Fleet::SlowStart { 500 } else { 5_000 };
+    let mut bench = Bench::new(nodes, fleet, 3, arrivals);
     let (rounds, mut visits) = (100, 0);
     for _ in 0..rounds {
-        bench.step(nodes, state);
-        let luck = bench.rng.f64();
-        let id = bench.place(QuotaTier::Shared, luck);
+        bench.step(nodes, fleet);
+        let draw = bench.random.f64();
+        let id = bench.add_request(QuotaTier::Shared, draw);
         let found = bench.search(id);
         visits += found.visits;
         for node in found.outdated {
-            bench.scheduler.index(bench.now, node);
+            bench.scheduler.update_rank(bench.now, node);
         }
-        bench.scheduler.requests.remove(&id);
+        bench.scheduler.requests.remove(id);
     }
     visits as f64 / f64::from(rounds)
 }
 
 /// Guards against a walk over all nodes for each request.
 #[rstest]
-fn a_search_at_5100_nodes_looks_at_no_more_than_three_times_as_many(
-    #[values(State::Calm, State::Mixed, State::Cold)] state: State,
+fn a_search_among_5100_nodes_visits_at_most_three_times_as_many_as_among_100(
+    #[values(Fleet::Idle, Fleet::Mixed, Fleet::SlowStart)] fleet: Fleet,
 ) {
-    let (few, many) = (mean_visits(100, state), mean_visits(5_100, state));
-    println!("{state:?}: {few:.1} nodes looked at of 100, {many:.1} of 5,100");
-    assert!(many <= 3.0 * few.max(1.0), "{state:?}: {few} nodes looked at of 100, {many} of 5,100");
+    let (few, many) = (mean_visits(100, fleet), mean_visits(5_100, fleet));
+    println!("{fleet:?}: {few:.1} nodes visited of 100, {many:.1} of 5,100");
+    assert!(many <= 3.0 * few.max(1.0), "{fleet:?}: {few} nodes visited of 100, {many} of 5,100");
 }
--- a/crates/policy/src/slow_start/token_bucket.rs
+++ b/crates/policy/src/slow_start/token_bucket.rs
@@ -148,12 +148,6 @@
     tokens - (tokens - capacity).ceil().max(0.0)
 }
 
-impl Default for TokenBucket {
-    fn default() -> Self {
-        Self { tokens: 0.0, updated_at: 0, use_probability: 1.0 }
-    }
-}
-
 impl Settings {
     /// How long a whole slow-start token remains valid.
     pub(crate) fn token_lifetime(&self) -> Micros {
