--- a/crates/policy/src/node/health.rs
+++ b/crates/policy/src/node/health.rs
@@ -182,6 +182,11 @@
         self.last_response
     }
 
+    #[cfg(test)]
+    pub(crate) fn consecutive_errors(&self) -> u32 {
+        self.consecutive_errors
+    }
+
     pub(crate) fn unanswered(&self) -> u32 {
         self.unanswered
     }
--- a/crates/policy/src/scheduler/node_selection_tests.rs
+++ b/crates/policy/src/scheduler/node_selection_tests.rs
@@ -193,9 +193,13 @@
     fn rank(&self, id: RequestId, node_id: NodeId) -> Option<WalkRank> {
         let (scheduler, node) = (&self.scheduler, &self.scheduler.nodes[&node_id]);
         let decision = scheduler.check_send(self.now, id, node_id);
+        let (now, period) = (self.now, scheduler.period);
+        let open_units = node.in_flight.informative_units(now, period) + node.queue.units();
+        let delay = node.queueing_delay(now, period, &scheduler.fleet);
+        let is_unhealthy = node.health.suspected_since().is_some() || node.health.consecutive_errors() > 1;
         let rank = WalkRank {
-            is_last: decision != SendDecision::Allowed || node.health.is_unhealthy(),
-            score: node.load(self.now, scheduler.period, &scheduler.fleet),
+            is_last: decision != SendDecision::Allowed || is_unhealthy,
+            score: delay + open_units * self.unit_service_time(),
         };
         (decision != SendDecision::Never).then_some(rank)
     }
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -1,251 +1,186 @@
-//! Reads the module's [`Settings`] from values that have names: the adapter's pairs and a JSON tree alike.
-
-use std::borrow::Cow;
-use std::fmt;
-
-use miniserde::json::{Number, Value};
+//! Reads a deployment's settings under their wire names and maps them to the policy's own terms.
 
 use crate::api::{
     ClassSettings, DeduplicationScope, EndpointListMode, Idempotency, Micros, PlanSettings, RetryBudget,
     Settings,
 };
 
-/// A named value that is missing or makes no sense.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ConfigError {
-    /// Its name, as a path.
-    pub field: String,
-    /// What is wrong with it.
-    pub why: String,
-}
+mod error;
+mod source;
 
-impl ConfigError {
-    /// A value that cannot be.
-    pub fn value(field: &str, value: &str) -> Self {
-        Self { field: field.to_owned(), why: format!("impossible value {value:?}") }
-    }
+pub use error::ConfigError;
+pub use source::{JsonSource, SettingsSource};
 
-    /// A value that must be there and isn't.
-    pub fn missing(field: &str) -> Self {
-        Self { field: field.to_owned(), why: "missing".to_owned() }
-    }
+/// The settings of a deployment: those of the policy, the names of its classes and plans, and those that only
+/// concern the processes around it.
+#[derive(Clone, Debug)]
+pub struct Deployment {
+    /// The settings of the policy.
+    pub settings: Settings,
+    /// Names of the classes, in the order of [`Settings::classes`].
+    pub class_names: Vec<String>,
+    /// Names of the plans, in the order of [`Settings::plans`].
+    pub plan_names: Vec<String>,
+    /// For each class, whether its requests change data.
+    pub class_writes: Vec<bool>,
+    /// Timeout for opening a connection to a node.
+    pub connect_timeout: Micros,
+    /// Connections that have been idle for this long are closed.
+    pub idle_timeout: Micros,
+    /// Nothing may be sent to a node this long after the endpoint list has it draining or removed; `None` if
+    /// there is no such rule.
+    pub drain_grace: Option<Micros>,
 }
 
-impl fmt::Display for ConfigError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.field, self.why)
+impl Deployment {
+    /// Reads the settings from named values.
+    ///
+    /// # Errors
+    ///
+    /// Returns the first value that is missing or invalid.
+    pub fn read(from: &impl SettingsSource) -> Result<Self, ConfigError> {
+        let (class_names, classes) = read_classes(from)?;
+        let (plan_names, plans) = read_plans(from)?;
+        let settings = read_policy(from, classes, plans)?;
+        let class_writes = read_class_writes(from, class_names.len());
+        let connect_timeout = from.duration_from_ms("limits.connectTimeoutMs")?;
+        let idle_timeout = from.duration_from_ms("limits.idleCloseMs")?;
+        let drain_grace = "safety.stopSendingWithinMs";
+        let drain_grace = from.get(drain_grace).map(|_| from.duration_from_ms(drain_grace)).transpose()?;
+        Ok(Self {
+            settings,
+            class_names,
+            plan_names,
+            class_writes,
+            connect_timeout,
+            idle_timeout,
+            drain_grace,
+        })
     }
 }
 
-impl std::error::Error for ConfigError {}
-
-/// Values that are found by name. A list's length stands under `.count`, its items under `.0`, `.1`, …
-pub trait SettingsSource {
-    /// The value of that name as text.
-    fn get(&self, name: &str) -> Option<Cow<'_, str>>;
-
-    /// A value that must be there.
-    fn need(&self, name: &str) -> Result<Cow<'_, str>, ConfigError> {
-        self.get(name).ok_or_else(|| ConfigError::missing(name))
-    }
-
-    /// A number that must be there.
-    fn number<T: std::str::FromStr>(&self, name: &str) -> Result<T, ConfigError> {
-        let value = self.need(name)?;
-        value.parse().map_err(|_| ConfigError::value(name, &value))
-    }
-
-    /// A number, or what stands for it where it is absent.
-    fn or<T: std::str::FromStr>(&self, name: &str, absent: T) -> Result<T, ConfigError> {
-        self.get(name).map_or(Ok(absent), |value| value.parse().map_err(|_| ConfigError::value(name, &value)))
-    }
-
-    /// Yes or no; no where it is absent.
-    fn flag(&self, name: &str) -> Result<bool, ConfigError> {
-        match self.get(name).as_deref() {
-            None | Some("0" | "false") => Ok(false),
-            Some("1" | "true") => Ok(true),
-            Some(other) => Err(ConfigError::value(name, other)),
-        }
-    }
-
-    /// A figure that may not be negative, 0 where it is absent.
-    fn figure(&self, name: &str) -> Result<f64, ConfigError> {
-        let value: f64 = self.or(name, 0.0)?;
-        let sound = value.is_finite() && value >= 0.0;
-        if sound {
-            Ok(value)
-        } else {
-            Err(ConfigError::value(name, &value.to_string()))
-        }
-    }
-
-    /// A whole number that may be written with a fraction of zero.
-    fn whole(&self, name: &str) -> Result<u32, ConfigError> {
-        let value = self.figure(name)?;
-        let sound = value.fract() == 0.0 && value <= f64::from(u32::MAX);
-        if sound {
-            Ok(value as u32)
-        } else {
-            Err(ConfigError::value(name, &value.to_string()))
-        }
+/// Reads the items of a list in order: their names, and what `read` makes of the prefix of each item's
+/// values.
+fn read_list<T>(
+    from: &impl SettingsSource,
+    list: &str,
+    read: impl Fn(&str) -> Result<T, ConfigError>,
+) -> Result<(Vec<String>, Vec<T>), ConfigError> {
+    let (mut names, mut items) = (Vec::new(), Vec::new());
+    for index in 0..from.whole_number(&format!("{list}.count"))? {
+        let prefix = format!("{list}.{index}");
+        names.push(from.required(&format!("{prefix}.name"))?.into_owned());
+        items.push(read(&prefix)?);
     }
+    Ok((names, items))
+}
 
-    /// A span of milliseconds, 0 where it is absent.
-    fn span(&self, name: &str) -> Result<Micros, ConfigError> {
-        let micros = (self.figure(name)? * 1000.0).round();
-        if micros < 9.0e15 {
-            Ok(micros as Micros)
-        } else {
-            Err(ConfigError::value(name, "too large"))
-        }
-    }
+fn read_classes(from: &impl SettingsSource) -> Result<(Vec<String>, Vec<ClassSettings>), ConfigError> {
+    read_list(from, "lanes", |prefix| {
+        let at = |name: &str| format!("{prefix}.{name}");
+        Ok(ClassSettings {
+            latency_objective: from.duration_from_ms(&at("aimMs"))?,
+            deadline: from.duration_from_ms(&at("deadlineMs"))?,
+            priority_weight: from.non_negative(&at("credit"))?,
+            late_weight_fraction: from.non_negative(&at("lateWorth"))?,
+            idempotency: read_idempotency(from, &at("repeat"))?,
+            deduplication_scope: read_deduplication_scope(from, &at("dedupScope"))?,
+            deduplication_window: from.duration_from_ms(&at("dedupWindowMs"))?,
+            ordered_per_key: from.flag(&at("inTurn"))?,
+        })
+    })
+}
 
-    /// A moment or a span in milliseconds that must be there.
-    fn micros(&self, name: &str) -> Result<Micros, ConfigError> {
-        self.need(name)?;
-        self.span(name)
+fn read_idempotency(from: &impl SettingsSource, name: &str) -> Result<Idempotency, ConfigError> {
+    match from.get(name).as_deref().unwrap_or("single_shot") {
+        "free" => Ok(Idempotency::Idempotent),
+        "guarded" => Ok(Idempotency::WithKey),
+        "single_shot" => Ok(Idempotency::NotIdempotent),
+        other => Err(ConfigError::invalid(name, other)),
     }
+}
 
-    /// The place of a name among those that are known.
-    fn place(&self, name: &str, among: &[String]) -> Result<u16, ConfigError> {
-        let value = self.need(name)?;
-        let at = among.iter().position(|known| *known == value);
-        at.map(|at| at as u16).ok_or_else(|| ConfigError::value(name, &value))
+fn read_deduplication_scope(
+    from: &impl SettingsSource,
+    name: &str,
+) -> Result<DeduplicationScope, ConfigError> {
+    match from.get(name).as_deref().unwrap_or("cell") {
+        "all" => Ok(DeduplicationScope::AllNodes),
+        "zone" => Ok(DeduplicationScope::Zone),
+        "cell" => Ok(DeduplicationScope::Shard),
+        other => Err(ConfigError::invalid(name, other)),
     }
 }
 
-/// A JSON value, whose parts go by their paths.
-pub struct JsonSource<'a>(pub &'a Value);
-
-impl SettingsSource for JsonSource<'_> {
-    fn get(&self, name: &str) -> Option<Cow<'_, str>> {
-        let mut at = self.0;
-        for step in name.split('.') {
-            at = match at {
-                Value::Object(object) => object.get(step)?,
-                Value::Array(items) if step == "count" => return Some(items.len().to_string().into()),
-                Value::Array(items) => items.get(step.parse::<usize>().ok()?)?,
-                _ => return None,
-            };
-        }
-        text_of(at)
-    }
+fn read_plans(from: &impl SettingsSource) -> Result<(Vec<String>, Vec<PlanSettings>), ConfigError> {
+    read_list(from, "contracts", |prefix| {
+        let figure = |name: &str| from.non_negative(&format!("{prefix}.{name}"));
+        Ok(PlanSettings {
+            usual_rate: figure("usualRate")?,
+            reserved_rate: figure("reserve")?,
+            shared_weight: figure("parts")?,
+            priority_factor: figure("price")?,
+            rate_limit: figure("ceilingRate")?,
+            burst: figure("burst")?,
+        })
+    })
 }
 
-fn text_of(value: &Value) -> Option<Cow<'_, str>> {
-    match value {
-        Value::Null | Value::Object(_) => None,
-        Value::Bool(yes) => Some(if *yes { "true" } else { "false" }.into()),
-        Value::Number(Number::U64(n)) => Some(n.to_string().into()),
-        Value::Number(Number::I64(n)) => Some(n.to_string().into()),
-        Value::Number(Number::F64(n)) => Some(n.to_string().into()),
-        Value::String(text) => Some(text.as_str().into()),
-        Value::Array(items) => Some(items.iter().filter_map(text_of).collect::<Vec<_>>().join(",").into()),
-    }
+fn read_policy(
+    from: &impl SettingsSource,
+    classes: Vec<ClassSettings>,
+    plans: Vec<PlanSettings>,
+) -> Result<Settings, ConfigError> {
+    let retry_budget = read_retry_budget(from)?;
+    let endpoint_list_mode = read_endpoint_list_mode(from)?;
+    let has_retry_after = from.flag("limits.retryAfter")?;
+    Ok(Settings {
+        schedulers: from.whole_number("balancers")?,
+        scheduler_index: from.whole_number("slotNo")?,
+        classes,
+        plans,
+        mean_units: from.non_negative("familyInfo.unitMean")?,
+        max_units: from.non_negative("familyInfo.maxUnits")?.ceil() as u32,
+        shared_tier_weight: from.non_negative("familyInfo.withinShare")?,
+        excess_tier_weight: from.non_negative("familyInfo.spareWorth")?,
+        usage_period: from.duration_from_ms("familyInfo.meterPeriodMs")?,
+        max_attempts: from.whole_number("limits.sendCap")?,
+        max_retry_after: if has_retry_after { from.duration_from_ms("limits.maxRetryAfterMs")? } else { 0 },
+        timer_resolution: from.duration_from_ms("resolutionMs")?,
+        slow_start_units: from.non_negative("familyInfo.youngLimit")?,
+        slow_start_fraction: from.non_negative("safety.coldShare")?,
+        slow_start_duration: from.duration_from_ms("safety.coldMs")?,
+        overload_window: from.duration_from_ms("safety.fallMs")?,
+        overload_multiple: from.non_negative("safety.tipMultiple")?,
+        key_cool_down: from.duration_from_ms("safety.keyQuietMs")?,
+        retry_budget,
+        endpoint_list_mode,
+    })
 }
 
-/// What a deployment's settings say: the module's part, the names of its classes and plans, and the few
-/// figures that only concern whoever carries requests.
-#[derive(Clone, Debug)]
-pub struct Deployment {
-    /// The module's part.
-    pub settings: Settings,
-    /// Names of the classes, in the order of [`Settings::classes`].
-    pub classes: Vec<String>,
-    /// Names of the plans, in the order of [`Settings::plans`].
-    pub plans: Vec<String>,
-    /// Which classes write.
-    pub writes: Vec<bool>,
-    /// A connection that is not made by then never is.
-    pub connect: Micros,
-    /// Connections that stood idle for this long are closed.
-    pub idle: Micros,
-    /// Nothing may go to a node so long after the list has told that it drains or is gone; `None` where there
-    /// is no such rule.
-    pub grace: Option<Micros>,
+/// There is a retry budget if its window is not 0.
+fn read_retry_budget(from: &impl SettingsSource) -> Result<Option<RetryBudget>, ConfigError> {
+    let budget = RetryBudget {
+        free_retries: from.non_negative("safety.budgetFree")?,
+        retries_per_request: from.non_negative("safety.extraRatio")?,
+        window: from.duration_from_ms("safety.budgetSpanMs")?,
+    };
+    Ok((budget.window > 0).then_some(budget))
 }
 
-impl Deployment {
-    /// Reads it from values under the names that the settings have on every wire.
-    pub fn read(from: &impl SettingsSource) -> Result<Self, ConfigError> {
-        let (mut names, mut classes) = (Vec::new(), Vec::new());
-        for i in 0..from.whole("lanes.count")? {
-            let at = |key: &str| format!("lanes.{i}.{key}");
-            names.push(from.need(&at("name"))?.into_owned());
-            classes.push(ClassSettings {
-                latency_objective: from.span(&at("aimMs"))?,
-                deadline: from.span(&at("deadlineMs"))?,
-                priority_weight: from.figure(&at("credit"))?,
-                late_weight_fraction: from.figure(&at("lateWorth"))?,
-                idempotency: match from.get(&at("repeat")).as_deref().unwrap_or("single_shot") {
-                    "free" => Idempotency::Idempotent,
-                    "guarded" => Idempotency::WithKey,
-                    "single_shot" => Idempotency::NotIdempotent,
-                    other => return Err(ConfigError::value(&at("repeat"), other)),
-                },
-                deduplication_scope: match from.get(&at("dedupScope")).as_deref().unwrap_or("cell") {
-                    "all" => DeduplicationScope::AllNodes,
-                    "zone" => DeduplicationScope::Zone,
-                    "cell" => DeduplicationScope::Shard,
-                    other => return Err(ConfigError::value(&at("dedupScope"), other)),
-                },
-                deduplication_window: from.span(&at("dedupWindowMs"))?,
-                ordered_per_key: from.flag(&at("inTurn"))?,
-            });
-        }
-        let (mut plan_names, mut plans) = (Vec::new(), Vec::new());
-        for i in 0..from.whole("contracts.count")? {
-            let at = |key: &str| format!("contracts.{i}.{key}");
-            plan_names.push(from.need(&at("name"))?.into_owned());
-            plans.push(PlanSettings {
-                usual_rate: from.figure(&at("usualRate"))?,
-                reserved_rate: from.figure(&at("reserve"))?,
-                shared_weight: from.figure(&at("parts"))?,
-                priority_factor: from.figure(&at("price"))?,
-                rate_limit: from.figure(&at("ceilingRate"))?,
-                burst: from.figure(&at("burst"))?,
-            });
+fn read_endpoint_list_mode(from: &impl SettingsSource) -> Result<EndpointListMode, ConfigError> {
+    match from.get("discovery").as_deref().unwrap_or("pushed") {
+        "pushed" => Ok(EndpointListMode::Streamed),
+        "on_request" => {
+            Ok(EndpointListMode::Polled { max_interval: from.duration_from_ms("safety.mustAskInMs")? })
         }
-        let attempt_budget = RetryBudget {
-            free_retries: from.figure("safety.budgetFree")?,
-            retries_per_request: from.figure("safety.extraRatio")?,
-            window: from.span("safety.budgetSpanMs")?,
-        };
-        let list = match from.get("discovery").as_deref().unwrap_or("pushed") {
-            "pushed" => EndpointListMode::Streamed,
-            "on_request" => EndpointListMode::Polled { max_interval: from.span("safety.mustAskInMs")? },
-            other => return Err(ConfigError::value("discovery", other)),
-        };
-        let hints = from.flag("limits.retryAfter")?;
-        let settings = Settings {
-            schedulers: from.whole("balancers")?,
-            scheduler_index: from.whole("slotNo")?,
-            classes,
-            plans,
-            mean_units: from.figure("familyInfo.unitMean")?,
-            max_units: from.figure("familyInfo.maxUnits")?.ceil() as u32,
-            shared_tier_weight: from.figure("familyInfo.withinShare")?,
-            excess_tier_weight: from.figure("familyInfo.spareWorth")?,
-            usage_period: from.span("familyInfo.meterPeriodMs")?,
-            max_attempts: from.whole("limits.sendCap")?,
-            max_retry_after: if hints { from.span("limits.maxRetryAfterMs")? } else { 0 },
-            timer_resolution: from.span("resolutionMs")?,
-            slow_start_units: from.figure("familyInfo.youngLimit")?,
-            slow_start_fraction: from.figure("safety.coldShare")?,
-            slow_start_duration: from.span("safety.coldMs")?,
-            overload_window: from.span("safety.fallMs")?,
-            overload_multiple: from.figure("safety.tipMultiple")?,
-            key_cool_down: from.span("safety.keyQuietMs")?,
-            retry_budget: (attempt_budget.window > 0).then_some(attempt_budget),
-            endpoint_list_mode: list,
-        };
-        let writes = from.get("familyInfo.changesData").unwrap_or_default();
-        let writes = writes.split(',').map(|yes| yes == "true" || yes == "1");
-        let writes = writes.chain(std::iter::repeat(false)).take(names.len()).collect();
-        let (connect, idle) = (from.span("limits.connectTimeoutMs")?, from.span("limits.idleCloseMs")?);
-        let grace = "safety.stopSendingWithinMs";
-        let grace = from.get(grace).map(|_| from.span(grace)).transpose()?;
-        Ok(Self { settings, classes: names, plans: plan_names, writes, connect, idle, grace })
+        other => Err(ConfigError::invalid("discovery", other)),
     }
 }
+
+/// Which classes change data, as a list separated by commas; classes that it leaves out do not.
+fn read_class_writes(from: &impl SettingsSource, classes: usize) -> Vec<bool> {
+    let listed = from.get("familyInfo.changesData").unwrap_or_default();
+    let listed = listed.split(',').map(|flag| flag == "true" || flag == "1");
+    listed.chain(std::iter::repeat(false)).take(classes).collect()
+}
--- /dev/null
+++ b/crates/policy/src/settings/source.rs
@@ -0,0 +1,159 @@
+//! Named values: the common form of the simulator's pairs and of a JSON document.
+
+use std::borrow::Cow;
+
+use miniserde::json::{Number, Value};
+
+use super::ConfigError;
+use crate::api::Micros;
+
+/// Microseconds in a millisecond, the unit of durations on the wire.
+const MICROS_PER_MS: f64 = 1000.0;
+/// Maximum of a duration in microseconds: whole numbers up to here are exact in floating point.
+const MAX_DURATION_US: f64 = 9.0e15;
+
+/// Values that are found by name. The length of a list has its name and `.count`; its items have `.0`, `.1`,
+/// …
+pub trait SettingsSource {
+    /// The value of a name as text, if there is one.
+    fn get(&self, name: &str) -> Option<Cow<'_, str>>;
+
+    /// A required value.
+    ///
+    /// # Errors
+    ///
+    /// If it is missing.
+    fn required(&self, name: &str) -> Result<Cow<'_, str>, ConfigError> {
+        self.get(name).ok_or_else(|| ConfigError::missing(name))
+    }
+
+    /// A required number.
+    ///
+    /// # Errors
+    ///
+    /// If it is missing or not a number of this type.
+    fn required_number<T: std::str::FromStr>(&self, name: &str) -> Result<T, ConfigError> {
+        parse(name, &self.required(name)?)
+    }
+
+    /// A number, or `default` if it is absent.
+    ///
+    /// # Errors
+    ///
+    /// If it is not a number of this type.
+    fn number_or<T: std::str::FromStr>(&self, name: &str, default: T) -> Result<T, ConfigError> {
+        self.get(name).map_or(Ok(default), |value| parse(name, &value))
+    }
+
+    /// A boolean, false if it is absent.
+    ///
+    /// # Errors
+    ///
+    /// If it is none of `true`, `false`, `1` and `0`.
+    fn flag(&self, name: &str) -> Result<bool, ConfigError> {
+        match self.get(name).as_deref() {
+            None | Some("0" | "false") => Ok(false),
+            Some("1" | "true") => Ok(true),
+            Some(other) => Err(ConfigError::invalid(name, other)),
+        }
+    }
+
+    /// A finite number of at least 0; 0 if it is absent.
+    ///
+    /// # Errors
+    ///
+    /// If it is not such a number.
+    fn non_negative(&self, name: &str) -> Result<f64, ConfigError> {
+        let value: f64 = self.number_or(name, 0.0)?;
+        if value.is_finite() && value >= 0.0 {
+            Ok(value)
+        } else {
+            Err(ConfigError::invalid(name, &value.to_string()))
+        }
+    }
+
+    /// A whole number, 0 if it is absent. It may be written with a fraction of zero.
+    ///
+    /// # Errors
+    ///
+    /// If it is negative, has a fraction, or is too large.
+    fn whole_number(&self, name: &str) -> Result<u32, ConfigError> {
+        let value = self.non_negative(name)?;
+        if value.fract() == 0.0 && value <= f64::from(u32::MAX) {
+            Ok(value as u32)
+        } else {
+            Err(ConfigError::invalid(name, &value.to_string()))
+        }
+    }
+
+    /// A duration given in milliseconds, 0 if it is absent.
+    ///
+    /// # Errors
+    ///
+    /// If it is negative, not a number, or too long.
+    fn duration_from_ms(&self, name: &str) -> Result<Micros, ConfigError> {
+        let micros = (self.non_negative(name)? * MICROS_PER_MS).round();
+        if micros < MAX_DURATION_US {
+            Ok(micros as Micros)
+        } else {
+            Err(ConfigError::invalid(name, "too large"))
+        }
+    }
+
+    /// A required instant or duration given in milliseconds.
+    ///
+    /// # Errors
+    ///
+    /// If it is missing, negative, not a number, or too long.
+    fn required_duration_from_ms(&self, name: &str) -> Result<Micros, ConfigError> {
+        self.required(name)?;
+        self.duration_from_ms(name)
+    }
+
+    /// The index of a required name in a list of known names.
+    ///
+    /// # Errors
+    ///
+    /// If it is missing or not known.
+    fn index_of(&self, name: &str, known: &[String]) -> Result<u16, ConfigError> {
+        let value = self.required(name)?;
+        let index = known.iter().position(|known| *known == value);
+        index.map(|index| index as u16).ok_or_else(|| ConfigError::invalid(name, &value))
+    }
+}
+
+fn parse<T: std::str::FromStr>(name: &str, value: &str) -> Result<T, ConfigError> {
+    value.parse().map_err(|_| ConfigError::invalid(name, value))
+}
+
+/// A JSON document whose values are found by their paths, such as `plans.0.name`.
+pub struct JsonSource<'a>(pub &'a Value);
+
+impl SettingsSource for JsonSource<'_> {
+    fn get(&self, name: &str) -> Option<Cow<'_, str>> {
+        let mut value = self.0;
+        for step in name.split('.') {
+            value = match value {
+                Value::Object(object) => object.get(step)?,
+                Value::Array(items) if step == "count" => return Some(items.len().to_string().into()),
+                Value::Array(items) => items.get(step.parse::<usize>().ok()?)?,
+                _ => return None,
+            };
+        }
+        text_of(value)
+    }
+}
+
+/// A value as text; the items of a list are separated by commas.
+fn text_of(value: &Value) -> Option<Cow<'_, str>> {
+    match value {
+        Value::Null | Value::Object(_) => None,
+        Value::Bool(true) => Some("true".into()),
+        Value::Bool(false) => Some("false".into()),
+        Value::Number(Number::U64(number)) => Some(number.to_string().into()),
+        Value::Number(Number::I64(number)) => Some(number.to_string().into()),
+        Value::Number(Number::F64(number)) => Some(number.to_string().into()),
+        Value::String(text) => Some(text.as_str().into()),
+        Value::Array(items) => Some(items.iter().filter_map(text_of).collect::<Vec<_>>().join(",").into()),
+    }
+}
--- a/crates/policy/tests/settings.rs
+++ b/crates/policy/tests/settings.rs
@@ -28,8 +28,8 @@
     #[case] limit: f64,
     #[case] effects: &[Idempotency],
 ) {
-    let Deployment { settings, grace: read_grace, .. } = read(text).unwrap();
-    assert_eq!(read_grace, Some(grace));
+    let Deployment { settings, drain_grace, .. } = read(text).unwrap();
+    assert_eq!(drain_grace, Some(grace));
     assert_eq!((settings.max_attempts, settings.overload_multiple), (attempts, multiple));
     assert_eq!(settings.plans[0].rate_limit, limit);
     assert!(settings.classes.iter().map(|class| class.idempotency).eq(effects.iter().copied()));
@@ -70,5 +70,5 @@
 #[rstest]
 fn without_a_rule_on_drains_there_is_no_grace(#[values(PREDIO_NORTE, GRANITE_SHELF)] text: &str) {
     let none = text.replace("stopSendingWithinMs", "someOtherField");
-    assert_eq!(read(&none).unwrap().grace, None);
+    assert_eq!(read(&none).unwrap().drain_grace, None);
 }
