--- a/crates/policy/src/node/health.rs
+++ b/crates/policy/src/node/health.rs
@@ -2,8 +2,7 @@
 
 use crate::api::{AttemptEnd, Micros};
 
-/// A node that the endpoint list does not report as restarted within this time after it answered again did
-/// not restart.
+/// How long a start that is presumed from an answer counts if the endpoint list does not confirm it.
 const UNANNOUNCED_START_LIFETIME: Micros = 6_000_000;
 /// Timeouts in a row after which a node is unresponsive.
 const UNRESPONSIVE_TIMEOUTS: u32 = 3;
@@ -26,7 +25,7 @@
     pub(crate) latency: Micros,
 }
 
-/// A change of what failure detection takes a node for.
+/// A transition of failure detection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HealthChange {
     /// It became unresponsive.
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -39,18 +39,18 @@
     ///
     /// Returns the first value that is missing or invalid.
     pub fn read(from: &impl SettingsSource) -> Result<Self, ConfigError> {
-        let (class_names, classes) = read_classes(from)?;
-        let (plan_names, plans) = read_plans(from)?;
-        let settings = read_policy(from, classes, plans)?;
-        let class_writes = read_class_writes(from, class_names.len());
+        let classes = read_classes(from)?;
+        let plans = read_plans(from)?;
+        let settings = read_policy(from, classes.items, plans.items)?;
+        let class_writes = read_class_writes(from, classes.names.len());
         let connect_timeout = from.duration_from_ms("limits.connectTimeoutMs")?;
         let idle_timeout = from.duration_from_ms("limits.idleCloseMs")?;
         let drain_grace = "safety.stopSendingWithinMs";
         let drain_grace = from.get(drain_grace).map(|_| from.duration_from_ms(drain_grace)).transpose()?;
         Ok(Self {
             settings,
-            class_names,
-            plan_names,
+            class_names: classes.names,
+            plan_names: plans.names,
             class_writes,
             connect_timeout,
             idle_timeout,
@@ -59,23 +59,28 @@
     }
 }
 
-/// Reads the items of a list in order: their names, and what `read` makes of the prefix of each item's
-/// values.
+/// A list of items with names, both in the order of the list.
+struct NamedItems<T> {
+    names: Vec<String>,
+    items: Vec<T>,
+}
+
+/// Reads a list; `read` reads an item, given the common prefix of the names of its values.
 fn read_list<T>(
     from: &impl SettingsSource,
     list: &str,
     read: impl Fn(&str) -> Result<T, ConfigError>,
-) -> Result<(Vec<String>, Vec<T>), ConfigError> {
+) -> Result<NamedItems<T>, ConfigError> {
     let (mut names, mut items) = (Vec::new(), Vec::new());
     for index in 0..from.whole_number(&format!("{list}.count"))? {
         let prefix = format!("{list}.{index}");
         names.push(from.required(&format!("{prefix}.name"))?.into_owned());
         items.push(read(&prefix)?);
     }
-    Ok((names, items))
+    Ok(NamedItems { names, items })
 }
 
-fn read_classes(from: &impl SettingsSource) -> Result<(Vec<String>, Vec<ClassSettings>), ConfigError> {
+fn read_classes(from: &impl SettingsSource) -> Result<NamedItems<ClassSettings>, ConfigError> {
     read_list(from, "lanes", |prefix| {
         let at = |name: &str| format!("{prefix}.{name}");
         Ok(ClassSettings {
@@ -112,7 +117,7 @@
     }
 }
 
-fn read_plans(from: &impl SettingsSource) -> Result<(Vec<String>, Vec<PlanSettings>), ConfigError> {
+fn read_plans(from: &impl SettingsSource) -> Result<NamedItems<PlanSettings>, ConfigError> {
     read_list(from, "contracts", |prefix| {
         let figure = |name: &str| from.non_negative(&format!("{prefix}.{name}"));
         Ok(PlanSettings {
