--- a/crates/core/src/actor/handle.rs
+++ b/crates/core/src/actor/handle.rs
@@ -10,7 +10,7 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-use crate::cancel::{CancelOnDrop, Departures};
+use crate::client_disconnects::{CancelOnDrop, Departures};
 use crate::message::{CoreMessage, CoreStatus, Urgent};
 use crate::observe::Observer;
 use crate::{
--- a/crates/core/src/actor/mod.rs
+++ b/crates/core/src/actor/mod.rs
@@ -11,24 +11,24 @@
 use tokio::time::Instant;
 
 use crate::body::Ids;
-use crate::cancel::Departures;
+use crate::client_disconnects::Departures;
 use crate::endpoint_lease::{EndpointLease, LeaseExpiry};
 use crate::message::{CoreMessage, CoreStatus, NodeConnector, Urgent};
 use crate::observe::{Observation, Observer, TreatmentCause};
-use crate::stalls::{waiting_updates, Stalls};
+use crate::stall_detection::{waiting_updates, Stalls};
 use crate::{Answer, Clock, Counters, Draining, ForwardedCommand, WrittenAttempts};
 use heathward_policy::settings::Deployment;
 use heathward_policy::{Action, Event, Micros, RequestId, Scheduler, SettingsError};
 
 mod attempts;
 mod commands;
+mod endpoint_updates;
 mod handle;
 mod handover;
-mod list_updates;
 mod nodes;
+mod observation;
 mod requests;
 mod settings;
-mod status;
 mod zones;
 
 pub use attempts::report_attempt_end;
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -7,24 +7,24 @@
 
 mod actor;
 mod body;
-mod call;
-mod cancel;
+mod client_disconnects;
 mod clock;
 mod counters;
 pub mod endpoint_lease;
 mod message;
 pub mod observe;
-mod stalls;
+mod request;
+mod stall_detection;
 
 pub use actor::{report_attempt_end, start_core, CoreHandle, CoreStopped};
 pub use body::{body_channel, BodyInterrupted, BodySender, BodyStream, NodeReply, StreamedReply, Upload};
-pub use call::{
-    Answer, Attempt, ClientRequest, CommandError, CoreMetrics, Draining, EndedAttempt, Endpoint,
-    EndpointUpdate, ForwardedCommand, HandoverState, NodeRequest, OperatorCommand, SendGate,
-};
 pub use clock::Clock;
 pub use counters::{AnswerCounts, Counters, WrittenAttempts};
 pub use message::{CoreMessage, CoreStatus, NodeConnector};
+pub use request::{
+    Answer, Attempt, ClientRequest, CommandError, CoreMetrics, Draining, EndedAttempt, Endpoint,
+    EndpointUpdate, ForwardedCommand, HandoverState, NodeRequest, OperatorCommand, SendGate,
+};
 
 /// Bytes of a body that is held whole at most; what is longer passes in pieces.
 pub const MAX_BUFFERED_BODY_BYTES: usize = 64 * 1024;
--- a/crates/core/src/observe.rs
+++ b/crates/core/src/observe.rs
@@ -8,7 +8,7 @@
 };
 use tokio::time::Instant;
 
-use crate::call::Endpoint;
+use crate::request::Endpoint;
 
 /// Keeps records. Called on the core's thread, so it must not wait.
 pub trait Observer: Send {
