--- a/crates/event-log/tests/records.rs
+++ b/crates/event-log/tests/records.rs
@@ -1,4 +1,4 @@
-//! Damage, other versions, disks that fail and disks that are stuck.
+//! The event log before damaged segments, other versions of the program, full disks and blocked disks.
 #![cfg(test)]
 
 use std::collections::BTreeMap;
@@ -19,8 +19,8 @@
 use rstest::rstest;
 
 const IDENTITY: SegmentId = SegmentId { boot: 0xb007, number: 3 };
-/// Nothing here takes longer, however loaded the machine.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Nothing here takes longer, also on a loaded machine.
+const MAX_WAIT: Duration = Duration::from_secs(20);
 
 fn at(second: u64) -> Timestamp {
     Timestamp { wall_clock: 1_764_600_000_000_000 + second * 1_000_000, monotonic: second * 1_000_000 }
@@ -102,10 +102,10 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever is cut off and flipped: no panic, nothing that was not written, and every frame that no flip
-    /// touched and that is there whole.
+    /// Whatever bytes are flipped or cut off: there is no panic, no record that was not written, and every
+    /// frame that is complete and has no flipped byte is read.
     #[test]
-    fn damage_costs_only_what_it_touches(
+    fn damaged_bytes_lose_only_the_frames_that_they_touch(
         count in 1_u64..40,
         flips in proptest::collection::vec((any::<proptest::sample::Index>(), 1_u8..), 0..6),
         cut in any::<proptest::sample::Index>(),
@@ -132,9 +132,9 @@
         prop_assert_eq!(records(&read(&damaged, "damage")), untouched);
     }
 
-    /// A payload that holds a whole frame of the segment, at whatever place, is not read as one.
+    /// A payload may hold a complete frame of the segment, at any offset.
     #[test]
-    fn what_only_looks_like_a_frame_is_none(shift in 0_usize..64) {
+    fn a_frame_within_a_payload_is_not_read_as_one(shift in 0_usize..64) {
         let mut inner = Vec::new();
         change(9).encode(&mut inner);
         let mut frame = Vec::new();
@@ -149,10 +149,10 @@
     }
 }
 
-/// Fields are only appended: what an older program left out has its default, what a newer one added is passed
-/// over, a kind of the future is counted, a schema of the future is told of; all others are read.
+/// Fields are only appended: one that an older version did not write has its default, and one that a newer
+/// version added is ignored. Events of an unknown kind and frames of a newer schema are reported as such.
 #[test]
-fn older_and_newer_versions_are_read_as_far_as_they_can_be() {
+fn records_of_older_and_newer_versions_are_read() {
     let mut out = heathward_event_log::segment::encode_header(IDENTITY).to_vec();
     let mut put = |schema: u8, payload: &[u8]| {
         let offset = out.len() as u64;
@@ -190,12 +190,12 @@
 #[case("n3-0000000007-000000000000b007-000003.hwr.gz", false)]
 #[case("n-3-0000000007-000000000000b007-000003.hwr", false)]
 #[case("core", false)]
-fn only_a_segments_own_name_is_one(#[case] text: &str, #[case] sound: bool) {
+fn only_names_of_segments_are_parsed(#[case] text: &str, #[case] sound: bool) {
     assert_eq!(text.parse::<SegmentName>().is_ok(), sound);
 }
 
 #[test]
-fn the_oldest_segments_make_way_and_no_boots_newest() {
+fn the_oldest_segments_are_evicted_but_not_the_newest_of_a_run() {
     let file = |boot: u64, number: u32| (SegmentName::new("n3", boot, boot, number), 10);
     let other = (SegmentName::new("n4", 0, 9, 0), 1000);
     let files = [file(2, 0), file(1, 1), file(1, 0), file(2, 1), other];
@@ -207,20 +207,20 @@
     assert_eq!(names(0), vec![(1, 0), (2, 0)]);
 }
 
-/// Sends so many events and waits for the end.
+/// Sends `count` events and waits until the writer has ended.
 fn write(disk: impl Disk, limits: StorageLimits, count: u64) -> (EventSender, u64) {
-    let (mut sender, waiting) = event_channel(4096);
-    let writer = Writer::start(disk, waiting, opened(), limits).unwrap();
-    let health = writer.statistics();
+    let (mut sender, events) = event_channel(4096);
+    let writer = Writer::start(disk, events, opened(), limits).unwrap();
+    let statistics = writer.statistics();
     (1..=count).for_each(|seq| sender.send(at(seq), change(seq).event));
     let (rest, _) = event_channel(1);
     drop(std::mem::replace(&mut sender, rest));
-    assert!(writer.finish(Instant::now() + PATIENCE));
-    (sender, health.written())
+    assert!(writer.finish(Instant::now() + MAX_WAIT));
+    (sender, statistics.written())
 }
 
 #[test]
-fn segments_are_rotated_and_kept_up_to_a_total() {
+fn segments_are_rotated_and_evicted_beyond_a_total_size() {
     let path = folder("rotated");
     let (_, written) = write(Folder(path.clone()), limits(2000, 9000), 1000);
     assert_eq!(written, 1000);
@@ -233,9 +233,9 @@
     assert!(seqs.windows(2).all(|pair| pair[1] == pair[0] + 1) && seqs.last() == Some(&1000), "{seqs:?}");
 }
 
-/// A segment that goes while it is read is read to its end; one that is gone before is passed over.
+/// A segment that was deleted before it is opened is not found.
 #[test]
-fn a_segment_deleted_under_the_reader_does_no_harm() {
+fn a_segment_that_is_deleted_while_open_is_read_to_its_end() {
     let path = folder("deleted");
     write(Folder(path.clone()), limits(2000, 100_000), 200);
     let files = find_segments(std::slice::from_ref(&path)).unwrap();
@@ -247,29 +247,29 @@
     assert_eq!(find_segments(std::slice::from_ref(&path)).unwrap().len(), files.len() - 2);
 }
 
-/// A disk in memory whose room, and whose patience, the test sets.
+/// A disk in memory that the test can fill up or block.
 #[derive(Clone, Default)]
-struct Fake(Arc<(Mutex<State>, Condvar)>);
+struct FakeDisk(Arc<(Mutex<State>, Condvar)>);
 
 #[derive(Default)]
 struct State {
     files: BTreeMap<String, Vec<u8>>,
-    room: usize,
-    stuck: bool,
-    waits: bool,
+    free_bytes: usize,
+    blocked: bool,
+    write_is_waiting: bool,
 }
 
-struct FakeFile(Fake, String);
+struct FakeFile(FakeDisk, String);
 
-impl Fake {
+impl FakeDisk {
     fn with(&self, change: impl FnOnce(&mut State)) {
         change(&mut self.0 .0.lock().unwrap());
         self.0 .1.notify_all();
     }
 
-    /// Waits until it is so.
+    /// Waits until the condition holds.
     fn until(&self, so: impl Fn(&State) -> bool) {
-        let by = Instant::now() + PATIENCE;
+        let by = Instant::now() + MAX_WAIT;
         while !so(&self.0 .0.lock().unwrap()) {
             assert!(Instant::now() < by, "never came");
             std::thread::sleep(Duration::from_millis(1));
@@ -286,7 +286,7 @@
     }
 }
 
-impl Disk for Fake {
+impl Disk for FakeDisk {
     type File = FakeFile;
 
     fn create(&mut self, name: &str) -> io::Result<FakeFile> {
@@ -307,16 +307,16 @@
 impl Write for FakeFile {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         let mut state = self.0 .0 .0.lock().unwrap();
-        while state.stuck {
-            state.waits = true;
+        while state.blocked {
+            state.write_is_waiting = true;
             state = self.0 .0 .1.wait(state).unwrap();
         }
-        state.waits = false;
-        let size = bytes.len().min(state.room);
+        state.write_is_waiting = false;
+        let size = bytes.len().min(state.free_bytes);
         if size == 0 {
             return Err(io::ErrorKind::StorageFull.into());
         }
-        state.room -= size;
+        state.free_bytes -= size;
         state.files.get_mut(&self.1).unwrap().extend_from_slice(&bytes[..size]);
         Ok(size)
     }
@@ -326,7 +326,7 @@
     }
 }
 
-/// Every event is there or within a gap of the right size; nothing is there twice.
+/// Every event is either recorded or counted in a gap, and exactly once.
 fn check_all_accounted(records: &[Record], last: u64) -> Vec<Gap> {
     let mut covered = vec![0; last as usize + 1];
     let mut gaps = Vec::new();
@@ -341,72 +341,70 @@
     gaps
 }
 
-/// On a full disk records stop, are counted, and begin again by themselves once there is room.
+/// While the disk is full events are counted; writing resumes by itself once there is free space.
 #[test]
-fn a_full_disk_costs_a_gap_that_is_told() {
-    let disk = Fake::default();
-    disk.with(|state| state.room = 1000);
-    let (mut sender, waiting) = event_channel(4096);
-    let writer = Writer::start(disk.clone(), waiting, opened(), limits(1 << 20, 1 << 30)).unwrap();
-    let health = writer.statistics();
+fn a_full_disk_leaves_a_recorded_gap() {
+    let disk = FakeDisk::default();
+    disk.with(|state| state.free_bytes = 1000);
+    let (mut sender, events) = event_channel(4096);
+    let writer = Writer::start(disk.clone(), events, opened(), limits(1 << 20, 1 << 30)).unwrap();
+    let statistics = writer.statistics();
     (1..=200).for_each(|seq| sender.send(at(seq), change(seq).event));
-    let by = Instant::now() + PATIENCE;
-    while health.lost() == 0 || health.lost() + health.written() < 200 {
-        assert!(Instant::now() < by, "lost {} written {}", health.lost(), health.written());
+    let by = Instant::now() + MAX_WAIT;
+    while statistics.lost() == 0 || statistics.lost() + statistics.written() < 200 {
+        assert!(Instant::now() < by, "lost {} written {}", statistics.lost(), statistics.written());
         std::thread::sleep(Duration::from_millis(1));
     }
-    disk.with(|state| state.room = 1 << 20);
-    // Nothing more comes, and yet the gap is written by itself.
+    disk.with(|state| state.free_bytes = 1 << 20);
+    // The gap is written without another event.
     disk.until(|state| state.files.len() > 1 && state.files.values().last().unwrap().len() > 100);
     (201..=210).for_each(|seq| sender.send(at(seq), change(seq).event));
     drop(sender);
-    assert!(writer.finish(Instant::now() + PATIENCE));
+    assert!(writer.finish(Instant::now() + MAX_WAIT));
     let gaps = check_all_accounted(&disk.records(), 210);
     let [gap] = gaps[..] else { panic!("{gaps:?}") };
     assert!(
-        gap.cause == GapCause::DiskFailed && gap.last == at(200) && gap.events == health.lost(),
+        gap.cause == GapCause::DiskFailed && gap.last == at(200) && gap.events == statistics.lost(),
         "{gap:?}"
     );
 }
 
-/// Whoever tells never waits for a stuck disk; what did not fit stands in the file as a gap.
+/// Events that do not fit into the queue are recorded as a gap.
 #[test]
-fn a_stuck_disk_holds_up_nobody() {
-    let disk = Fake::default();
-    disk.with(|state| (state.room, state.stuck) = (1 << 24, true));
-    let (mut sender, waiting) = event_channel(64);
-    let writer = Writer::start(disk.clone(), waiting, opened(), limits(1 << 20, 1 << 30)).unwrap();
+fn sending_does_not_wait_for_a_blocked_disk() {
+    let disk = FakeDisk::default();
+    disk.with(|state| (state.free_bytes, state.blocked) = (1 << 24, true));
+    let (mut sender, events) = event_channel(64);
+    let writer = Writer::start(disk.clone(), events, opened(), limits(1 << 20, 1 << 30)).unwrap();
     sender.send(at(1), Event::Lifecycle(Lifecycle::Started));
-    disk.until(|state| state.waits);
+    disk.until(|state| state.write_is_waiting);
     (2..=5000).for_each(|seq| sender.send(at(seq), change(seq).event));
     assert_eq!(sender.dropped(), 5000 - 1 - 64);
     let end = Instant::now() + Duration::from_millis(20);
-    disk.with(|state| state.stuck = false);
+    disk.with(|state| state.blocked = false);
     disk.until(|state| state.files.values().last().unwrap().len() > 1000);
     (5001..=5010).for_each(|seq| sender.send(at(seq), change(seq).event));
     drop(sender);
-    assert!(end < Instant::now() + PATIENCE && writer.finish(Instant::now() + PATIENCE));
+    assert!(end < Instant::now() + MAX_WAIT && writer.finish(Instant::now() + MAX_WAIT));
     let gaps = check_all_accounted(&disk.records(), 5010);
     assert!(gaps.iter().all(|gap| gap.cause == GapCause::QueueFull), "{gaps:?}");
     assert_eq!(gaps.iter().map(|gap| gap.events).sum::<u64>(), 5000 - 1 - 64);
 }
 
-/// The end of the program does not wait for a stuck disk either.
 #[test]
-fn the_end_does_not_wait_for_a_stuck_disk() {
-    let disk = Fake::default();
-    disk.with(|state| state.stuck = true);
-    let (mut sender, waiting) = event_channel(64);
-    let writer = Writer::start(disk.clone(), waiting, opened(), limits(1 << 20, 1 << 30)).unwrap();
+fn finishing_does_not_wait_for_a_blocked_disk() {
+    let disk = FakeDisk::default();
+    disk.with(|state| state.blocked = true);
+    let (mut sender, events) = event_channel(64);
+    let writer = Writer::start(disk.clone(), events, opened(), limits(1 << 20, 1 << 30)).unwrap();
     sender.send(at(1), change(1).event);
     drop(sender);
     assert!(!writer.finish(Instant::now() + Duration::from_millis(50)));
-    disk.with(|state| state.stuck = false);
+    disk.with(|state| state.blocked = false);
 }
 
-/// A class's second keeps its histogram and all its counts.
 #[test]
-fn a_second_comes_back_as_it_was() {
+fn a_class_second_is_decoded_as_it_was_encoded() {
     let second = ClassSecond {
         start: 5,
         duration: 1_000_000,
--- a/crates/event-recorder/tests/recorder.rs
+++ b/crates/event-recorder/tests/recorder.rs
@@ -1,4 +1,4 @@
-//! What the recorder tells of a scheduler before stand-in nodes.
+//! What the recorder records of a scheduler with fake nodes.
 #![cfg(test)]
 
 use std::time::Duration;
@@ -20,7 +20,7 @@
     (rig, waiting)
 }
 
-/// All events up to the recorder's end.
+/// All events until the recorder has ended.
 async fn all(rig: &Rig, waiting: &EventReceiver) -> Vec<Record> {
     rig.core.set_observer(None).await;
     let by = Instant::now() + heathward_fakes::PATIENCE;
@@ -36,7 +36,7 @@
 }
 
 #[tokio::test]
-async fn each_request_and_each_attempt_counts_once() {
+async fn each_request_and_each_attempt_is_counted_once() {
     let log = Log::default();
     let script = [Does::Error, Does::Serve];
     let node = http_node(0, &script, &log).await;
@@ -85,7 +85,7 @@
 }
 
 #[tokio::test]
-async fn how_a_node_is_treated_is_told_with_its_cause() {
+async fn node_state_changes_are_recorded_with_their_cause() {
     let node = http_node(0, &[Does::Serve], &Log::default()).await;
     let (rig, waiting) = recorded(&[member("s0", node, 0, "in_service", 0)], false).await;
     rig.core.run_command(OperatorCommand::Suspend("s0".into()), false).await.unwrap().unwrap();
