--- a/crates/policy/src/api/actions.rs
+++ b/crates/policy/src/api/actions.rs
@@ -1,6 +1,6 @@
 //! What the policy asks its caller to do.
 
-use super::{Micros, NodeId, RequestId};
+use super::ids::{Micros, NodeId, RequestId};
 
 /// What the caller has to do.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/policy/src/api/events.rs
+++ b/crates/policy/src/api/events.rs
@@ -1,6 +1,6 @@
 //! What the caller tells the policy.
 
-use super::{ClassId, KeyId, Micros, NodeId, PlanId, RequestId, ShardId, VolumeId};
+use super::ids::{ClassId, KeyId, Micros, NodeId, PlanId, RequestId, ShardId, VolumeId};
 
 /// State of a node in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/policy/src/api/settings.rs
+++ b/crates/policy/src/api/settings.rs
@@ -2,7 +2,7 @@
 
 use thiserror::Error;
 
-use super::Micros;
+use super::ids::Micros;
 
 /// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
--- a/crates/policy/src/api/status.rs
+++ b/crates/policy/src/api/status.rs
@@ -1,6 +1,6 @@
 //! Reports on the state of the policy.
 
-use super::Micros;
+use super::ids::Micros;
 
 /// Numbers of entries that the policy keeps; each is the size of the largest collection of its kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
--- a/crates/policy/src/node_ranking/search.rs
+++ b/crates/policy/src/node_ranking/search.rs
@@ -1,9 +1,9 @@
 //! Visits the nodes of a tier in order of their bucket's bound plus random noise.
 
 use std::cmp::Reverse;
-use std::collections::BinaryHeap;
+use std::collections::{BTreeMap, BinaryHeap};
 
-use super::{Bucket, HealthTier, NodeRanking};
+use super::bucket::{Bucket, HealthTier};
 use crate::api::NodeId;
 
 /// Two members of a bucket that have changed positions.
@@ -83,12 +83,12 @@
 
 impl<'a> Search<'a> {
     pub(super) fn new(
-        ranking: &'a NodeRanking,
+        buckets: &'a BTreeMap<Bucket, Vec<NodeId>>,
         tier: HealthTier,
         fleet_delay: f64,
         unit_service_time: f64,
     ) -> Self {
-        let of_tier = ranking.buckets.range(Bucket::first_of(tier)..=Bucket::last_of(tier));
+        let of_tier = buckets.range(Bucket::first_of(tier)..=Bucket::last_of(tier));
         let draw = |(bucket, members): (&Bucket, &'a Vec<NodeId>)| BucketDraw {
             members: members.as_slice(),
             bound: bucket.bound(fleet_delay, unit_service_time).max(0.0),
--- a/crates/policy/src/node_ranking/tests.rs
+++ b/crates/policy/src/node_ranking/tests.rs
@@ -1,6 +1,7 @@
 //! The ranking by itself; `scheduler/node_selection_tests.rs` compares its choices with a walk over all
 //! nodes.
 
+use super::bucket::{DELAY_STEP, FIRST_DELAY_US};
 use super::*;
 
 const LIFETIME: f64 = 1e6;
--- a/crates/policy/src/request/table.rs
+++ b/crates/policy/src/request/table.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::{RequestState, TrackedRequest};
+use super::tracked::{RequestState, TrackedRequest};
 use crate::api::{Micros, RequestId};
 
 /// The time by which a request must have its final answer.
--- a/crates/policy/src/settings/source.rs
+++ b/crates/policy/src/settings/source.rs
@@ -4,7 +4,7 @@
 
 use miniserde::json::{Number, Value};
 
-use super::ConfigError;
+use super::error::ConfigError;
 use crate::api::Micros;
 
 /// Microseconds in a millisecond, the unit of durations on the wire.
--- a/crates/policy/src/volume.rs
+++ b/crates/policy/src/volume.rs
@@ -3,7 +3,7 @@
 //! A plan's quotas hold for a volume over all schedulers. They do not communicate: each estimates the
 //! fraction of the volume's demand that comes through it, and keeps token buckets for that fraction.
 
-use crate::api::{seconds, Micros, PlanId, PlanSettings, Request};
+use crate::api::{Micros, PlanId, PlanSettings, Request};
 
 mod demand;
 mod quota;
--- a/crates/policy/src/volume/demand.rs
+++ b/crates/policy/src/volume/demand.rs
@@ -1,7 +1,6 @@
 //! Rates at which a volume's requests arrive here, are sent from here, and are served by all nodes.
 
-use super::seconds;
-use crate::api::Micros;
+use crate::api::{seconds, Micros};
 
 /// Time over which rates are averaged, in seconds: long enough to even out single requests, short enough to
 /// show a surge.
--- a/crates/policy/src/volume/quota.rs
+++ b/crates/policy/src/volume/quota.rs
@@ -1,7 +1,6 @@
 //! Quotas of a plan and the token buckets that keep them.
 
-use super::seconds;
-use crate::api::{Micros, PlanSettings, Settings};
+use crate::api::{seconds, Micros, PlanSettings, Settings};
 
 /// The shared quota of a volume of average weight, in mean usual rates.
 const SHARED_QUOTA_RATES: f64 = 2.0;
