--- a/crates/core/src/actor/attempts.rs
+++ b/crates/core/src/actor/attempts.rs
@@ -6,10 +6,10 @@
 use tokio::time::Instant;
 
 use super::Actor;
-use crate::body::{NodeReply, StreamedReply, Upload};
 use crate::message::CoreMessage;
 use crate::observe::{NodeTreatment, Observation};
 use crate::{Answer, Attempt, EndedAttempt};
+use crate::{NodeReply, StreamedReply, Upload};
 use heathward_policy::{AttemptEnd, AttemptOutcome, Event, Idempotency, Micros, NodeId, RequestId};
 
 impl Actor {
@@ -116,7 +116,7 @@
             };
             let body = match (body, taken) {
                 (NodeReply::Streamed(passing), Some(taken)) => {
-                    NodeReply::Streamed(StreamedReply { _open: Some(taken.pass()), ..passing })
+                    NodeReply::Streamed(StreamedReply { _id_guard: Some(taken.start_streaming()), ..passing })
                 }
                 (body, _) => body,
             };
--- a/crates/core/src/actor/commands.rs
+++ b/crates/core/src/actor/commands.rs
@@ -42,7 +42,7 @@
 
     fn pause(&mut self, paused: bool) -> Result<(), CommandError> {
         set_draining(&self.draining, |draining| draining.paused = paused);
-        self.note(Observation::PauseChanged(paused));
+        self.note(Observation::PauseChanged { paused });
         Ok(())
     }
 
--- a/crates/core/src/actor/endpoint_updates.rs
+++ b/crates/core/src/actor/endpoint_updates.rs
@@ -26,7 +26,7 @@
             } else {
                 tracing::info!("discovery is heard");
             }
-            self.note(Observation::LeaseChanged(stale.then_some(silence)));
+            self.note(if stale { Observation::LeaseExpired { silence } } else { Observation::LeaseRenewed });
             // Two walks, on each of these turns alone.
             let entries = self.nodes.ids().into_iter().filter_map(|id| self.listed_entry(id)).collect();
             self.feed(Event::EndpointUpdate { kind: EndpointUpdateKind::Changes, entries });
--- a/crates/core/src/actor/handover.rs
+++ b/crates/core/src/actor/handover.rs
@@ -7,7 +7,7 @@
 use super::handle::set_draining;
 use super::{Actor, COMMANDS};
 use crate::observe::{Observation, TreatmentCause};
-use crate::{EndpointUpdate, ForwardedCommand, HandoverState};
+use crate::{EndpointUpdate, ForwardedCommand, HandoverState, SlowStartNode};
 use heathward_policy::EndpointUpdateKind;
 
 impl Actor {
@@ -38,7 +38,7 @@
         let members = self.nodes.listed().map(|(_, node)| node.member.clone()).collect();
         let cold = self.nodes.listed().filter_map(|(id, node)| {
             let since = self.scheduler.node_status(now, id)?.slow_start_since?;
-            Some((node.member.id.clone(), since))
+            Some(SlowStartNode { id: node.member.id.clone(), since })
         });
         HandoverState {
             endpoint_list: EndpointUpdate {
@@ -58,7 +58,7 @@
         self.lease.record_takeover(Instant::now());
         set_draining(&self.draining, |draining| draining.paused = paused);
         self.apply_update(list);
-        for (name, since) in cold {
+        for SlowStartNode { id: name, since } in cold {
             let Some(id) = self.nodes.find(&name) else { continue };
             let node = self.nodes.get_mut(id);
             node.into_iter().for_each(|node| node.restored = node.restored.max(Some(since)));
--- a/crates/core/src/actor/mod.rs
+++ b/crates/core/src/actor/mod.rs
@@ -10,8 +10,8 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
 
-use crate::body::Ids;
 use crate::client_disconnects::ClientDisconnects;
+use crate::client_request_ids::ClientRequestIds;
 use crate::endpoint_lease::{EndpointLease, LeaseExpiry};
 use crate::message::{CoreMessage, CoreStatus, NodeConnector, Urgent};
 use crate::observe::{Observation, Observer, TreatmentCause};
@@ -78,7 +78,7 @@
         draining: draining.clone(),
         partner: None,
         open: HashMap::new(),
-        calls: Ids::default(),
+        calls: ClientRequestIds::default(),
         limits: BTreeSet::new(),
         wakes: BTreeSet::new(),
         events: VecDeque::new(),
@@ -125,7 +125,7 @@
     partner: Option<mpsc::Sender<ForwardedCommand>>,
     open: HashMap<RequestId, Open>,
     /// The clients' ids of these.
-    calls: Ids,
+    calls: ClientRequestIds,
     /// When each request that owes an answer is ended at the latest.
     limits: BTreeSet<(Instant, RequestId)>,
     wakes: BTreeSet<(Micros, u64)>,
@@ -213,9 +213,8 @@
             }
             CoreMessage::ShutdownDeadline(last) => self.end_by(last),
             CoreMessage::ConfigurationReloaded(taken) => {
-                let (applied, rejected) = &mut self.counters.configuration_reloads;
-                *if taken { applied } else { rejected } += 1;
-                self.note(Observation::ConfigurationReloaded(taken));
+                self.counters.count_configuration_reload(taken);
+                self.note(Observation::ConfigurationReloaded { applied: taken });
             }
             CoreMessage::SetObserver(observer, reply) => {
                 self.observe(observer);
--- a/crates/core/src/actor/observation.rs
+++ b/crates/core/src/actor/observation.rs
@@ -24,7 +24,7 @@
         let now = self.clock.micros_at(Instant::now());
         let avoided = |id| self.scheduler.node_status(now, id).is_none_or(|node| node.is_avoided());
         let avoided = self.nodes.listed().filter(|(id, _)| avoided(*id)).count();
-        let active = self.limits.len() + self.calls.passing();
+        let active = self.limits.len() + self.calls.streaming_count();
         CoreMetrics {
             counters,
             active_requests: active,
--- a/crates/core/src/actor/requests.rs
+++ b/crates/core/src/actor/requests.rs
@@ -7,7 +7,7 @@
 use tokio_util::sync::CancellationToken;
 
 use super::Actor;
-use crate::body::OpenId;
+use crate::client_request_ids::ClientRequestIdGuard;
 use crate::observe::{self, Observation};
 use crate::{Answer, ClientRequest};
 use heathward_policy::{AttemptEnd, Event, Micros, Request, RequestId};
@@ -23,7 +23,7 @@
 pub(super) struct Open {
     pub(super) call: ClientRequest,
     /// Its client's id is taken.
-    pub(super) taken: Option<OpenId>,
+    pub(super) taken: Option<ClientRequestIdGuard>,
     /// When it came.
     pub(super) came: Instant,
     /// When half of its time is over.
@@ -50,7 +50,7 @@
         cancel: CancellationToken,
     ) {
         call.deadline = self.last.map_or(call.deadline, |last| last.min(call.deadline));
-        let Some(taken) = self.calls.open(&call.node_request.client_request_id) else {
+        let Some(taken) = self.calls.reserve(&call.node_request.client_request_id) else {
             self.counters.malformed_requests += 1;
             // A front that has left meanwhile needs no answer.
             let _ = reply.send(Answer::Duplicate);
--- a/crates/core/src/body.rs
+++ b/crates/core/src/body.rs
@@ -1,258 +1,140 @@
-//! What is too long to be held whole: it passes in pieces, no faster than it is taken.
+//! Bodies that are too long to be buffered: they are streamed in chunks, no faster than the receiver reads.
 
-use std::collections::HashSet;
-use std::sync::atomic::{AtomicUsize, Ordering};
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::fmt;
 use std::task::{ready, Context, Poll};
-use std::time::Duration;
 
 use bytes::Bytes;
-use tokio::sync::{mpsc, watch};
-use tokio::time::{sleep_until, Instant};
-use tokio_util::sync::CancellationToken;
+use tokio::sync::mpsc;
 
-/// Pieces between the two ends: one waits while the next is made.
-const WAITING: usize = 1;
+use super::client_request_ids::ClientRequestIdGuard;
 
-enum Piece {
-    More(Bytes),
+/// Chunks between sender and receiver: one waits while the next is produced.
+const BODY_CHANNEL_CAPACITY: usize = 1;
+
+/// What passes through a body channel.
+enum BodyChunk {
+    Data(Bytes),
+    /// The body is complete.
     End,
 }
 
-/// Where pieces go in. Dropped before the end, it breaks the stream off.
-pub struct BodySender(mpsc::Sender<Piece>);
+impl fmt::Debug for BodyChunk {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(if matches!(self, Self::End) { "End" } else { "Data" })
+    }
+}
+
+/// The sending half of a streamed body. If it is dropped before [`BodySender::finish`], the receiver gets
+/// [`BodyInterrupted`].
+pub struct BodySender(mpsc::Sender<BodyChunk>);
 
-/// Where they come out.
+/// The receiving half of a streamed body.
 #[derive(Debug)]
 pub struct BodyStream {
-    coming: mpsc::Receiver<Piece>,
-    over: bool,
-}
-
-impl std::fmt::Debug for Piece {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str(if matches!(self, Self::End) { "End" } else { "More" })
-    }
+    chunks: mpsc::Receiver<BodyChunk>,
+    ended: bool,
 }
 
-/// The stream ended before its last piece.
+/// The sender of a streamed body was dropped before the end of the body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BodyInterrupted;
 
-impl std::fmt::Display for BodyInterrupted {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+impl fmt::Display for BodyInterrupted {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("broken off")
     }
 }
 
 impl std::error::Error for BodyInterrupted {}
 
-/// A stream and its two ends.
+/// Creates a channel for one streamed body.
 pub fn body_channel() -> (BodySender, BodyStream) {
-    let (feed, coming) = mpsc::channel(WAITING);
-    (BodySender(feed), BodyStream { coming, over: false })
+    let (sender, chunks) = mpsc::channel(BODY_CHANNEL_CAPACITY);
+    (BodySender(sender), BodyStream { chunks, ended: false })
 }
 
 impl BodySender {
-    /// Passes a piece on once there is room. False if nobody takes it.
-    pub async fn send(&self, piece: Bytes) -> bool {
-        self.0.send(Piece::More(piece)).await.is_ok()
+    /// Sends a chunk once there is capacity. Returns false if the receiver was dropped.
+    pub async fn send(&self, data: Bytes) -> bool {
+        self.0.send(BodyChunk::Data(data)).await.is_ok()
     }
 
-    /// The last piece was passed on.
+    /// Marks the body as complete. Returns false if the receiver was dropped.
     pub async fn finish(self) -> bool {
-        self.0.send(Piece::End).await.is_ok()
+        self.0.send(BodyChunk::End).await.is_ok()
     }
 
-    /// Returns once nobody takes pieces any more.
+    /// Returns once the receiver was dropped.
     pub async fn closed(&self) {
         self.0.closed().await;
     }
 }
 
 impl BodyStream {
-    /// The next piece; `None` after the last.
+    /// The next chunk; `None` after the last.
+    ///
+    /// # Errors
+    ///
+    /// [`BodyInterrupted`], once, if the sender was dropped before the end of the body.
     pub fn poll_next(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyInterrupted>>> {
-        if self.over {
+        if self.ended {
             return Poll::Ready(None);
         }
-        let next = ready!(self.coming.poll_recv(cx));
-        self.over = !matches!(next, Some(Piece::More(_)));
-        Poll::Ready(match next {
-            Some(Piece::More(piece)) => Some(Ok(piece)),
-            Some(Piece::End) => None,
+        let chunk = ready!(self.chunks.poll_recv(cx));
+        self.ended = !matches!(chunk, Some(BodyChunk::Data(_)));
+        Poll::Ready(match chunk {
+            Some(BodyChunk::Data(data)) => Some(Ok(data)),
+            Some(BodyChunk::End) => None,
             None => Some(Err(BodyInterrupted)),
         })
     }
 
-    /// All of it, if it holds no more than that and comes to its end.
-    pub async fn collect(mut self, most: usize) -> Option<Bytes> {
-        let mut all = Vec::new();
-        while let Some(piece) = std::future::poll_fn(|cx| self.poll_next(cx)).await {
-            all.extend_from_slice(&piece.ok()?);
-            if all.len() > most {
+    /// Reads the complete body; `None` if it is interrupted or longer than `max_bytes`.
+    pub async fn collect(mut self, max_bytes: usize) -> Option<Bytes> {
+        let mut collected = Vec::new();
+        while let Some(chunk) = std::future::poll_fn(|cx| self.poll_next(cx)).await {
+            collected.extend_from_slice(&chunk.ok()?);
+            if collected.len() > max_bytes {
                 return None;
             }
         }
-        Some(all.into())
-    }
-}
-
-/// The rest of a request's body, which is still coming. Its deadline counts from its last byte.
-#[derive(Clone, Debug)]
-pub struct Upload(Arc<Coming>);
-
-#[derive(Debug)]
-struct Coming {
-    length: Option<u64>,
-    budget: Duration,
-    pieces: Mutex<Option<BodyStream>>,
-    ended: watch::Sender<Option<Instant>>,
-    /// Nobody waits any longer for the node to take more of it.
-    abandoned: CancellationToken,
-}
-
-impl Upload {
-    /// Pieces of a body of that length in all, where it is told, and how long its client waits after the
-    /// last.
-    pub fn new(length: Option<u64>, budget: Duration, pieces: BodyStream) -> Self {
-        let (pieces, ended) = (Mutex::new(Some(pieces)), watch::channel(None).0);
-        let abandoned = CancellationToken::new();
-        Self(Arc::new(Coming { length, budget, pieces, ended, abandoned }))
-    }
-
-    /// Length of the whole body, where it is told.
-    pub fn content_length(&self) -> Option<u64> {
-        self.0.length
-    }
-
-    /// How long its client waits after the last byte.
-    pub fn time_budget(&self) -> Duration {
-        self.0.budget
-    }
-
-    /// The last byte has come.
-    pub fn mark_complete(&self) {
-        self.0.ended.send_replace(Some(Instant::now()));
-    }
-
-    /// When it came.
-    pub fn completed_at(&self) -> Option<Instant> {
-        *self.0.ended.borrow()
-    }
-
-    /// The node has not taken a piece in time: its attempt ends.
-    pub fn abandon(&self) {
-        self.0.abandoned.cancel();
-    }
-
-    /// Returns once its client has waited as long as it will, or the node has let it wait for too long.
-    pub async fn expired(&self) {
-        let mut ended = self.0.ended.subscribe();
-        // This holds the sender itself.
-        let at = tokio::select! {
-            at = ended.wait_for(Option::is_some) => at.ok().and_then(|at| *at),
-            () = self.0.abandoned.cancelled() => return,
-        };
-        sleep_until(at.unwrap_or_else(Instant::now) + self.0.budget).await;
-    }
-
-    fn lock(&self) -> MutexGuard<'_, Option<BodyStream>> {
-        self.0.pieces.lock().unwrap_or_else(PoisonError::into_inner)
-    }
-
-    /// Nothing of it has gone anywhere.
-    pub fn is_unsent(&self) -> bool {
-        self.lock().is_some()
-    }
-
-    /// Takes the pieces, once: what has gone can't be sent again.
-    pub fn take_body(&self) -> Option<BodyStream> {
-        self.lock().take()
+        Some(collected.into())
     }
 }
 
-/// What a node answered.
+/// The body of a node's reply.
 #[derive(Debug)]
 pub enum NodeReply {
-    /// Held whole.
+    /// A complete body of at most [`MAX_BUFFERED_BODY_BYTES`](crate::MAX_BUFFERED_BODY_BYTES).
     Buffered(Bytes),
-    /// On its way.
+    /// A body that is still being received.
     Streamed(StreamedReply),
 }
 
-/// An answer that is on its way. Its request's id stays taken until this is dropped.
+/// A reply whose body is still being received. The id of its request stays in use until this is dropped.
 #[derive(Debug)]
 pub struct StreamedReply {
-    /// Its length, where the node told it.
+    /// Length of the body in bytes, if the node announced it.
     pub content_length: Option<u64>,
-    /// What it holds.
+    /// The body.
     pub body: BodyStream,
-    /// Set by the core.
-    pub(super) _open: Option<OpenId>,
+    /// Set by the core when it passes the reply on.
+    pub(super) _id_guard: Option<ClientRequestIdGuard>,
 }
 
 impl StreamedReply {
-    /// An answer of that length, whose pieces come there.
-    pub fn new(length: Option<u64>, pieces: BodyStream) -> Self {
-        Self { content_length: length, body: pieces, _open: None }
+    /// A reply with a body of `content_length` bytes, if that is known.
+    pub fn new(content_length: Option<u64>, body: BodyStream) -> Self {
+        Self { content_length, body, _id_guard: None }
     }
 }
 
 impl NodeReply {
-    /// The answer as a whole, where it holds no more than that.
-    pub async fn collect(self, most: usize) -> Option<Bytes> {
+    /// Reads the complete body. A streamed one gives `None` if it is interrupted or longer than `max_bytes`.
+    pub async fn collect(self, max_bytes: usize) -> Option<Bytes> {
         match self {
             Self::Buffered(body) => Some(body),
-            Self::Streamed(passing) => passing.body.collect(most).await,
+            Self::Streamed(reply) => reply.body.collect(max_bytes).await,
         }
     }
 }
-
-/// The clients' ids of open requests, and how many answers are on their way.
-#[derive(Clone, Debug, Default)]
-pub(super) struct Ids {
-    taken: Arc<Mutex<HashSet<Box<str>>>>,
-    passing: Arc<AtomicUsize>,
-}
-
-/// An id that is taken for as long as this is kept.
-#[derive(Debug)]
-pub(super) struct OpenId {
-    ids: Ids,
-    id: Box<str>,
-    passing: bool,
-}
-
-impl Ids {
-    fn lock(&self) -> MutexGuard<'_, HashSet<Box<str>>> {
-        self.taken.lock().unwrap_or_else(PoisonError::into_inner)
-    }
-
-    /// Takes an id, unless it is taken.
-    pub(super) fn open(&self, id: &str) -> Option<OpenId> {
-        let id: Box<str> = id.into();
-        self.lock().insert(id.clone()).then(|| OpenId { ids: self.clone(), id, passing: false })
-    }
-
-    /// Answers that are on their way.
-    pub(super) fn passing(&self) -> usize {
-        self.passing.load(Ordering::Relaxed)
-    }
-}
-
-impl OpenId {
-    /// Its answer is on its way from now on.
-    pub(super) fn pass(mut self) -> Self {
-        self.passing = true;
-        self.ids.passing.fetch_add(1, Ordering::Relaxed);
-        self
-    }
-}
-
-impl Drop for OpenId {
-    fn drop(&mut self) {
-        self.ids.lock().remove(&self.id);
-        self.ids.passing.fetch_sub(usize::from(self.passing), Ordering::Relaxed);
-    }
-}
--- a/crates/core/src/counters.rs
+++ b/crates/core/src/counters.rs
@@ -1,4 +1,4 @@
-//! What the core has taken, sent and answered.
+//! Counters and metrics of the core.
 
 use std::fmt;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -6,81 +6,109 @@
 
 use heathward_policy::{AttemptEnd, ClassId};
 
-/// Counts since the start.
+/// Counts since the start of the process.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Requests taken.
+    /// Requests received.
     pub requests_received: u64,
-    /// Requests that a front turned away as malformed.
+    /// Requests that a front end rejected as malformed, or whose id was in use.
     pub malformed_requests: u64,
-    /// Requests whose client left first.
+    /// Requests whose client disconnected before the answer.
     pub client_disconnects: u64,
-    /// Attempts sent.
+    /// Attempts handed to the connections of a node.
     pub attempts_sent: u64,
-    /// Ends of attempts, in the order of [`Counters::ATTEMPT_END_NAMES`].
+    /// Ends of attempts, in the order of [`Counters::ATTEMPT_ENDS`].
     pub attempt_ends: [u64; 8],
-    /// Attempts written whole to nodes.
+    /// Attempts whose last byte was written to a node.
     pub attempts_written: u64,
-    /// Answers, for each class by its place.
+    /// Final answers of each class, by [`ClassId`].
     pub answers_by_class: Vec<AnswerCounts>,
-    /// Requests ended by the core as nothing else had answered them in time.
+    /// Requests that the core answered itself because the policy had not answered them in time.
     pub overdue_requests: u64,
-    /// Lists and changes of nodes.
+    /// Updates of the endpoint list.
     pub endpoint_updates: u64,
-    /// Nodes that were compared with what the observer was told of them.
+    /// Checks whether the observer has to be notified of a change of a node's treatment.
     pub node_checks: u64,
-    /// Configurations read again: gone by, and not taken.
-    pub configuration_reloads: (u64, u64),
+    /// Reloads of the configuration.
+    pub configuration_reloads: ConfigurationReloads,
 }
 
-/// Final answers given.
+/// Reloads of the configuration, by their result.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct ConfigurationReloads {
+    /// The new configuration was applied.
+    pub applied: u64,
+    /// The new configuration was rejected, and the old one kept.
+    pub rejected: u64,
+}
+
+/// Final answers, by kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AnswerCounts {
-    /// Served.
+    /// Requests that a node served.
     pub served: u64,
-    /// Refused.
+    /// Requests that were shed.
     pub shed: u64,
-    /// Failed.
+    /// Requests that failed.
     pub failed: u64,
 }
 
-/// Counts attempts as their last byte is written; all its clones are one.
+/// Counts attempts when their last byte is written. All clones share one count.
 #[derive(Clone, Debug, Default)]
 pub struct WrittenAttempts(Arc<AtomicU64>);
 
 impl WrittenAttempts {
-    /// One more.
+    /// Counts one attempt.
     pub fn increment(&self) {
         self.0.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// How many so far.
+    /// The number of attempts counted so far.
     pub fn total(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
     }
 }
 
+/// Counters and the current state, for the metrics of operators.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct CoreMetrics {
+    /// Counts since the start of the process.
+    pub counters: Counters,
+    /// Requests that have no answer yet, or whose reply is still being streamed.
+    pub active_requests: usize,
+    /// Nodes in the endpoint list.
+    pub listed_nodes: usize,
+    /// Listed nodes that get no new requests, or only an occasional one as a health check.
+    pub avoided_nodes: usize,
+}
+
 impl Counters {
-    /// Names of the ends of attempts.
-    pub const ATTEMPT_END_NAMES: [(AttemptEnd, &'static str); 8] = [
-        (AttemptEnd::Served, "ok"),
-        (AttemptEnd::Error, "error"),
-        (AttemptEnd::Rejected, "full"),
-        (AttemptEnd::TimedOut, "timed_out"),
-        (AttemptEnd::NotConnected, "not_connected"),
-        (AttemptEnd::Reset, "reset"),
-        (AttemptEnd::Cancelled, "cancelled"),
-        (AttemptEnd::NotSent, "moot"),
+    /// All ends of attempts, in the order of [`Counters::attempt_ends`].
+    pub const ATTEMPT_ENDS: [AttemptEnd; 8] = [
+        AttemptEnd::Served,
+        AttemptEnd::Error,
+        AttemptEnd::Rejected,
+        AttemptEnd::TimedOut,
+        AttemptEnd::NotConnected,
+        AttemptEnd::Reset,
+        AttemptEnd::Cancelled,
+        AttemptEnd::NotSent,
     ];
 
-    /// The answers of a class.
+    /// Number of attempts that ended in that way.
+    pub fn attempts_ended(&self, end: AttemptEnd) -> u64 {
+        let index = Self::ATTEMPT_ENDS.iter().position(|known| *known == end);
+        index.map_or(0, |index| self.attempt_ends[index])
+    }
+
+    /// The answers of a class, which start at zero.
     pub fn answers_of_class(&mut self, class: ClassId) -> &mut AnswerCounts {
-        let at = usize::from(class.0);
-        self.answers_by_class.resize(self.answers_by_class.len().max(at + 1), AnswerCounts::default());
-        &mut self.answers_by_class[at]
+        let index = usize::from(class.0);
+        self.answers_by_class.resize(self.answers_by_class.len().max(index + 1), AnswerCounts::default());
+        &mut self.answers_by_class[index]
     }
 
-    /// The answers of all classes.
+    /// The answers of all classes together.
     pub fn total_answers(&self) -> AnswerCounts {
         self.answers_by_class.iter().fold(AnswerCounts::default(), |sum, class| AnswerCounts {
             served: sum.served + class.served,
@@ -91,30 +119,49 @@
 
     /// Counts the end of an attempt.
     pub fn count_attempt_end(&mut self, end: AttemptEnd) {
-        if let Some(at) = Self::ATTEMPT_END_NAMES.iter().position(|(known, _)| *known == end) {
-            self.attempt_ends[at] += 1;
+        if let Some(index) = Self::ATTEMPT_ENDS.iter().position(|known| *known == end) {
+            self.attempt_ends[index] += 1;
         }
     }
+
+    /// Counts a reload of the configuration.
+    pub fn count_configuration_reload(&mut self, applied: bool) {
+        let ConfigurationReloads { applied: applied_reloads, rejected } = &mut self.configuration_reloads;
+        *if applied { applied_reloads } else { rejected } += 1;
+    }
 }
 
+/// One line for the log, in the names of the metrics.
 impl fmt::Display for Counters {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Self {
-            requests_received: taken,
-            malformed_requests: malformed,
-            client_disconnects: gone,
-            attempts_sent: sent,
-            attempts_written: tries,
-            ..
-        } = self;
-        write!(f, "taken={taken} malformed={malformed} gone={gone} sent={sent} tries={tries}")?;
-        for ((_, name), count) in Self::ATTEMPT_END_NAMES.iter().zip(self.attempt_ends) {
-            write!(f, " {name}={count}")?;
+        write!(
+            f,
+            "taken={} malformed={} gone={} sent={} tries={}",
+            self.requests_received,
+            self.malformed_requests,
+            self.client_disconnects,
+            self.attempts_sent,
+            self.attempts_written
+        )?;
+        for (end, count) in Self::ATTEMPT_ENDS.iter().zip(self.attempt_ends) {
+            write!(f, " {}={count}", log_name(*end))?;
         }
-        let (
-            AnswerCounts { served, shed: refused, failed },
-            Self { overdue_requests: overdue, endpoint_updates: lists, .. },
-        ) = (self.total_answers(), self);
-        write!(f, " served={served} refused={refused} failed={failed} overdue={overdue} lists={lists}")
+        let AnswerCounts { served, shed, failed } = self.total_answers();
+        write!(f, " served={served} refused={shed} failed={failed}")?;
+        write!(f, " overdue={} lists={}", self.overdue_requests, self.endpoint_updates)
+    }
+}
+
+/// The name of an end in the line for the log.
+fn log_name(end: AttemptEnd) -> &'static str {
+    match end {
+        AttemptEnd::Served => "ok",
+        AttemptEnd::Error => "error",
+        AttemptEnd::Rejected => "full",
+        AttemptEnd::TimedOut => "timed_out",
+        AttemptEnd::NotConnected => "not_connected",
+        AttemptEnd::Reset => "reset",
+        AttemptEnd::Cancelled => "cancelled",
+        AttemptEnd::NotSent => "moot",
     }
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,30 +1,46 @@
-//! The module at work: requests, attempts and outcomes, no wire.
+//! Drives the decision module for real requests. This crate knows requests, attempts and answers, but no wire
+//! format.
 //!
-//! One actor owns the [`Scheduler`](heathward_policy::Scheduler), the clock, one timer, the open requests and
-//! the counters. A front hands it a [`ClientRequest`] through [`CoreHandle`], a tower service, and gets one
-//! [`Answer`]; a node's actor takes [`Attempt`]s from it and gives back [`EndedAttempt`]s; discovery brings
-//! [`EndpointUpdate`].
+//! One actor task owns the [`Scheduler`](heathward_policy::Scheduler), the clock, the timers of the policy, the
+//! open requests and the counters:
+//!
+//! * A front end submits a [`ClientRequest`] through [`CoreHandle`], a tower service, and gets exactly one
+//!   [`Answer`].
+//! * The task that serves a node's connections receives [`Attempt`]s and reports the end of each with
+//!   [`report_attempt_end`].
+//! * Discovery sends each [`EndpointUpdate`], and when it was last in contact, through
+//!   [`CoreHandle::discovery_sender`].
+//!
+//! Start reading at [`start_core`].
 
 mod actor;
+mod attempt;
 mod body;
 mod client_disconnects;
+mod client_request_ids;
 mod clock;
 mod counters;
+mod endpoint;
 pub mod endpoint_lease;
+mod handover_state;
 mod message;
 pub mod observe;
+mod operator;
 mod request;
 mod stall_detection;
+mod upload;
 
 pub use actor::{report_attempt_end, start_core, CoreHandle, CoreStopped};
-pub use body::{body_channel, BodyInterrupted, BodySender, BodyStream, NodeReply, StreamedReply, Upload};
+pub use attempt::{Attempt, EndedAttempt, SendGate};
+pub use body::{body_channel, BodyInterrupted, BodySender, BodyStream, NodeReply, StreamedReply};
 pub use clock::Clock;
-pub use counters::{AnswerCounts, Counters, WrittenAttempts};
+pub use counters::{AnswerCounts, ConfigurationReloads, CoreMetrics, Counters, WrittenAttempts};
+pub use endpoint::{Endpoint, EndpointUpdate};
+pub use handover_state::{Handover, HandoverState, SlowStartNode};
 pub use message::{CoreMessage, CoreStatus, NodeConnector};
-pub use request::{
-    Answer, Attempt, ClientRequest, CommandError, CoreMetrics, Draining, EndedAttempt, Endpoint,
-    EndpointUpdate, ForwardedCommand, HandoverState, NodeRequest, OperatorCommand, SendGate,
-};
+pub use operator::{CommandError, Draining, ForwardedCommand, OperatorCommand};
+pub use request::{Answer, ClientRequest, NodeRequest};
+pub use upload::Upload;
 
-/// Bytes of a body that is held whole at most; what is longer passes in pieces.
+/// The longest body, in bytes, that is buffered completely; a longer one is streamed.
 pub const MAX_BUFFERED_BODY_BYTES: usize = 64 * 1024;
--- a/crates/core/src/observe.rs
+++ b/crates/core/src/observe.rs
@@ -1,4 +1,4 @@
-//! What the core tells whoever keeps records of it.
+//! What the core reports to an observer, which keeps a record of events.
 
 use std::time::Duration;
 
@@ -8,39 +8,39 @@
 };
 use tokio::time::Instant;
 
-use crate::request::Endpoint;
+use crate::endpoint::Endpoint;
 
-/// Keeps records. Called on the core's thread, so it must not wait.
+/// Keeps a record of events. It is called on the core's task, so it must not block.
 pub trait Observer: Send {
-    /// Something has happened.
-    fn observe(&mut self, at: Instant, note: Observation<'_>);
+    /// Something happened at `at`.
+    fn observe(&mut self, at: Instant, observation: Observation<'_>);
 
-    /// These settings hold from now on; told at first, and when others do.
+    /// The settings that apply from now on; called first, and again whenever they change.
     fn settings_changed(&mut self, deployment: &Deployment);
 }
 
-/// What has happened.
+/// Something that happened.
 #[derive(Clone, Debug)]
 pub enum Observation<'a> {
-    /// The list said this.
+    /// An endpoint update arrived.
     EndpointsUpdated {
-        /// Its version.
+        /// Revision of the list.
         revision: u64,
-        /// What it holds.
+        /// What `endpoints` are.
         kind: EndpointUpdateKind,
-        /// The nodes it names.
+        /// The nodes that the update names.
         endpoints: &'a [Endpoint],
     },
-    /// A node is treated so from now on.
+    /// A node is treated differently from now on.
     NodeTreatmentChanged {
-        /// Its id.
+        /// Id of the node.
         node: &'a str,
-        /// How.
+        /// The new treatment.
         treatment: NodeTreatment,
-        /// Why.
+        /// What caused the change.
         cause: TreatmentCause,
     },
-    /// A request was taken.
+    /// A request was received.
     RequestReceived {
         /// The request.
         request: RequestId,
@@ -50,129 +50,142 @@
         plan: PlanId,
         /// Its volume.
         volume: VolumeId,
-        /// Its size.
+        /// Its size, in the units that quotas and node capacities count.
         units: u32,
     },
-    /// An attempt was given to a node's connections.
+    /// An attempt was handed to the connections of a node.
     AttemptSent {
         /// The request.
         request: RequestId,
-        /// The node's id.
+        /// Id of the node.
         node: &'a str,
-        /// Units that count against the rule on cold nodes.
+        /// Units that count against the limit of a node in slow start; 0 for other nodes.
         slow_start_units: u32,
     },
-    /// An attempt has ended; also one that was never sent.
+    /// An attempt has ended, or could not be sent at all.
     AttemptEnded {
         /// The request.
         request: RequestId,
-        /// The node's id.
+        /// Id of the node.
         node: &'a str,
-        /// How.
+        /// How it ended.
         end: AttemptEnd,
     },
-    /// A request has got its one answer, or its client has left.
+    /// A request got its final answer, or its client disconnected.
     RequestEnded {
         /// The request.
         request: RequestId,
         /// Its class.
         class: ClassId,
-        /// How.
+        /// How it ended.
         outcome: RequestOutcome,
-        /// How long it took, from its arrival at the core.
+        /// Time since the core received it, in microseconds.
         latency: Micros,
     },
-    /// Settings were read again: gone by, or not.
-    ConfigurationReloaded(bool),
-    /// The end was asked for.
+    /// The configuration was read again.
+    ConfigurationReloaded {
+        /// It was applied; otherwise it was rejected.
+        applied: bool,
+    },
+    /// The shutdown has begun.
     ShuttingDown,
-    /// A process that takes over was given the state.
+    /// The state was handed over to a new process.
     HandedOver,
-    /// This process goes on from another's state.
+    /// This process continues from the state of another process.
     TookOver,
-    /// Nothing is sent by the list from now on, as discovery was silent for so long; or `None`, it is again.
-    LeaseChanged(Option<Duration>),
-    /// Staff send clients away, or take them again.
-    PauseChanged(bool),
-    /// Time has passed.
+    /// The lease on the endpoint list has expired: nothing is sent to nodes from now on.
+    LeaseExpired {
+        /// Time since the last contact with discovery.
+        silence: Duration,
+    },
+    /// The lease on the endpoint list is valid again.
+    LeaseRenewed,
+    /// An operator has paused the scheduler, or resumed it.
+    PauseChanged {
+        /// It is paused.
+        paused: bool,
+    },
+    /// Time has passed; reported at regular intervals.
     TimePassed,
 }
 
-/// How a node is treated; of several that apply, the last here counts.
+/// How a node is treated. If several apply, the last one in this order does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum NodeTreatment {
-    /// In service and warm.
+    /// In service, after slow start.
     InService,
-    /// Cold or maybe cold since then.
+    /// In slow start, or presumed to be, since that time in microseconds of Unix time.
     SlowStart(Micros),
-    /// Down or silent.
+    /// It does not respond.
     Unresponsive,
-    /// Taken out by hand.
+    /// Suspended by an operator.
     Suspended,
-    /// Drains by the list.
+    /// Draining according to the endpoint list.
     Draining,
-    /// No longer listed.
+    /// No longer in the endpoint list.
     Removed,
 }
 
 impl NodeTreatment {
-    /// How a node is treated that is listed so and stands so with the module; it is warm `cold_time` after
-    /// it started.
+    /// The treatment of a node with state `listed` in the endpoint list and `status` in the policy, at `now` in
+    /// microseconds of Unix time. Slow start takes `slow_start_duration` microseconds.
     pub fn from_state(
         listed: NodeState,
-        by_hand: bool,
-        standing: Option<NodeStatus>,
+        suspended: bool,
+        status: Option<NodeStatus>,
         now: Micros,
-        cold_time: impl FnOnce() -> Micros,
+        slow_start_duration: impl FnOnce() -> Micros,
     ) -> Self {
-        let cold = |standing: NodeStatus| {
-            let since = standing.slow_start_since?;
-            (now.saturating_sub(since) < cold_time()).then_some(since)
+        let in_slow_start_since = |status: NodeStatus| {
+            let since = status.slow_start_since?;
+            (now.saturating_sub(since) < slow_start_duration()).then_some(since)
         };
-        match (listed, standing) {
+        match (listed, status) {
             (NodeState::Removed, _) | (_, None) => Self::Removed,
             (NodeState::Draining, _) => Self::Draining,
-            (NodeState::Ready, _) if by_hand => Self::Suspended,
-            (NodeState::Ready, Some(standing)) if standing.unresponsive_since.is_some() => Self::Unresponsive,
-            (NodeState::Ready, Some(standing)) => cold(standing).map_or(Self::InService, Self::SlowStart),
+            (NodeState::Ready, _) if suspended => Self::Suspended,
+            (NodeState::Ready, Some(status)) if status.unresponsive_since.is_some() => Self::Unresponsive,
+            (NodeState::Ready, Some(status)) => {
+                in_slow_start_since(status).map_or(Self::InService, Self::SlowStart)
+            }
         }
     }
 }
 
-/// Why a node is treated otherwise.
+/// What caused a change of a node's treatment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TreatmentCause {
-    /// The list, in this version.
+    /// The endpoint list with this revision.
     EndpointUpdate(u64),
-    /// A command of staff.
+    /// A command of an operator.
     Command,
-    /// The state of the process before.
+    /// The state of the previous process.
     Handover,
-    /// An attempt ended so.
+    /// An attempt that ended like this.
     AttemptEnded(AttemptEnd),
-    /// Time passed.
+    /// Only the passage of time.
     TimePassed,
 }
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// Served.
+    /// A node served it.
     Served,
-    /// Refused, after attempts of which the last ended so.
+    /// It was shed.
     Shed {
-        /// None was sent.
+        /// How its last attempt ended; `None` if none was sent.
         last_attempt_end: Option<AttemptEnd>,
-        /// It was not held at all.
+        /// It was shed as soon as it was received, without having been queued.
         on_arrival: bool,
     },
-    /// Failed.
+    /// It failed.
     Failed {
-        /// It may have run.
+        /// An attempt may have been executed.
         possibly_executed: bool,
-        /// Its time had passed.
+        /// Its deadline had passed.
         deadline_passed: bool,
     },
-    /// Its client left.
+    /// Its client disconnected.
     ClientDisconnected,
 }
--- a/crates/event-recorder/src/lib.rs
+++ b/crates/event-recorder/src/lib.rs
@@ -275,18 +275,18 @@
                 self.second.answered(class.0, outcome, latency);
                 self.request_ended(monotonic, request, outcome);
             }
-            Observation::ConfigurationReloaded(accepted) => {
-                self.lifecycle(monotonic, Lifecycle::Reloaded(accepted));
+            Observation::ConfigurationReloaded { applied } => {
+                self.lifecycle(monotonic, Lifecycle::Reloaded(applied));
             }
             Observation::ShuttingDown => self.lifecycle(monotonic, Lifecycle::ShuttingDown),
             Observation::HandedOver => self.lifecycle(monotonic, Lifecycle::HandedOver),
             Observation::TookOver => self.lifecycle(monotonic, Lifecycle::TookOver),
-            Observation::PauseChanged(true) => self.lifecycle(monotonic, Lifecycle::Paused),
-            Observation::PauseChanged(false) => self.lifecycle(monotonic, Lifecycle::Resumed),
-            Observation::LeaseChanged(Some(silence)) => {
+            Observation::PauseChanged { paused: true } => self.lifecycle(monotonic, Lifecycle::Paused),
+            Observation::PauseChanged { paused: false } => self.lifecycle(monotonic, Lifecycle::Resumed),
+            Observation::LeaseExpired { silence } => {
                 self.lifecycle(monotonic, Lifecycle::LeaseExpired(silence.as_micros() as Micros));
             }
-            Observation::LeaseChanged(None) => self.lifecycle(monotonic, Lifecycle::LeaseRenewed),
+            Observation::LeaseRenewed => self.lifecycle(monotonic, Lifecycle::LeaseRenewed),
         }
     }
 
--- a/crates/scheduler/tests/net/handover.rs
+++ b/crates/scheduler/tests/net/handover.rs
@@ -5,7 +5,7 @@
 use std::process::Command;
 use std::sync::atomic::{AtomicU32, Ordering};
 
-use heathward_core::{Endpoint, EndpointUpdate, HandoverState};
+use heathward_core::{Endpoint, EndpointUpdate, HandoverState, SlowStartNode};
 use heathward_policy::{EndpointUpdateKind, NodeState, ShardId};
 use heathward_transport::handover::{decode, encode};
 use rstest::rstest;
@@ -31,7 +31,7 @@
             }],
         },
         suspended: vec!["s-2".into()],
-        slow_start: vec![("s-1".into(), 1_700_000_000_123_456)],
+        slow_start: vec![SlowStartNode { id: "s-1".into(), since: 1_700_000_000_123_456 }],
         paused: true,
     };
     assert_eq!(decode(encode(state.clone()).as_bytes()), Ok(state));
--- a/crates/scheduler/tests/net/http.rs
+++ b/crates/scheduler/tests/net/http.rs
@@ -17,8 +17,7 @@
 use heathward_fakes::*;
 
 fn count(counters: &Counters, end: AttemptEnd) -> u64 {
-    let at = Counters::ATTEMPT_END_NAMES.iter().position(|(known, _)| *known == end).unwrap();
-    counters.attempt_ends[at]
+    counters.attempts_ended(end)
 }
 
 #[tokio::test]
--- a/crates/scheduler/tests/net/nvme.rs
+++ b/crates/scheduler/tests/net/nvme.rs
@@ -147,8 +147,7 @@
     assert_eq!(Status { delay: 0, ..status }, ends);
     assert_eq!(status.delay > 0, ends == Status::INTERRUPTED, "a hint when to come again");
     let counters = mixed.rig.counters().await;
-    let at = heathward_core::Counters::ATTEMPT_END_NAMES.iter().position(|(known, _)| *known == end).unwrap();
-    assert!(counters.attempt_ends[at] == tries && counters.attempts_sent == tries, "{counters}");
+    assert!(counters.attempts_ended(end) == tries && counters.attempts_sent == tries, "{counters}");
     let seen = mixed.log.all();
     assert!(seen.iter().all(|s| s.node == u32::from(first >= 256)), "only at its shard: {seen:?}");
     let span = seen.last().unwrap().at - seen[0].at;
@@ -174,9 +173,8 @@
     let status = host.write(1, 256, vec![7; size]).await;
     assert_eq!(Status { delay: 0, ..status }, ends);
     let counters = mixed.rig.counters().await;
-    let at = heathward_core::Counters::ATTEMPT_END_NAMES.iter().position(|(known, _)| *known == end).unwrap();
     // A reset is repeated, as an error is.
-    assert_eq!(counters.attempt_ends[at], if end == AttemptEnd::Reset { 3 } else { 1 }, "{counters}");
+    assert_eq!(counters.attempts_ended(end), if end == AttemptEnd::Reset { 3 } else { 1 }, "{counters}");
 }
 
 /// A write that is out at its deadline comes as Command Abort Requested, and not before.
--- a/crates/transport/src/admin/codec.rs
+++ b/crates/transport/src/admin/codec.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use heathward_core::{CommandError, CoreMetrics, OperatorCommand};
+use heathward_core::{CommandError, ConfigurationReloads, CoreMetrics, OperatorCommand};
 
 /// The longest id of a storage node.
 const LONGEST_ID: usize = 128;
@@ -103,7 +103,7 @@
                 }
                 writeln!(f, "app.tries={}\napp.active={active}", counters.attempts_written)?;
                 writeln!(f, "app.pool_size={listed}\napp.pool_ejected={avoided}")?;
-                let (applied, rejected) = counters.configuration_reloads;
+                let ConfigurationReloads { applied, rejected } = counters.configuration_reloads;
                 writeln!(f, "app.config_applied={applied}\napp.config_rejected={rejected}\nEND")
             }
         }
--- a/crates/transport/src/handover/codec.rs
+++ b/crates/transport/src/handover/codec.rs
@@ -3,7 +3,7 @@
 use miniserde::{json, Deserialize, Serialize};
 
 use crate::discovery::List;
-use heathward_core::HandoverState;
+use heathward_core::{HandoverState, SlowStartNode};
 
 #[derive(Deserialize, Serialize)]
 struct Line {
@@ -31,7 +31,10 @@
     json::to_string(&Line {
         list: list.into(),
         suspended: suspended.into_iter().map(Into::into).collect(),
-        cold: cold.into_iter().map(|(id, since_us)| Cold { id: id.into(), since_us }).collect(),
+        cold: cold
+            .into_iter()
+            .map(|SlowStartNode { id, since }| Cold { id: id.into(), since_us: since })
+            .collect(),
         paused,
     })
 }
@@ -43,6 +46,9 @@
         json::from_str(text).map_err(|_| "not a state".to_owned())?;
     let list = list.update()?;
     let suspended = suspended.into_iter().map(Into::into).collect();
-    let cold = cold.into_iter().map(|Cold { id, since_us }| (id.into(), since_us)).collect();
+    let cold = cold
+        .into_iter()
+        .map(|Cold { id, since_us }| SlowStartNode { id: id.into(), since: since_us })
+        .collect();
     Ok(HandoverState { endpoint_list: list, suspended, slow_start: cold, paused })
 }
--- a/crates/transport/tests/stored/counters.rs
+++ b/crates/transport/tests/stored/counters.rs
@@ -1,6 +1,6 @@
 //! The counters line, which is logged at the end and when it is asked for.
 
-use heathward_core::{AnswerCounts, Counters};
+use heathward_core::{AnswerCounts, ConfigurationReloads, Counters};
 
 #[test]
 fn the_counters_line_is_written_as_stored() {
@@ -18,7 +18,7 @@
         overdue_requests: 17,
         endpoint_updates: 18,
         node_checks: 19,
-        configuration_reloads: (20, 21),
+        configuration_reloads: ConfigurationReloads { applied: 20, rejected: 21 },
     };
     assert_eq!(format!("{counters}\n"), include_str!("fixtures/counters.txt"));
 }
--- a/crates/transport/tests/stored/handover.rs
+++ b/crates/transport/tests/stored/handover.rs
@@ -1,6 +1,6 @@
 //! The state that one process hands to the next, as one line.
 
-use heathward_core::{Endpoint, EndpointUpdate, HandoverState};
+use heathward_core::{Endpoint, EndpointUpdate, HandoverState, SlowStartNode};
 use heathward_policy::{EndpointUpdateKind, NodeState, ShardId};
 use heathward_transport::handover::{decode, encode};
 
@@ -52,7 +52,10 @@
             ],
         },
         suspended: vec!["s-ready".into(), "s-unlisted".into()],
-        slow_start: vec![("s-ready".into(), 1_700_000_000_123_456), ("s-draining".into(), u64::MAX)],
+        slow_start: vec![
+            SlowStartNode { id: "s-ready".into(), since: 1_700_000_000_123_456 },
+            SlowStartNode { id: "s-draining".into(), since: u64::MAX },
+        ],
         paused: true,
     }
 }
--- a/crates/transport/tests/stored/ops.rs
+++ b/crates/transport/tests/stored/ops.rs
@@ -1,6 +1,8 @@
 //! The second address: each command line, each reply, and what its caller prints of a call that failed.
 
-use heathward_core::{AnswerCounts, CommandError, CoreMetrics, Counters, OperatorCommand};
+use heathward_core::{
+    AnswerCounts, CommandError, ConfigurationReloads, CoreMetrics, Counters, OperatorCommand,
+};
 use heathward_transport::admin::{CallError, Reply, Request};
 
 const REQUESTS: &str = include_str!("fixtures/ops-requests.txt");
@@ -70,7 +72,7 @@
             AnswerCounts { served: 21, shed: 22, failed: 23 },
             AnswerCounts { served: 31, shed: 32, failed: 33 },
         ],
-        configuration_reloads: (41, 42),
+        configuration_reloads: ConfigurationReloads { applied: 41, rejected: 42 },
         ..Counters::default()
     };
     let metrics = CoreMetrics { counters, active_requests: 51, listed_nodes: 52, avoided_nodes: 53 };
