--- a/crates/core/src/actor/attempts.rs
+++ b/crates/core/src/actor/attempts.rs
@@ -1,157 +1,157 @@
 //! Attempts: the one place that sends them, and what follows from how each ended.
 
-use std::time::Duration;
-
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
+use super::nodes::Node;
+use super::open_requests::OpenRequest;
 use super::Actor;
 use crate::message::CoreMessage;
 use crate::observe::{NodeTreatment, Observation};
-use crate::{Answer, Attempt, EndedAttempt};
-use crate::{NodeReply, StreamedReply, Upload};
-use heathward_policy::{AttemptEnd, AttemptOutcome, Event, Idempotency, Micros, NodeId, RequestId};
+use crate::{Answer, Attempt, EndedAttempt, NodeReply, StreamedReply, WrittenAttempts};
+use heathward_policy::{AttemptEnd, AttemptOutcome, Event, Micros, NodeId, RequestId};
+
+/// Which attempt it is.
+#[derive(Clone, Copy)]
+struct AttemptKey {
+    request: RequestId,
+    number: u32,
+    node: NodeId,
+}
 
 impl Actor {
-    /// The one place where attempts go out. Guards against a second one beside another, one after the final
-    /// answer or the deadline, and a keyed repeat past its window; the module is told that it never went.
-    pub(super) fn send(&mut self, request: RequestId, node: NodeId, give_up: Option<Micros>) {
+    /// The one place where attempts are sent. It prevents two attempts of a request at the same time, and
+    /// attempts after the final answer, after the deadline, or after the nodes' memory of an idempotency key.
+    /// If nothing was sent, the policy is notified of that.
+    pub(super) fn send_attempt(&mut self, request: RequestId, node: NodeId, timeout: Option<Micros>) {
         let now = Instant::now();
-        let Some(open) = self.open.get_mut(&request) else { return };
-        let number = open.sends;
-        open.sends += 1;
-        let deployment = self.deployment.borrow();
-        let class = &deployment.settings.classes[open.call.class.0 as usize];
-        let mut until = give_up.map_or(open.call.deadline, |span| now + Duration::from_micros(span));
-        until = until.min(open.call.deadline);
-        if let (Some(ran), Idempotency::WithKey) = (open.ran, class.idempotency) {
-            until = until.min(ran + Duration::from_micros(class.deduplication_window));
-        }
-        // What passes moves at its client's pace, and can't be sent again.
-        let passes = open.call.node_request.upload.as_ref();
-        until = if passes.is_some() { open.call.deadline } else { until };
-        let sound = open.reply.is_some() && open.out.is_none() && now < until;
-        let sound = sound && passes.is_none_or(Upload::is_unsent);
-        let reach = if now < open.half { until.min(open.half) } else { until };
-        let work = open.call.node_request.clone();
-        let sent = self.nodes.get(node).filter(|node| sound && !node.gate.is_closed()).is_some_and(|to| {
-            let (gate, tries, cancel) = (to.gate.clone(), self.tries.clone(), open.cancel.clone());
-            let attempt = Attempt {
-                request,
-                number,
-                node,
-                deadline: until,
-                connect_deadline: reach,
-                node_request: work,
-                send_gate: gate,
-                cancel,
-                written_attempts: tries,
-            };
-            to.mailbox().is_some_and(|mailbox| mailbox.try_send(attempt).is_ok())
-        });
-        let to = self.nodes.get(node);
+        let Some(open) = self.requests.get_mut(request) else { return };
+        let key = AttemptKey { request, number: open.next_attempt_number(), node };
+        let deployment = self.published.deployment();
+        let class = &deployment.settings.classes[usize::from(open.request.class.0)];
+        let deadline = open.attempt_deadline(now, timeout, class);
+        let target = self.nodes.get(node);
+        let sent = open.may_send(now, deadline)
+            && target
+                .is_some_and(|target| try_send(key, open, target, now, deadline, &self.written_attempts));
         if sent {
-            open.out = Some((number, now));
+            open.attempt_sent(key.number, now);
             self.counters.attempts_sent += 1;
-            if let (Some(observer), Some(to)) = (&mut self.observer, to) {
-                let cold = matches!(to.treated, Some(NodeTreatment::SlowStart(_)));
-                let cold_units = if cold { open.call.node_request.units } else { 0 };
-                observer.observe(
-                    now,
-                    Observation::AttemptSent { request, node: &to.member.id, slow_start_units: cold_units },
-                );
-            }
-            return;
+        } else {
+            self.counters.count_attempt_end(AttemptEnd::NotSent);
+        }
+        if let Some(target) = target {
+            let units = open.request.node_request.units;
+            self.observer.observe_at(now, sent_observation(request, target, units, sent));
         }
-        self.counters.count_attempt_end(AttemptEnd::NotSent);
-        if let (Some(observer), Some(to)) = (&mut self.observer, to) {
-            observer.observe(
-                now,
-                Observation::AttemptEnded { request, node: &to.member.id, end: AttemptEnd::NotSent },
-            );
+        if !sent {
+            let outcome = attempt_outcome(key, AttemptEnd::NotSent, open.is_answered(), 0);
+            self.policy.enqueue(Event::AttemptEnded(outcome));
         }
-        let (end, closed) = (AttemptEnd::NotSent, open.reply.is_none());
-        let took = 0;
-        let (used, elsewhere, busy) = (None, None, None);
-        let outcome = AttemptOutcome {
-            request,
-            attempt: number,
-            node,
-            end,
-            request_closed: closed,
-            latency: took,
-            volume_usage_percent: used,
-            served_elsewhere: elsewhere,
-            utilization: busy,
-        };
-        self.events.push_back(Event::AttemptEnded(outcome));
     }
 
-    pub(super) fn ended(&mut self, ended: EndedAttempt) {
-        let EndedAttempt { request, number, node, end, reply: body } = ended;
-        let Some(open) = self.open.get_mut(&request) else { return };
-        let Some((_, sent)) = open.out.take_if(|(out, _)| *out == number) else { return };
+    /// Answers the request if its attempt was served, and notifies the policy of the end of the attempt.
+    pub(super) fn attempt_ended(&mut self, attempt: EndedAttempt) {
+        let EndedAttempt { request, number, node, end, reply } = attempt;
+        let Some(open) = self.requests.get_mut(request) else { return };
+        let Some(started_at) = open.attempt_ended(number, end) else { return };
         let now = Instant::now();
-        // A node begins once the last byte has come.
-        let from = open
-            .call
-            .node_request
-            .upload
-            .as_ref()
-            .and_then(Upload::completed_at)
-            .map_or(sent, |at| at.max(sent));
         self.counters.count_attempt_end(end);
-        open.last = Some(end);
-        if let (Some(observer), Some(to)) = (&mut self.observer, self.nodes.get(node)) {
-            observer.observe(now, Observation::AttemptEnded { request, node: &to.member.id, end });
-        }
-        if matches!(end, AttemptEnd::Error | AttemptEnd::TimedOut | AttemptEnd::Reset | AttemptEnd::Cancelled)
-        {
-            open.ran = open.ran.or(Some(sent));
+        if let Some(node) = self.nodes.get(node) {
+            let observation = Observation::AttemptEnded { request, node: &node.endpoint.id, end };
+            self.observer.observe_at(now, observation);
         }
         if end == AttemptEnd::Served {
-            let taken = match body {
-                NodeReply::Streamed(_) => open.taken.take(),
-                NodeReply::Buffered(_) => None,
-            };
-            let body = match (body, taken) {
-                (NodeReply::Streamed(passing), Some(taken)) => {
-                    NodeReply::Streamed(StreamedReply { _id_guard: Some(taken.start_streaming()), ..passing })
-                }
-                (body, _) => body,
-            };
-            self.settle(request, Some(Answer::Served(body)));
+            let reply = keep_id_while_streaming(reply, open);
+            self.answer_request(request, Some(Answer::Served(reply)));
+        }
+        let request_closed = self.requests.is_answered(request);
+        if request_closed {
+            self.requests.remove(request);
         }
-        let closed = self.open.get(&request).is_none_or(|open| open.reply.is_none());
-        if closed {
-            self.close(request);
+        let latency = now.saturating_duration_since(started_at).as_micros() as Micros;
+        let key = AttemptKey { request, number, node };
+        self.handle_event(Event::AttemptEnded(attempt_outcome(key, end, request_closed, latency)));
+    }
+}
+
+/// Hands an attempt to the connections of a node. Returns false if nothing may be sent to the node, or its
+/// channel is full.
+fn try_send(
+    key: AttemptKey,
+    open: &OpenRequest,
+    target: &Node,
+    now: Instant,
+    deadline: Instant,
+    written_attempts: &WrittenAttempts,
+) -> bool {
+    if target.send_gate.is_closed() {
+        return false;
+    }
+    let attempt = Attempt {
+        request: key.request,
+        number: key.number,
+        node: key.node,
+        deadline,
+        connect_deadline: open.connect_deadline(now, deadline),
+        node_request: open.request.node_request.clone(),
+        send_gate: target.send_gate.clone(),
+        cancel: open.cancel.clone(),
+        written_attempts: written_attempts.clone(),
+    };
+    target.attempt_sender().is_some_and(|sender| sender.try_send(attempt).is_ok())
+}
+
+fn sent_observation(request: RequestId, target: &Node, units: u32, sent: bool) -> Observation<'_> {
+    let node = &target.endpoint.id;
+    if sent {
+        let in_slow_start = matches!(target.reported_treatment, Some(NodeTreatment::SlowStart(_)));
+        let slow_start_units = if in_slow_start { units } else { 0 };
+        Observation::AttemptSent { request, node, slow_start_units }
+    } else {
+        Observation::AttemptEnded { request, node, end: AttemptEnd::NotSent }
+    }
+}
+
+/// The outcome of an attempt for the policy. Nodes behind this core report no load.
+fn attempt_outcome(
+    key: AttemptKey,
+    end: AttemptEnd,
+    request_closed: bool,
+    latency: Micros,
+) -> AttemptOutcome {
+    AttemptOutcome {
+        request: key.request,
+        attempt: key.number,
+        node: key.node,
+        end,
+        request_closed,
+        latency,
+        volume_usage_percent: None,
+        served_elsewhere: None,
+        utilization: None,
+    }
+}
+
+/// A reply that is streamed keeps the client's request id reserved until its last byte.
+fn keep_id_while_streaming(reply: NodeReply, open: &mut OpenRequest) -> NodeReply {
+    match reply {
+        NodeReply::Streamed(reply) => {
+            let id_guard = open.id_guard.take().map(|guard| guard.start_streaming());
+            NodeReply::Streamed(StreamedReply { _id_guard: id_guard, ..reply })
         }
-        let took = now.saturating_duration_since(from).as_micros() as Micros;
-        let (used, elsewhere, busy) = (None, None, None);
-        let outcome = AttemptOutcome {
-            request,
-            attempt: number,
-            node,
-            end,
-            request_closed: closed,
-            latency: took,
-            volume_usage_percent: used,
-            served_elsewhere: elsewhere,
-            utilization: busy,
-        };
-        self.feed(Event::AttemptEnded(outcome));
+        NodeReply::Buffered(body) => NodeReply::Buffered(body),
     }
 }
 
-/// Reports the end of an attempt to the core.
+/// Reports the end of an attempt to the core. `reply` is only used with [`AttemptEnd::Served`].
 pub async fn report_attempt_end(
     core: &mpsc::Sender<CoreMessage>,
     attempt: &Attempt,
     end: AttemptEnd,
-    body: NodeReply,
+    reply: NodeReply,
 ) {
     let Attempt { request, number, node, .. } = *attempt;
-    // Without a core nobody is left to tell.
-    let _ =
-        core.send(CoreMessage::AttemptEnded(EndedAttempt { request, number, node, end, reply: body })).await;
+    // If the core has stopped, nobody waits for the report.
+    let _ = core.send(CoreMessage::AttemptEnded(EndedAttempt { request, number, node, end, reply })).await;
 }
--- a/crates/core/src/actor/handle.rs
+++ b/crates/core/src/actor/handle.rs
@@ -1,4 +1,4 @@
-//! The handle by which fronts, discovery and operations reach the actor: a tower service for calls.
+//! The handle by which front ends, discovery and operators reach the actor. It is a tower service for requests.
 
 use std::fmt;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -10,11 +10,12 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
+use super::published::update_draining;
 use crate::client_disconnects::{CancelOnDrop, ClientDisconnects};
-use crate::message::{CoreMessage, CoreStatus, Urgent};
+use crate::message::{ControlMessage, CoreMessage, CoreStatus};
 use crate::observe::Observer;
 use crate::{
-    Answer, ClientRequest, CommandError, CoreMetrics, Draining, ForwardedCommand, HandoverState,
+    Answer, ClientRequest, CommandError, CoreMetrics, Draining, ForwardedCommand, Handover, HandoverState,
     OperatorCommand,
 };
 use heathward_policy::settings::{ConfigError, Deployment};
@@ -32,112 +33,125 @@
 
 impl std::error::Error for CoreStopped {}
 
-/// A front's way to the core.
+/// A handle to the core's actor. All clones reach the same actor, which ends once all of them are dropped.
 #[derive(Clone, Debug)]
 pub struct CoreHandle {
-    pub(super) mailbox: mpsc::Sender<CoreMessage>,
+    pub(super) messages: mpsc::Sender<CoreMessage>,
     pub(super) discovery: mpsc::Sender<CoreMessage>,
-    pub(super) urgent: mpsc::Sender<Urgent>,
-    pub(super) departures: Arc<ClientDisconnects>,
-    pub(super) next: Arc<AtomicU64>,
+    pub(super) control: mpsc::Sender<ControlMessage>,
+    pub(super) client_disconnects: Arc<ClientDisconnects>,
+    pub(super) next_request_id: Arc<AtomicU64>,
     pub(super) status: watch::Receiver<CoreStatus>,
     pub(super) draining: Arc<watch::Sender<Draining>>,
     pub(super) deployment: watch::Receiver<Arc<Deployment>>,
 }
 
 impl CoreHandle {
-    /// The mailbox for discovery. What comes there passes ahead of requests and their ends: a drain must not
-    /// wait behind what would be sent meanwhile.
+    /// The channel for discovery. Its messages are handled before requests and ends of attempts: a drain must
+    /// not wait behind requests that would be sent to the draining node meanwhile.
     pub fn discovery_sender(&self) -> mpsc::Sender<CoreMessage> {
         self.discovery.clone()
     }
 
-    /// How the core stands now.
+    /// The current status.
     pub fn status(&self) -> CoreStatus {
         *self.status.borrow()
     }
 
-    /// Whether clients are to be sent away.
+    /// Whether and why clients are to use another scheduler, now and from now on.
     pub fn draining(&self) -> watch::Receiver<Draining> {
         self.draining.subscribe()
     }
 
-    /// Another process of this scheduler takes what comes from now on, or no longer does.
+    /// Sets whether another process of this scheduler accepts new connections.
     pub fn set_replaced(&self, replaced: bool) {
-        set_draining(&self.draining, |draining| draining.replaced = replaced);
+        update_draining(&self.draining, |draining| draining.replaced = replaced);
     }
 
-    /// The state for a process that takes over, and the commands that follow it.
-    pub async fn hand_over(&self) -> Option<(HandoverState, mpsc::Receiver<ForwardedCommand>)> {
-        let (reply, answer) = oneshot::channel();
-        self.urgent.send(Urgent::HandOver(reply)).await.ok()?;
-        answer.await.ok()
+    /// Hands the state over to a new process of this scheduler; `None` if the core has stopped.
+    pub async fn hand_over(&self) -> Option<Handover> {
+        let (reply, handover) = oneshot::channel();
+        self.control.send(ControlMessage::HandOver(reply)).await.ok()?;
+        handover.await.ok()
     }
 
-    /// Goes on from the state of the process before this one; gives back the commands that it is to be told.
+    /// Continues from the state of the previous process. Returns the commands that are to be forwarded to that
+    /// process; `None` if the core has stopped.
     pub async fn take_over(&self, state: HandoverState) -> Option<mpsc::Receiver<ForwardedCommand>> {
-        let (reply, answer) = oneshot::channel();
-        self.urgent.send(Urgent::TakeOver(state, reply)).await.ok()?;
-        answer.await.ok()
+        let (reply, commands) = oneshot::channel();
+        self.control.send(ControlMessage::TakeOver { state, reply }).await.ok()?;
+        commands.await.ok()
     }
 
-    /// The settings as they stand now.
+    /// The current settings.
     pub fn deployment(&self) -> Arc<Deployment> {
         self.deployment.borrow().clone()
     }
 
-    /// Goes on with other settings, or with the old ones where these make no sense.
+    /// Applies new settings.
+    ///
+    /// # Errors
+    ///
+    /// A [`ConfigError`] if the settings are not valid, remove a class or a plan, or the core has stopped. The
+    /// old settings then stay.
     pub async fn update_settings(&self, deployment: Arc<Deployment>) -> Result<(), ConfigError> {
-        let gone = || ConfigError { field: "settings".to_owned(), reason: CoreStopped.to_string() };
-        let (reply, answer) = oneshot::channel();
-        self.mailbox.send(CoreMessage::UpdateSettings(deployment, reply)).await.map_err(|_| gone())?;
-        answer.await.unwrap_or_else(|_| Err(gone()))
+        let stopped = || ConfigError { field: "settings".to_owned(), reason: CoreStopped.to_string() };
+        let (reply, result) = oneshot::channel();
+        let message = CoreMessage::UpdateSettings { deployment, reply };
+        self.messages.send(message).await.map_err(|_| stopped())?;
+        result.await.unwrap_or_else(|_| Err(stopped()))
     }
 
-    /// The program ends then: no request gets more time than that, whether it is open or comes from now on.
-    pub async fn set_shutdown_deadline(&self, last: Instant) {
-        // A core that has stopped has nothing open.
-        let _ = self.mailbox.send(CoreMessage::ShutdownDeadline(last)).await;
+    /// The program shuts down: every request, now and from now on, is answered by `deadline`.
+    pub async fn set_shutdown_deadline(&self, deadline: Instant) {
+        // A core that has stopped has no open requests.
+        let _ = self.messages.send(CoreMessage::ShutdownDeadline(deadline)).await;
     }
 
-    /// Has records kept by that, or not at all, once it returns. The one before is dropped.
+    /// Replaces the observer, or removes it. When this returns, the previous one was dropped.
     pub async fn set_observer(&self, observer: Option<Box<dyn Observer>>) {
         let (reply, done) = oneshot::channel();
-        // A core that has stopped has nothing to tell.
-        if self.mailbox.send(CoreMessage::SetObserver(observer, reply)).await.is_ok() {
+        // A core that has stopped has nothing to observe.
+        if self.messages.send(CoreMessage::SetObserver { observer, reply }).await.is_ok() {
             let _ = done.await;
         }
     }
 
-    /// Counts a request that a front turned away.
+    /// Counts a request that a front end rejected as malformed.
     pub fn count_malformed_request(&self) {
-        // Only a count: not worth waiting for when the mailbox is full.
-        let _ = self.mailbox.try_send(CoreMessage::MalformedRequest);
+        // The count is not worth waiting for if the channel is full.
+        let _ = self.messages.try_send(CoreMessage::MalformedRequest);
     }
 
-    /// Counts a configuration that was read again.
+    /// Counts a reload of the configuration, which was either applied or rejected.
     pub fn count_configuration_reload(&self, applied: bool) {
-        // As above.
-        let _ = self.mailbox.try_send(CoreMessage::ConfigurationReloaded(applied));
+        // The count is not worth waiting for if the channel is full.
+        let _ = self.messages.try_send(CoreMessage::ConfigurationReloaded { applied });
     }
 
-    /// The metrics now, ahead of whatever waits; `None` without a core.
+    /// The current metrics, before any message that waits; `None` if the core has stopped.
     pub async fn metrics(&self) -> Option<CoreMetrics> {
-        let (reply, answer) = oneshot::channel();
-        self.urgent.send(Urgent::Metrics(reply)).await.ok()?;
-        answer.await.ok()
-    }
-
-    /// Carries a command of staff out, ahead of whatever waits; once it is answered, it holds, in both
-    /// processes where there are two. A command `from_partner` was carried out by the other one.
+        let (reply, metrics) = oneshot::channel();
+        self.control.send(ControlMessage::Metrics(reply)).await.ok()?;
+        metrics.await.ok()
+    }
+
+    /// Carries a command out, before any message that waits. The inner result is that of the command; `Ok` means
+    /// that it holds in this process and in the peer process, if there is one. A command `from_peer_process`
+    /// was already carried out there.
+    ///
+    /// # Errors
+    ///
+    /// [`CoreStopped`] if nothing is known of the command because the core has stopped.
     pub async fn run_command(
         &self,
         command: OperatorCommand,
-        from_partner: bool,
+        from_peer_process: bool,
     ) -> Result<Result<(), CommandError>, CoreStopped> {
-        let (reply, answer) = oneshot::channel();
-        self.urgent.send(Urgent::Command(command, from_partner, reply)).await.map_err(|_| CoreStopped)?;
-        answer.await.map_err(|_| CoreStopped)
+        let (reply, result) = oneshot::channel();
+        let message = ControlMessage::RunCommand { command, from_peer_process, reply };
+        self.control.send(message).await.map_err(|_| CoreStopped)?;
+        result.await.map_err(|_| CoreStopped)
     }
 }
 
@@ -147,31 +161,22 @@
     type Future = BoxFuture<'static, Result<Answer, CoreStopped>>;
 
     fn poll_ready(&mut self, _: &mut Context<'_>) -> Poll<Result<(), CoreStopped>> {
-        Poll::Ready(if self.mailbox.is_closed() { Err(CoreStopped) } else { Ok(()) })
+        Poll::Ready(if self.messages.is_closed() { Err(CoreStopped) } else { Ok(()) })
     }
 
-    fn call(&mut self, call: ClientRequest) -> Self::Future {
-        let id = RequestId(self.next.fetch_add(1, Ordering::Relaxed));
-        let (mailbox, departures) = (self.mailbox.clone(), self.departures.clone());
+    fn call(&mut self, request: ClientRequest) -> Self::Future {
+        let id = RequestId(self.next_request_id.fetch_add(1, Ordering::Relaxed));
+        let (messages, client_disconnects) = (self.messages.clone(), self.client_disconnects.clone());
         Box::pin(async move {
             let (reply, answer) = oneshot::channel();
             let cancel = CancellationToken::new();
-            let told = CoreMessage::RequestReceived { id, request: call, reply, cancel: cancel.clone() };
-            mailbox.send(told).await.map_err(|_| CoreStopped)?;
-            // Whoever drops this future has gone away before the answer.
-            let client = CancelOnDrop::new(departures, id, cancel);
+            let message = CoreMessage::RequestReceived { id, request, reply, cancel: cancel.clone() };
+            messages.send(message).await.map_err(|_| CoreStopped)?;
+            // If this future is dropped before the answer, the client has disconnected.
+            let guard = CancelOnDrop::new(client_disconnects, id, cancel);
             let answer = answer.await.map_err(|_| CoreStopped);
-            client.disarm();
+            guard.disarm();
             answer
         })
     }
 }
-
-/// Changes why clients are sent away; whoever watches is told only of a difference.
-pub(super) fn set_draining(draining: &watch::Sender<Draining>, change: impl FnOnce(&mut Draining)) {
-    draining.send_if_modified(|draining| {
-        let before = *draining;
-        change(draining);
-        before != *draining
-    });
-}
--- a/crates/core/src/actor/nodes.rs
+++ b/crates/core/src/actor/nodes.rs
@@ -1,5 +1,7 @@
-//! The table of storage nodes: those that are listed, and those that were not long ago. A change costs its
-//! own entries and the logarithm of the table's size; only what is named a walk looks at every node.
+//! The table of storage nodes: those in the endpoint list, and those that were in it until recently.
+//!
+//! The cost of a change depends on the nodes that it names and on the logarithm of the size of the table. Only
+//! the functions whose comment says so walk all nodes.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
@@ -8,197 +10,386 @@
 use tokio::time::Instant;
 
 use super::zones::Zones;
+use crate::message::{CoreMessage, NodeConnector};
 use crate::observe::NodeTreatment;
-use crate::{Attempt, Endpoint, SendGate};
-use heathward_policy::{Micros, NodeId, NodeState};
+use crate::{Attempt, CommandError, Endpoint, SendGate};
+use heathward_policy::{EndpointEntry, Micros, NodeId, NodeState};
 
-/// A node that is no longer listed keeps its number for so long: one that comes back is the same to the
-/// module, which forgets it as late.
-pub(super) const FORGET: Duration = Duration::from_secs(60);
+/// How long a node that left the endpoint list keeps its number. If it returns within this time it is the same
+/// node for the policy, which drops a node after the same time.
+pub(super) const UNLISTED_NODE_RETENTION: Duration = Duration::from_secs(60);
+
+/// The largest number of suspended nodes, whether listed or not.
+const MAX_SUSPENDED_NODES: usize = 1024;
+
+/// Starts tasks that serve the connections of nodes. The tasks are owned by the function that starts them; each
+/// ends once the channel for its attempts is closed and its attempts have ended.
+pub(super) struct NodeConnections {
+    connect_node: NodeConnector,
+    /// Where the ends of attempts are reported. It is weak, so that the actor does not keep itself alive.
+    core: mpsc::WeakSender<CoreMessage>,
+}
+
+impl NodeConnections {
+    pub(super) fn new(connect_node: NodeConnector, core: mpsc::WeakSender<CoreMessage>) -> Self {
+        Self { connect_node, core }
+    }
+
+    /// Starts to serve the connections of a node; `None` if nobody uses the core any more.
+    pub(super) fn connect(&self, endpoint: &Endpoint) -> Option<mpsc::Sender<Attempt>> {
+        let core = self.core.upgrade()?;
+        Some((self.connect_node)(endpoint, core))
+    }
+}
 
 /// A storage node.
 pub(super) struct Node {
-    pub(super) member: Endpoint,
-    /// Its zone's number.
+    /// What the endpoint list said of it last.
+    pub(super) endpoint: Endpoint,
+    /// Number of its zone.
     pub(super) zone: u32,
-    /// When staff said that it is back.
-    pub(super) restored: Option<Micros>,
-    pub(super) gate: SendGate,
-    /// The list's version that told of it last, and the one that told that it drains or is gone.
-    pub(super) revision: u64,
-    pub(super) drained: Option<u64>,
-    /// What the observer was told last of how it is treated.
-    pub(super) treated: Option<NodeTreatment>,
+    /// Whether anything new may be sent to it.
+    pub(super) send_gate: SendGate,
+    /// How the observer was told last that it is treated.
+    pub(super) reported_treatment: Option<NodeTreatment>,
+    /// When slow start began according to an operator or a handover, in microseconds of Unix time.
+    slow_start_since: Option<Micros>,
+    /// Revision of the last list that named it.
+    last_revision: u64,
+    /// Revision of the list that said that it drains or is removed, unless a later one has revoked that.
+    drain_revision: Option<u64>,
     listing: Listing,
-    /// When it is compared next with what the observer was told.
-    due: Option<Instant>,
+    /// When its treatment is checked next.
+    next_check: Option<Instant>,
 }
 
-/// Whether the list names a node.
+/// Whether a node is in the endpoint list.
 enum Listing {
-    /// It does; attempts for it go there.
+    /// It is; this is the channel for its attempts.
     Listed(mpsc::Sender<Attempt>),
-    /// It does not, since then.
+    /// It has not been since then.
     Unlisted(Instant),
 }
 
 impl Node {
-    /// Where attempts for it go; `None` once the list has dropped it.
-    pub(super) fn mailbox(&self) -> Option<&mpsc::Sender<Attempt>> {
+    /// The channel for its attempts; `None` if it is not in the endpoint list.
+    pub(super) fn attempt_sender(&self) -> Option<&mpsc::Sender<Attempt>> {
         match &self.listing {
-            Listing::Listed(mailbox) => Some(mailbox),
+            Listing::Listed(sender) => Some(sender),
             Listing::Unlisted(_) => None,
         }
     }
 
-    /// The list names it.
+    /// It is in the endpoint list.
     pub(super) fn is_listed(&self) -> bool {
-        self.mailbox().is_some()
+        self.attempt_sender().is_some()
     }
 
-    /// Its state by the list.
+    /// Its state according to the endpoint list.
     pub(super) fn listed_state(&self) -> NodeState {
         if self.is_listed() {
-            self.member.state
+            self.endpoint.state
         } else {
             NodeState::Removed
         }
     }
+
+    /// Decides whether an update with `revision` may replace what is known. While two watches are open, the
+    /// slower one may deliver an older list: changes in it are ignored, and it never revokes a drain. The state
+    /// in `endpoint` is corrected accordingly.
+    pub(super) fn accept_update(
+        &mut self,
+        endpoint: &mut Endpoint,
+        revision: u64,
+        is_complete: bool,
+    ) -> bool {
+        if revision < self.last_revision && !is_complete {
+            return false;
+        }
+        let restarted = endpoint.started_at > self.endpoint.started_at;
+        if endpoint.state != NodeState::Ready {
+            self.drain_revision = Some(revision);
+        } else if self.drain_revision > Some(revision) && !restarted {
+            endpoint.state = self.endpoint.state;
+        } else {
+            self.drain_revision = None;
+        }
+        self.last_revision = revision;
+        true
+    }
+
+    /// Its entry for the policy. It drains if the endpoint list says so, if it is suspended, or if the lease on
+    /// the list has expired; its send gate is closed accordingly.
+    fn entry(&self, id: NodeId, suspended: bool, lease_expired: bool) -> EndpointEntry {
+        let listed = self.endpoint.state;
+        let out_of_service = listed == NodeState::Ready && (lease_expired || suspended);
+        let state = if out_of_service { NodeState::Draining } else { listed };
+        self.send_gate.set_closed(state != NodeState::Ready);
+        EndpointEntry {
+            node: id,
+            shard: self.endpoint.shard,
+            zone: self.zone,
+            state,
+            started_at: self.endpoint.started_at.max(self.slow_start_since),
+        }
+    }
 }
 
-/// All nodes that are known.
+/// All known nodes.
 #[derive(Default)]
-pub(super) struct Nodes {
-    known: BTreeMap<NodeId, Node>,
-    numbers: HashMap<Box<str>, NodeId>,
+pub(super) struct NodeTable {
+    by_id: BTreeMap<NodeId, Node>,
+    ids_by_name: HashMap<Box<str>, NodeId>,
     /// Number of the next new node.
-    next: u32,
+    next_id: u32,
     zones: Zones,
-    /// How many are listed.
-    listed: usize,
-    /// The others, by when they left the list.
+    /// Revision of the endpoint list that was applied last.
+    revision: u64,
+    /// Ids of nodes that operators have suspended, also while they are not in the endpoint list.
+    suspended: BTreeSet<Box<str>>,
+    /// Number of nodes in the endpoint list.
+    listed_count: usize,
+    /// The other nodes, by when they left the list.
     unlisted: BTreeSet<(Instant, NodeId)>,
-    /// Those whose treatment may change by time alone, by when they are compared next.
-    due: BTreeSet<(Instant, NodeId)>,
+    /// Nodes whose treatment may change by the passage of time, by when it is checked next.
+    checks: BTreeSet<(Instant, NodeId)>,
 }
 
-impl Nodes {
-    /// The number of the node of that name.
+impl NodeTable {
+    /// Revision of the endpoint list that was applied last.
+    pub(super) fn revision(&self) -> u64 {
+        self.revision
+    }
+
+    /// Sets the revision of the endpoint list that is being applied.
+    pub(super) fn set_revision(&mut self, revision: u64) {
+        self.revision = revision;
+    }
+
+    /// The number of the node with that name.
     pub(super) fn find(&self, name: &str) -> Option<NodeId> {
-        self.numbers.get(name).copied()
+        self.ids_by_name.get(name).copied()
     }
 
-    /// The number of that node. A new one is not listed yet, and told of in that version.
+    /// The number of that node. A new node is not listed yet, and is named by the list with that revision.
     pub(super) fn find_or_add(
         &mut self,
-        member: &Endpoint,
+        endpoint: &Endpoint,
         revision: u64,
-        gate: impl FnOnce() -> SendGate,
+        send_gate: impl FnOnce() -> SendGate,
     ) -> NodeId {
-        if let Some(known) = self.find(&member.id) {
+        if let Some(known) = self.find(&endpoint.id) {
             return known;
         }
-        let (id, now) = (NodeId(self.next), Instant::now());
-        self.next += 1;
+        let (id, now) = (NodeId(self.next_id), Instant::now());
+        self.next_id += 1;
         let node = Node {
-            member: member.clone(),
-            zone: self.zones.enter(&member.zone),
-            restored: None,
-            gate: gate(),
-            revision,
-            drained: None,
-            treated: None,
+            endpoint: endpoint.clone(),
+            zone: self.zones.add_node(&endpoint.zone),
+            send_gate: send_gate(),
+            reported_treatment: None,
+            slow_start_since: None,
+            last_revision: revision,
+            drain_revision: None,
             listing: Listing::Unlisted(now),
-            due: None,
+            next_check: None,
         };
-        self.numbers.insert(member.id.clone(), id);
-        self.known.insert(id, node);
+        self.ids_by_name.insert(endpoint.id.clone(), id);
+        self.by_id.insert(id, node);
         self.unlisted.insert((now, id));
         id
     }
 
-    /// A node that is known.
+    /// A known node.
     pub(super) fn get(&self, id: NodeId) -> Option<&Node> {
-        self.known.get(&id)
+        self.by_id.get(&id)
     }
 
-    /// The same, to be changed.
+    /// A known node, to be changed.
     pub(super) fn get_mut(&mut self, id: NodeId) -> Option<&mut Node> {
-        self.known.get_mut(&id)
+        self.by_id.get_mut(&id)
     }
 
-    /// What the list says of a node from now on.
-    pub(super) fn update(&mut self, id: NodeId, member: Endpoint) {
-        let Some(node) = self.known.get_mut(&id) else { return };
-        if node.member.zone != member.zone {
-            self.zones.leave(&node.member.zone);
-            node.zone = self.zones.enter(&member.zone);
+    /// Replaces what the endpoint list says of a node.
+    pub(super) fn update(&mut self, id: NodeId, endpoint: Endpoint) {
+        let Some(node) = self.by_id.get_mut(&id) else { return };
+        if node.endpoint.zone != endpoint.zone {
+            self.zones.remove_node(&node.endpoint.zone);
+            node.zone = self.zones.add_node(&endpoint.zone);
         }
-        node.member = member;
+        node.endpoint = endpoint;
     }
 
-    /// The list names a node; attempts for it go there from now on.
-    pub(super) fn list(&mut self, id: NodeId, mailbox: mpsc::Sender<Attempt>) {
-        let Some(node) = self.known.get_mut(&id) else { return };
-        if let Listing::Unlisted(since) = std::mem::replace(&mut node.listing, Listing::Listed(mailbox)) {
+    /// Records that a node is in the endpoint list, with the channel for its attempts.
+    pub(super) fn list(&mut self, id: NodeId, attempts: mpsc::Sender<Attempt>) {
+        let Some(node) = self.by_id.get_mut(&id) else { return };
+        if let Listing::Unlisted(since) = std::mem::replace(&mut node.listing, Listing::Listed(attempts)) {
             self.unlisted.remove(&(since, id));
-            self.listed += 1;
+            self.listed_count += 1;
         }
     }
 
-    /// The list no longer names a node.
+    /// Records that a node is no longer in the endpoint list.
     pub(super) fn unlist(&mut self, id: NodeId, now: Instant) {
-        let Some(node) = self.known.get_mut(&id).filter(|node| node.is_listed()) else { return };
+        let Some(node) = self.by_id.get_mut(&id).filter(|node| node.is_listed()) else { return };
         node.listing = Listing::Unlisted(now);
         self.unlisted.insert((now, id));
-        self.listed -= 1;
+        self.listed_count -= 1;
+    }
+
+    /// Unlists the nodes that are missing from a complete list, and returns them. A node that is missing counts
+    /// as removed: an older list does not bring it back. This walks all nodes.
+    pub(super) fn unlist_all_except(
+        &mut self,
+        named: &BTreeSet<NodeId>,
+        revision: u64,
+        now: Instant,
+    ) -> Vec<NodeId> {
+        let listed = self.listed().map(|(id, _)| id);
+        let missing: Vec<NodeId> = listed.filter(|id| !named.contains(id)).collect();
+        for &id in &missing {
+            self.unlist(id, now);
+            if let Some(node) = self.by_id.get_mut(&id) {
+                node.drain_revision = node.drain_revision.or(Some(revision));
+                node.send_gate.set_closed(true);
+                node.endpoint.state = NodeState::Removed;
+            }
+        }
+        missing
     }
 
-    /// Forgets the nodes that left long ago, from the first of them on.
-    pub(super) fn forget(&mut self, now: Instant) {
-        while let Some(&(since, id)) = self.unlisted.first().filter(|(since, _)| *since + FORGET <= now) {
+    /// Forgets the nodes that left the endpoint list [`UNLISTED_NODE_RETENTION`] ago.
+    pub(super) fn forget_expired(&mut self, now: Instant) {
+        let is_expired = |since: Instant| since + UNLISTED_NODE_RETENTION <= now;
+        while let Some(&(since, id)) = self.unlisted.first().filter(|(since, _)| is_expired(*since)) {
             self.unlisted.remove(&(since, id));
-            self.set_due(id, None);
-            if let Some(node) = self.known.remove(&id) {
-                self.zones.leave(&node.member.zone);
-                self.numbers.remove(&node.member.id);
+            self.schedule_check(id, None);
+            if let Some(node) = self.by_id.remove(&id) {
+                self.zones.remove_node(&node.endpoint.zone);
+                self.ids_by_name.remove(&node.endpoint.id);
             }
         }
     }
 
-    /// How many are listed.
+    /// The entry of a node for the policy. This closes or opens its send gate.
+    pub(super) fn entry(&self, id: NodeId, lease_expired: bool) -> Option<EndpointEntry> {
+        let node = self.get(id)?;
+        Some(node.entry(id, self.is_suspended(&node.endpoint.id), lease_expired))
+    }
+
+    /// The entry of a node for the policy, if it is in the endpoint list. This closes or opens its send gate.
+    pub(super) fn listed_entry(&self, id: NodeId, lease_expired: bool) -> Option<EndpointEntry> {
+        self.get(id).filter(|node| node.is_listed())?;
+        self.entry(id, lease_expired)
+    }
+
+    /// Suspends the node with that name.
+    ///
+    /// # Errors
+    ///
+    /// [`CommandError::UnknownNode`], or [`CommandError::TooManySuspended`] if [`MAX_SUSPENDED_NODES`] others
+    /// are suspended.
+    pub(super) fn suspend(&mut self, name: Box<str>) -> Result<NodeId, CommandError> {
+        let id = self.find(&name).ok_or(CommandError::UnknownNode)?;
+        if self.suspended.len() >= MAX_SUSPENDED_NODES && !self.suspended.contains(&name) {
+            return Err(CommandError::TooManySuspended);
+        }
+        self.suspended.insert(name);
+        Ok(id)
+    }
+
+    /// Suspends the nodes that were suspended in another process, whether they are known here or not.
+    pub(super) fn suspend_all(&mut self, names: Vec<Box<str>>) {
+        self.suspended.extend(names);
+    }
+
+    /// Ends the suspension of the node with that name. It is in slow start from `now` at the latest, because it
+    /// was restarted meanwhile. Returns the node if it is known and was suspended.
+    ///
+    /// # Errors
+    ///
+    /// [`CommandError::UnknownNode`] if the node is neither known nor suspended.
+    pub(super) fn restore(&mut self, name: &str, now: Micros) -> Result<Option<NodeId>, CommandError> {
+        let was_suspended = self.suspended.remove(name);
+        let Some(id) = self.find(name) else {
+            return if was_suspended { Ok(None) } else { Err(CommandError::UnknownNode) };
+        };
+        if !was_suspended {
+            return Ok(None);
+        }
+        if let Some(node) = self.by_id.get_mut(&id) {
+            node.slow_start_since = Some(now);
+        }
+        Ok(Some(id))
+    }
+
+    /// Records that a node was in slow start in another process, since that time in microseconds of Unix time.
+    pub(super) fn record_slow_start(&mut self, id: NodeId, since: Micros) {
+        if let Some(node) = self.by_id.get_mut(&id) {
+            node.slow_start_since = node.slow_start_since.max(Some(since));
+        }
+    }
+
+    /// Whether operators have suspended the node with that name.
+    pub(super) fn is_suspended(&self, name: &str) -> bool {
+        self.suspended.contains(name)
+    }
+
+    /// Names of the suspended nodes, in order.
+    pub(super) fn suspended(&self) -> impl Iterator<Item = &Box<str>> {
+        self.suspended.iter()
+    }
+
+    /// Number of nodes in the endpoint list.
     pub(super) fn listed_count(&self) -> usize {
-        self.listed
+        self.listed_count
     }
 
-    /// The listed nodes, by their numbers: a walk.
+    /// The nodes in the endpoint list, by their numbers. This walks all nodes.
     pub(super) fn listed(&self) -> impl Iterator<Item = (NodeId, &Node)> {
-        self.known.iter().map(|(id, node)| (*id, node)).filter(|(_, node)| node.is_listed())
+        self.by_id.iter().map(|(id, node)| (*id, node)).filter(|(_, node)| node.is_listed())
     }
 
-    /// All numbers in their order: a walk.
+    /// The numbers of all nodes, in order. This walks all nodes.
     pub(super) fn ids(&self) -> Vec<NodeId> {
-        self.known.keys().copied().collect()
+        self.by_id.keys().copied().collect()
+    }
+
+    /// Records that the observer is told how a node is treated. Returns the node if that is new.
+    pub(super) fn report_treatment(&mut self, id: NodeId, treatment: NodeTreatment) -> Option<&Node> {
+        let node = self.by_id.get_mut(&id)?;
+        let previous = node.reported_treatment.replace(treatment);
+        (previous != Some(treatment)).then_some(&*node)
+    }
+
+    /// Forgets what an observer was told, for a new observer. This walks all nodes.
+    pub(super) fn forget_reported_treatments(&mut self) {
+        for id in self.ids() {
+            self.schedule_check(id, None);
+            if let Some(node) = self.by_id.get_mut(&id) {
+                node.reported_treatment = None;
+            }
+        }
     }
 
-    /// When a node is compared next with what the observer was told, if time alone may change it.
-    pub(super) fn set_due(&mut self, id: NodeId, due: Option<Instant>) {
-        let Some(node) = self.known.get_mut(&id).filter(|node| node.due != due) else { return };
-        if let Some(before) = std::mem::replace(&mut node.due, due) {
-            self.due.remove(&(before, id));
+    /// Schedules the next check of a node's treatment, or none.
+    pub(super) fn schedule_check(&mut self, id: NodeId, at: Option<Instant>) {
+        let Some(node) = self.by_id.get_mut(&id).filter(|node| node.next_check != at) else { return };
+        if let Some(previous) = std::mem::replace(&mut node.next_check, at) {
+            self.checks.remove(&(previous, id));
         }
-        self.due.extend(due.map(|due| (due, id)));
+        self.checks.extend(at.map(|at| (at, id)));
     }
 
-    /// The nodes that are due by then; each is due again once it is told so.
-    pub(super) fn take_due(&mut self, now: Instant) -> Vec<NodeId> {
-        let mut taken = Vec::new();
-        while let Some(&(_, id)) = self.due.first().filter(|(due, _)| *due <= now) {
-            self.set_due(id, None);
-            taken.push(id);
+    /// Takes the nodes whose checks are due, in the order of their numbers.
+    pub(super) fn take_due_checks(&mut self, now: Instant) -> Vec<NodeId> {
+        let mut due = Vec::new();
+        while let Some(&(_, id)) = self.checks.first().filter(|(at, _)| *at <= now) {
+            self.schedule_check(id, None);
+            due.push(id);
         }
-        taken.sort_unstable();
-        taken
+        due.sort_unstable();
+        due
     }
 }
 
--- a/crates/core/src/actor/observation.rs
+++ b/crates/core/src/actor/observation.rs
@@ -1,4 +1,4 @@
-//! How the core stands, for operations staff and for the observer that keeps records.
+//! Metrics for operators, and what the observer is told of each node.
 
 use std::time::Duration;
 
@@ -7,123 +7,107 @@
 use super::Actor;
 use crate::observe::{NodeTreatment, Observation, Observer, TreatmentCause};
 use crate::{CoreMetrics, Counters, Endpoint};
-use heathward_policy::{EndpointUpdateKind, NodeId};
+use heathward_policy::{EndpointUpdateKind, Micros, NodeId};
 
-/// How often an observer is told that time has passed.
-const TICK: Duration = Duration::from_millis(100);
-
-/// The module forgets a node that takes nothing new within a minute, on a sweep of its own; it is looked at
-/// so often whether it has.
-const UNUSED_CHECK: Duration = Duration::from_secs(1);
+/// The policy drops a node that has had no new requests for a minute, at a time that it does not announce. This
+/// is how often the core checks whether it has.
+const UNUSED_NODE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 impl Actor {
-    /// Counters and the state of the list, for operations staff. It walks all listed nodes: it is asked for a
-    /// few times a second at most, and what it counts has no other reader.
+    /// Counters and the current state. This walks all listed nodes; operators ask for it a few times a second
+    /// at most.
     pub(super) fn metrics(&self) -> CoreMetrics {
-        let counters = Counters { attempts_written: self.tries.total(), ..self.counters.clone() };
-        let now = self.clock.micros_at(Instant::now());
-        let avoided = |id| self.scheduler.node_status(now, id).is_none_or(|node| node.is_avoided());
-        let avoided = self.nodes.listed().filter(|(id, _)| avoided(*id)).count();
-        let active = self.limits.len() + self.calls.streaming_count();
+        let now = self.policy.micros_at(Instant::now());
+        let is_avoided = |id| self.policy.node_status(now, id).is_none_or(|status| status.is_avoided());
         CoreMetrics {
-            counters,
-            active_requests: active,
+            counters: Counters { attempts_written: self.written_attempts.total(), ..self.counters.clone() },
+            active_requests: self.requests.active_count(),
             listed_nodes: self.nodes.listed_count(),
-            avoided_nodes: avoided,
-        }
-    }
-
-    /// Tells the observer, if there is one.
-    pub(super) fn note(&mut self, note: Observation<'_>) {
-        if let Some(observer) = &mut self.observer {
-            observer.observe(Instant::now(), note);
+            avoided_nodes: self.nodes.listed().filter(|(id, _)| is_avoided(*id)).count(),
         }
     }
 
-    /// Records are kept from now on: what stands is told first.
-    pub(super) fn observe(&mut self, observer: Option<Box<dyn Observer>>) {
-        self.observer = observer;
-        self.tick = Instant::now();
-        if let Some(observer) = &mut self.observer {
-            observer.settings_changed(&self.deployment.borrow());
-        }
-        let members: Vec<Endpoint> = self.nodes.listed().map(|(_, node)| node.member.clone()).collect();
-        let revision = self.revision;
-        // Not an update: others have seen it at another time.
-        self.note(Observation::EndpointsUpdated {
+    /// Replaces the observer. A new one is first notified of the current state.
+    pub(super) fn set_observer(&mut self, observer: Option<Box<dyn Observer>>) {
+        self.observer.replace(observer, &self.published.deployment());
+        let endpoints: Vec<Endpoint> = self.nodes.listed().map(|(_, node)| node.endpoint.clone()).collect();
+        let revision = self.nodes.revision();
+        // It is marked as cached because it is no update: the list was received at an earlier time.
+        self.observer.observe(Observation::EndpointsUpdated {
             revision,
             kind: EndpointUpdateKind::Cached,
-            endpoints: &members,
+            endpoints: &endpoints,
         });
-        for id in self.nodes.ids() {
-            self.nodes.set_due(id, None);
-            self.nodes.get_mut(id).into_iter().for_each(|node| node.treated = None);
-        }
-        self.check_nodes(TreatmentCause::EndpointUpdate(revision));
+        self.nodes.forget_reported_treatments();
+        self.check_all_node_treatments(TreatmentCause::EndpointUpdate(revision));
     }
 
-    /// Compares all nodes with what the observer was told last: a walk, for when everything may have changed.
-    pub(super) fn check_nodes(&mut self, why: TreatmentCause) {
-        if self.observer.is_some() {
-            let (now, ids) = (Instant::now(), self.nodes.ids());
-            ids.into_iter().for_each(|id| self.check_node(id, now, why));
+    /// Checks the treatment of all nodes, for when anything may have changed. This walks all nodes.
+    pub(super) fn check_all_node_treatments(&mut self, cause: TreatmentCause) {
+        if self.observer.is_set() {
+            let now = Instant::now();
+            for id in self.nodes.ids() {
+                self.check_node_treatment(id, now, cause);
+            }
         }
     }
 
-    /// Has all nodes compared at the next tick: other settings hold.
-    pub(super) fn check_nodes_soon(&mut self) {
-        if self.observer.is_some() {
+    /// Schedules a check of all nodes for the next tick of the observer, after a change of the settings.
+    pub(super) fn schedule_all_node_checks(&mut self) {
+        if self.observer.is_set() {
             let now = Instant::now();
-            self.nodes.ids().into_iter().for_each(|id| self.nodes.set_due(id, Some(now)));
+            for id in self.nodes.ids() {
+                self.nodes.schedule_check(id, Some(now));
+            }
         }
     }
 
-    /// Tells the observer of a node that is treated otherwise than it was told last.
-    pub(super) fn check_node(&mut self, id: NodeId, at: Instant, why: TreatmentCause) {
-        let (Some(observer), Some(node)) = (&mut self.observer, self.nodes.get_mut(id)) else { return };
-        self.counters.node_checks += 1;
-        let out = self.suspended.contains(&node.member.id);
-        let (listed, cold_time) =
-            (node.listed_state(), self.deployment.borrow().settings.slow_start_duration);
-        let scheduler = &self.scheduler;
-        let treated_at =
-            |now| NodeTreatment::from_state(listed, out, scheduler.node_status(now, id), now, || cold_time);
-        let treated = treated_at(self.clock.micros_at(at));
-        if node.treated.replace(treated) != Some(treated) {
-            observer.observe(
-                at,
-                Observation::NodeTreatmentChanged { node: &node.member.id, treatment: treated, cause: why },
-            );
+    /// Notifies the observer if a node is treated differently than it was told last, and schedules the next
+    /// check if the treatment may change by the passage of time.
+    pub(super) fn check_node_treatment(&mut self, id: NodeId, at: Instant, cause: TreatmentCause) {
+        if !self.observer.is_set() {
+            return;
         }
-        let warm = match treated {
-            NodeTreatment::SlowStart(since) => Some(since.saturating_add(cold_time)),
+        let Some(node) = self.nodes.get(id) else { return };
+        self.counters.node_checks += 1;
+        let (listed, suspended) = (node.listed_state(), self.nodes.is_suspended(&node.endpoint.id));
+        let slow_start_duration = self.published.deployment().settings.slow_start_duration;
+        let treatment_at = |now: Micros| {
+            let status = self.policy.node_status(now, id);
+            NodeTreatment::from_state(listed, suspended, status, now, || slow_start_duration)
+        };
+        let treatment = treatment_at(self.policy.micros_at(at));
+        let slow_start_check = match treatment {
+            NodeTreatment::SlowStart(since) => {
+                let end = since.saturating_add(slow_start_duration);
+                // A presumed start may turn out to be none at any time before the end.
+                let lasts = treatment_at(end - 1) == treatment;
+                Some(if lasts { self.policy.instant_at(end) } else { at })
+            }
             _ => None,
         };
-        let warm = warm.map(|warm| match treated_at(warm - 1) == treated {
-            true => self.clock.instant_at(warm),
-            // Its start was only guessed, and may turn out to be none at any time before.
-            false => at,
-        });
-        let unused = match treated {
+        let is_unused = match treatment {
             NodeTreatment::Removed => false,
             NodeTreatment::Draining | NodeTreatment::Suspended => true,
             NodeTreatment::InService | NodeTreatment::SlowStart(_) | NodeTreatment::Unresponsive => {
-                self.stale
+                self.lease.is_expired()
             }
         };
-        let forgotten = unused.then_some(at + UNUSED_CHECK);
-        self.nodes.set_due(id, warm.into_iter().chain(forgotten).min());
+        let unused_check = is_unused.then_some(at + UNUSED_NODE_CHECK_INTERVAL);
+        if let Some(node) = self.nodes.report_treatment(id, treatment) {
+            let node = &node.endpoint.id;
+            self.observer.observe_at(at, Observation::NodeTreatmentChanged { node, treatment, cause });
+        }
+        self.nodes.schedule_check(id, slow_start_check.into_iter().chain(unused_check).min());
     }
 
-    /// Tells the observer that time has passed, and what has changed by that alone.
-    pub(super) fn pass_time(&mut self, now: Instant) {
-        if self.observer.is_some() && now >= self.tick {
-            self.tick = now + TICK;
-            self.nodes
-                .take_due(now)
-                .into_iter()
-                .for_each(|id| self.check_node(id, now, TreatmentCause::TimePassed));
-            self.note(Observation::TimePassed);
+    /// Notifies the observer that time has passed, and of what has changed only by that.
+    pub(super) fn tick_observer(&mut self, now: Instant) {
+        if self.observer.take_due_tick(now) {
+            for id in self.nodes.take_due_checks(now) {
+                self.check_node_treatment(id, now, TreatmentCause::TimePassed);
+            }
+            self.observer.observe(Observation::TimePassed);
         }
     }
 }
--- /dev/null
+++ b/crates/core/src/actor/open_requests.rs
@@ -0,0 +1,273 @@
+//! The open requests with their deadlines and the attempts that are in flight.
+
+use std::collections::{BTreeSet, HashMap};
+use std::time::Duration;
+
+use tokio::sync::oneshot;
+use tokio::time::Instant;
+use tokio_util::sync::CancellationToken;
+
+use crate::client_request_ids::{ClientRequestIdGuard, ClientRequestIds};
+use crate::{Answer, ClientRequest, Upload};
+use heathward_policy::{AttemptEnd, ClassId, ClassSettings, Idempotency, Micros, RequestId};
+
+/// The policy answers a request at its deadline; the core answers what is still open this much later. It is
+/// well within the time that clients grant beyond the deadline, and longer than a timer can be late.
+const OVERDUE_GRACE: Duration = Duration::from_millis(5);
+
+/// An answer that must reach the client by half of the request's time is given this much earlier.
+const ANSWER_TRAVEL_TIME: Duration = Duration::from_millis(10);
+
+/// A request that has no answer yet, or whose attempt is still in flight.
+pub(super) struct OpenRequest {
+    pub(super) request: ClientRequest,
+    /// Keeps the client's request id reserved; taken by a reply that is streamed.
+    pub(super) id_guard: Option<ClientRequestIdGuard>,
+    received_at: Instant,
+    /// Half of the request's time is over: until then, an attempt has to find a connection by then.
+    half_time: Instant,
+    /// Where the one answer goes; taken by that answer.
+    reply: Option<oneshot::Sender<Answer>>,
+    /// Cancelled by the final answer and by the disconnect of the client: nothing is written from then on.
+    pub(super) cancel: CancellationToken,
+    /// Number of attempts that were sent or that could not be sent.
+    attempts: u32,
+    in_flight: Option<InFlightAttempt>,
+    /// When the first attempt that may have been executed was sent.
+    first_possible_execution: Option<Instant>,
+    /// How the last attempt ended.
+    last_attempt_end: Option<AttemptEnd>,
+}
+
+/// The attempt of a request that is in flight.
+#[derive(Clone, Copy, Debug)]
+struct InFlightAttempt {
+    number: u32,
+    sent_at: Instant,
+}
+
+/// What remains of a request that has got its answer.
+pub(super) struct AnsweredRequest {
+    pub(super) class: ClassId,
+    pub(super) received_at: Instant,
+    /// Where the answer goes.
+    pub(super) reply: oneshot::Sender<Answer>,
+    /// Number of attempts.
+    pub(super) attempts: u32,
+    /// How the last attempt ended.
+    pub(super) last_attempt_end: Option<AttemptEnd>,
+}
+
+impl OpenRequest {
+    pub(super) fn new(
+        request: ClientRequest,
+        id_guard: ClientRequestIdGuard,
+        received_at: Instant,
+        reply: oneshot::Sender<Answer>,
+        cancel: CancellationToken,
+    ) -> Self {
+        let time_budget = request.deadline.saturating_duration_since(received_at);
+        Self {
+            half_time: received_at + (time_budget / 2).saturating_sub(ANSWER_TRAVEL_TIME),
+            request,
+            id_guard: Some(id_guard),
+            received_at,
+            reply: Some(reply),
+            cancel,
+            attempts: 0,
+            in_flight: None,
+            first_possible_execution: None,
+            last_attempt_end: None,
+        }
+    }
+
+    /// It has got its answer, or nobody waits for one.
+    pub(super) fn is_answered(&self) -> bool {
+        self.reply.is_none()
+    }
+
+    /// A node may have executed it, or may do so now.
+    pub(super) fn is_possibly_executed(&self) -> bool {
+        self.first_possible_execution.is_some() || self.in_flight.is_some()
+    }
+
+    /// Takes the number of the next attempt.
+    pub(super) fn next_attempt_number(&mut self) -> u32 {
+        let number = self.attempts;
+        self.attempts += 1;
+        number
+    }
+
+    /// When an attempt that is sent now is given up, if the policy gives it `timeout` microseconds: no later
+    /// than the deadline of the request, and no later than nodes remember an idempotency key. A request whose
+    /// body is still being received has until its deadline, as it advances at the pace of its client.
+    pub(super) fn attempt_deadline(
+        &self,
+        now: Instant,
+        timeout: Option<Micros>,
+        class: &ClassSettings,
+    ) -> Instant {
+        let request_deadline = self.request.deadline;
+        if self.request.node_request.upload.is_some() {
+            return request_deadline;
+        }
+        let given_up = timeout.map_or(request_deadline, |timeout| now + Duration::from_micros(timeout));
+        let deadline = given_up.min(request_deadline);
+        match (self.first_possible_execution, class.idempotency) {
+            (Some(executed), Idempotency::WithKey) => {
+                deadline.min(executed + Duration::from_micros(class.deduplication_window))
+            }
+            _ => deadline,
+        }
+    }
+
+    /// Whether an attempt may be sent now: there is no answer yet, no other attempt is in flight, there is time
+    /// left, and no part of a streamed body was sent before.
+    pub(super) fn may_send(&self, now: Instant, attempt_deadline: Instant) -> bool {
+        let is_resendable = self.request.node_request.upload.as_ref().is_none_or(Upload::is_unsent);
+        !self.is_answered() && self.in_flight.is_none() && now < attempt_deadline && is_resendable
+    }
+
+    /// By when an attempt that is sent now has to find a connection.
+    pub(super) fn connect_deadline(&self, now: Instant, attempt_deadline: Instant) -> Instant {
+        if now < self.half_time {
+            attempt_deadline.min(self.half_time)
+        } else {
+            attempt_deadline
+        }
+    }
+
+    /// Records that an attempt was sent.
+    pub(super) fn attempt_sent(&mut self, number: u32, sent_at: Instant) {
+        self.in_flight = Some(InFlightAttempt { number, sent_at });
+    }
+
+    /// Records how the attempt in flight ended, and returns from when on the node worked on it: from when it
+    /// was sent, or from the last byte of the body. `None` if it is not the attempt in flight.
+    pub(super) fn attempt_ended(&mut self, number: u32, end: AttemptEnd) -> Option<Instant> {
+        let InFlightAttempt { sent_at, .. } = self.in_flight.take_if(|attempt| attempt.number == number)?;
+        self.last_attempt_end = Some(end);
+        if matches!(end, AttemptEnd::Error | AttemptEnd::TimedOut | AttemptEnd::Reset | AttemptEnd::Cancelled)
+        {
+            self.first_possible_execution.get_or_insert(sent_at);
+        }
+        let body_completed_at = self.request.node_request.upload.as_ref().and_then(Upload::completed_at);
+        Some(body_completed_at.map_or(sent_at, |at| at.max(sent_at)))
+    }
+
+    /// When the core answers it itself.
+    fn overdue_at(&self) -> Instant {
+        self.request.deadline + OVERDUE_GRACE
+    }
+}
+
+/// All open requests.
+#[derive(Default)]
+pub(super) struct OpenRequests {
+    by_id: HashMap<RequestId, OpenRequest>,
+    /// The client request ids of these, and of replies that are still being streamed.
+    client_ids: ClientRequestIds,
+    /// The requests without an answer, by when the core answers them itself.
+    overdue: BTreeSet<(Instant, RequestId)>,
+    /// No request gets more time than that; set once the program shuts down.
+    shutdown_deadline: Option<Instant>,
+}
+
+impl OpenRequests {
+    /// Reserves a client's request id; `None` if it is in use.
+    pub(super) fn reserve_client_id(&self, id: &str) -> Option<ClientRequestIdGuard> {
+        self.client_ids.reserve(id)
+    }
+
+    /// The deadline of a request, which is limited by that of a shutdown.
+    pub(super) fn limit_deadline(&self, deadline: Instant) -> Instant {
+        self.shutdown_deadline.map_or(deadline, |shutdown| shutdown.min(deadline))
+    }
+
+    /// The program shuts down.
+    pub(super) fn is_shutting_down(&self) -> bool {
+        self.shutdown_deadline.is_some()
+    }
+
+    pub(super) fn insert(&mut self, id: RequestId, open: OpenRequest) {
+        self.overdue.insert((open.overdue_at(), id));
+        self.by_id.insert(id, open);
+    }
+
+    pub(super) fn get(&self, id: RequestId) -> Option<&OpenRequest> {
+        self.by_id.get(&id)
+    }
+
+    pub(super) fn get_mut(&mut self, id: RequestId) -> Option<&mut OpenRequest> {
+        self.by_id.get_mut(&id)
+    }
+
+    /// It has got its answer, or is not known any more.
+    pub(super) fn is_answered(&self, id: RequestId) -> bool {
+        self.by_id.get(&id).is_none_or(OpenRequest::is_answered)
+    }
+
+    /// Takes what is needed to answer a request, cancels what is in flight, and drops the request unless the
+    /// end of an attempt is still expected. `None` if it was answered before.
+    pub(super) fn take_for_answer(&mut self, id: RequestId) -> Option<AnsweredRequest> {
+        let open = self.by_id.get_mut(&id)?;
+        let reply = open.reply.take()?;
+        open.cancel.cancel();
+        let answered = AnsweredRequest {
+            class: open.request.class,
+            received_at: open.received_at,
+            reply,
+            attempts: open.attempts,
+            last_attempt_end: open.last_attempt_end,
+        };
+        self.overdue.remove(&(open.overdue_at(), id));
+        if open.in_flight.is_none() {
+            self.by_id.remove(&id);
+        }
+        Some(answered)
+    }
+
+    /// Drops a request that has its answer and no attempt in flight.
+    pub(super) fn remove(&mut self, id: RequestId) {
+        self.by_id.remove(&id);
+    }
+
+    /// Number of requests without an answer.
+    pub(super) fn unanswered_count(&self) -> usize {
+        self.overdue.len()
+    }
+
+    /// Number of requests without an answer and of replies that are being streamed.
+    pub(super) fn active_count(&self) -> usize {
+        self.unanswered_count() + self.client_ids.streaming_count()
+    }
+
+    /// When the core answers a request itself next.
+    pub(super) fn next_overdue(&self) -> Option<Instant> {
+        self.overdue.first().map(|(at, _)| *at)
+    }
+
+    /// Removes a request that is overdue from the schedule.
+    pub(super) fn pop_overdue(&mut self, now: Instant) -> Option<RequestId> {
+        let &(at, id) = self.overdue.first().filter(|(at, _)| *at <= now)?;
+        self.overdue.remove(&(at, id));
+        Some(id)
+    }
+
+    /// Limits the deadlines of all requests, now and from now on: clients may wait for longer than the platform
+    /// lets the program run, and the end of their connection is no answer.
+    pub(super) fn set_shutdown_deadline(&mut self, deadline: Instant) {
+        self.shutdown_deadline = Some(deadline);
+        let first_later = (deadline + OVERDUE_GRACE, RequestId(0));
+        for (overdue_at, id) in self.overdue.split_off(&first_later) {
+            let overdue_at = match self.by_id.get_mut(&id) {
+                Some(open) => {
+                    open.request.deadline = deadline;
+                    open.overdue_at()
+                }
+                None => overdue_at,
+            };
+            self.overdue.insert((overdue_at, id));
+        }
+    }
+}
--- a/crates/core/src/actor/settings.rs
+++ b/crates/core/src/actor/settings.rs
@@ -1,49 +1,36 @@
 //! Settings that change while the core runs.
 
 use std::sync::Arc;
-use std::time::Duration;
 
 use super::Actor;
 use heathward_policy::settings::{ConfigError, Deployment};
-use heathward_policy::EndpointListMode;
 
 impl Actor {
-    /// Open requests go by the places of their class and plan, so that these stay as they are.
-    pub(super) fn resettle(&mut self, deployment: Arc<Deployment>) -> Result<(), ConfigError> {
-        let old = self.deployment.borrow().clone();
-        let names = |field: &str| ConfigError {
-            field: field.to_owned(),
-            reason: "names may only be added".to_owned(),
-        };
+    /// Applies new settings.
+    ///
+    /// # Errors
+    ///
+    /// A [`ConfigError`] if a class or plan was removed or renamed, because open requests refer to both by
+    /// index, or if the policy does not accept the settings. The old settings then stay.
+    pub(super) fn update_settings(&mut self, deployment: Arc<Deployment>) -> Result<(), ConfigError> {
+        let old = Arc::clone(&self.published.deployment());
         if !deployment.class_names.starts_with(&old.class_names) {
-            return Err(names("settings.lanes"));
+            return Err(names_removed("settings.lanes"));
         }
         if !deployment.plan_names.starts_with(&old.plan_names) {
-            return Err(names("settings.contracts"));
+            return Err(names_removed("settings.contracts"));
         }
-        let resettled = self.scheduler.update_settings(deployment.settings.clone());
-        resettled.map_err(|e| ConfigError { field: "settings".to_owned(), reason: e.to_string() })?;
-        if let Some(observer) = &mut self.observer {
-            observer.settings_changed(&deployment);
-        }
-        self.deployment.send_replace(deployment);
-        self.rule();
-        self.check_nodes_soon();
+        self.policy
+            .update_settings(deployment.settings.clone())
+            .map_err(|error| ConfigError { field: "settings".to_owned(), reason: error.to_string() })?;
+        self.observer.settings_changed(&deployment);
+        self.lease.apply_settings(&deployment);
+        self.published.set_deployment(deployment);
+        self.schedule_all_node_checks();
         Ok(())
     }
+}
 
-    /// Goes by the settings' rule on drains, where they have one.
-    pub(super) fn rule(&mut self) {
-        let (ruled, within) = (self.deployment.borrow().drain_grace.is_some(), self.asks_within());
-        self.lease.set_limits(ruled, within);
-        self.expiry.set(self.lease.expires_at());
-    }
-
-    /// How long a host may go on without a watch, where lists have to be asked for.
-    fn asks_within(&self) -> Option<Duration> {
-        match self.deployment.borrow().settings.endpoint_list_mode {
-            EndpointListMode::Streamed => None,
-            EndpointListMode::Polled { max_interval: within } => Some(Duration::from_micros(within)),
-        }
-    }
+fn names_removed(field: &str) -> ConfigError {
+    ConfigError { field: field.to_owned(), reason: "names may only be added".to_owned() }
 }
--- a/crates/core/src/actor/zones.rs
+++ b/crates/core/src/actor/zones.rs
@@ -1,45 +1,45 @@
-//! Numbers of zones, for the module: a zone has one for as long as a known node is in it.
+//! Numbers of zones, by which the policy knows them. A zone keeps its number while a known node is in it.
 
 use std::collections::HashMap;
 
-/// The zones of all known nodes; so it holds no more entries than there are nodes.
+/// The zones of all known nodes; there are never more entries than nodes.
 #[derive(Debug, Default)]
 pub(super) struct Zones {
-    known: HashMap<Box<str>, Zone>,
-    next: u32,
+    by_name: HashMap<Box<str>, Zone>,
+    next_number: u32,
 }
 
 #[derive(Debug)]
 struct Zone {
     number: u32,
-    nodes: usize,
+    node_count: usize,
 }
 
 impl Zones {
-    /// One more node is in the zone; gives back the zone's number.
-    pub(super) fn enter(&mut self, name: &str) -> u32 {
-        if let Some(zone) = self.known.get_mut(name) {
-            zone.nodes += 1;
+    /// Adds a node to the zone with that name, and returns the number of the zone.
+    pub(super) fn add_node(&mut self, name: &str) -> u32 {
+        if let Some(zone) = self.by_name.get_mut(name) {
+            zone.node_count += 1;
             return zone.number;
         }
-        let number = self.next;
-        self.next += 1;
-        self.known.insert(name.into(), Zone { number, nodes: 1 });
+        let number = self.next_number;
+        self.next_number += 1;
+        self.by_name.insert(name.into(), Zone { number, node_count: 1 });
         number
     }
 
-    /// One node fewer is in the zone, which is forgotten with its last one.
-    pub(super) fn leave(&mut self, name: &str) {
-        let Some(zone) = self.known.get_mut(name) else { return };
-        zone.nodes -= 1;
-        if zone.nodes == 0 {
-            self.known.remove(name);
+    /// Removes a node from the zone with that name; without nodes the zone is forgotten.
+    pub(super) fn remove_node(&mut self, name: &str) {
+        let Some(zone) = self.by_name.get_mut(name) else { return };
+        zone.node_count -= 1;
+        if zone.node_count == 0 {
+            self.by_name.remove(name);
         }
     }
 
-    /// How many zones are known.
+    /// Number of known zones.
     #[cfg(test)]
     pub(super) fn len(&self) -> usize {
-        self.known.len()
+        self.by_name.len()
     }
 }
--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -1,4 +1,4 @@
-//! Messages to the core's actor, and the state that it publishes.
+//! Messages to the core's actor, and the status that it publishes.
 
 use std::sync::Arc;
 
@@ -9,74 +9,94 @@
 use super::observe::Observer;
 use super::{
     Answer, Attempt, ClientRequest, CommandError, CoreMetrics, EndedAttempt, Endpoint, EndpointUpdate,
-    ForwardedCommand, HandoverState, OperatorCommand,
+    ForwardedCommand, Handover, HandoverState, OperatorCommand,
 };
 use heathward_policy::settings::{ConfigError, Deployment};
 use heathward_policy::RequestId;
 
-/// What the module's actor is told.
+/// A message to the core's actor.
 pub enum CoreMessage {
-    /// A front has taken a request.
+    /// A front end has received a request.
     RequestReceived {
-        /// The core's own id for it.
+        /// The core's own id for the request.
         id: RequestId,
         /// The request.
         request: ClientRequest,
-        /// Where its one answer goes.
+        /// Where the one answer goes.
         reply: oneshot::Sender<Answer>,
-        /// Cancelled once nobody waits for that any more.
+        /// Cancelled once nobody waits for the answer any more.
         cancel: CancellationToken,
     },
-    /// A front turned a request away that made no sense.
+    /// A front end has rejected a malformed request.
     MalformedRequest,
     /// An attempt has ended.
     AttemptEnded(EndedAttempt),
-    /// Discovery has an update of the list.
+    /// Discovery has an update of the endpoint list.
     EndpointUpdate(EndpointUpdate),
-    /// A line came from discovery then, be it an empty one; what it told has been told here. Or its agent
-    /// took a call then and had nothing more to tell.
+    /// A watch message, possibly an empty one, arrived from discovery at that instant, and its content was
+    /// sent here before. Or the discovery agent accepted a call at that instant and had nothing more to say.
     DiscoveryContact(Instant),
-    /// No watch stands at a service that all ask: none was opened yet, or the last one brought lines and has
-    /// ended.
+    /// At a polled discovery service no watch is open: none was opened yet, or the last one has delivered
+    /// messages and has ended.
     WatchClosed,
-    /// A call at a service that all ask was refused, broken off before a line, or not answered in its time.
+    /// A call to a polled discovery service was rejected, broke before any message, or timed out.
     DiscoveryCallFailed,
-    /// Discovery's agent was asked, had time to answer, and has not by then.
+    /// The discovery agent was called, had time to answer, and has not answered until that instant.
     DiscoveryUnanswered(Instant),
-    /// Discovery is at another address since then.
+    /// Discovery has been at another address since that instant.
     DiscoveryMoved(Instant),
-    /// The deployment's settings have changed; the reply says whether they stand.
-    UpdateSettings(Arc<Deployment>, oneshot::Sender<Result<(), ConfigError>>),
-    /// The program ends: every answer has to be there by then.
+    /// The settings of the deployment have changed.
+    UpdateSettings {
+        /// The new settings.
+        deployment: Arc<Deployment>,
+        /// Says whether the core accepts them.
+        reply: oneshot::Sender<Result<(), ConfigError>>,
+    },
+    /// The program shuts down: every answer must be given by that instant.
     ShutdownDeadline(Instant),
-    /// A configuration was read again: it is gone by, or not taken.
-    ConfigurationReloaded(bool),
-    /// Records are kept by that from now on, or not at all; the reply says that it is so.
-    SetObserver(Option<Box<dyn Observer>>, oneshot::Sender<()>),
+    /// The configuration was read again.
+    ConfigurationReloaded {
+        /// It was applied; otherwise it was rejected.
+        applied: bool,
+    },
+    /// The observer is replaced.
+    SetObserver {
+        /// The new one; `None` removes the old one.
+        observer: Option<Box<dyn Observer>>,
+        /// Confirms it.
+        reply: oneshot::Sender<()>,
+    },
 }
 
-/// What passes ahead of all messages.
-pub(crate) enum Urgent {
-    /// A command of staff here, or from the other process, which is not told of it again.
-    Command(OperatorCommand, bool, oneshot::Sender<Result<(), CommandError>>),
-    /// The state for a process that takes over, and the commands that follow it.
-    HandOver(oneshot::Sender<(HandoverState, mpsc::Receiver<ForwardedCommand>)>),
-    /// Go on from the state of the process before; the commands that it is to be told.
-    TakeOver(HandoverState, oneshot::Sender<mpsc::Receiver<ForwardedCommand>>),
-    /// The counters, and how the core stands.
+/// A message that the actor handles before all others.
+pub(crate) enum ControlMessage {
+    /// Carry out a command.
+    RunCommand {
+        command: OperatorCommand,
+        /// The command comes from the peer process, so it is not forwarded there.
+        from_peer_process: bool,
+        reply: oneshot::Sender<Result<(), CommandError>>,
+    },
+    /// Hand the state over to a new process of this scheduler.
+    HandOver(oneshot::Sender<Handover>),
+    /// Continue from the state of the previous process. The reply is the stream of commands for that process.
+    TakeOver { state: HandoverState, reply: oneshot::Sender<mpsc::Receiver<ForwardedCommand>> },
+    /// Report counters and status.
     Metrics(oneshot::Sender<CoreMetrics>),
 }
 
-/// How the core stands, for whoever watches.
+/// The status of the core, for whoever watches it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CoreStatus {
-    /// The module runs and has a list of nodes.
+    /// The core runs, and has an endpoint list that it may use.
     pub ready: bool,
-    /// Requests without an answer.
+    /// Number of requests that have no answer yet.
     pub open_requests: usize,
-    /// Nothing is sent, as discovery was heard last then.
+    /// While the lease on the endpoint list is expired, and nothing is sent to nodes: the last contact with
+    /// discovery.
     pub expired_lease_last_contact: Option<Instant>,
 }
 
-/// Opens the way to a node: the mailbox of an actor that reports each end to the core.
+/// Starts to serve a node's connections: returns the channel for its attempts. The second argument is where
+/// the end of each attempt is reported, with [`report_attempt_end`](crate::report_attempt_end).
 pub type NodeConnector = Box<dyn Fn(&Endpoint, mpsc::Sender<CoreMessage>) -> mpsc::Sender<Attempt> + Send>;
--- a/crates/transport/src/handover/mod.rs
+++ b/crates/transport/src/handover/mod.rs
@@ -18,7 +18,7 @@
 use tokio::sync::mpsc;
 use tokio::time::{timeout_at, Instant};
 
-use heathward_core::{CoreHandle, HandoverState};
+use heathward_core::{CoreHandle, Handover, HandoverState};
 use link::Link;
 
 pub use codec::{decode, encode};
@@ -130,7 +130,7 @@
     sockets: Vec<OwnedFd>,
     phases: &mpsc::Sender<PeerPhase>,
 ) -> Option<()> {
-    let (state, commands) = core.hand_over().await?;
+    let Handover { state, commands } = core.hand_over().await?;
     let given = async {
         link.send(&sockets).await.ok()?;
         drop(sockets);
