--- a/crates/transport/src/discovery.rs
+++ b/crates/transport/src/discovery.rs
@@ -1,6 +1,6 @@
 //! Follows discovery: an actor that watches the list, a parser for its lines.
 
-mod lines;
+mod stream_splitter;
 
 use std::convert::Infallible;
 use std::future::{pending, Future};
@@ -29,7 +29,7 @@
 
 use crate::backoff::{ReconnectPolicy, WatchEnd};
 
-pub use lines::StreamSplitter;
+pub use stream_splitter::StreamSplitter;
 
 /// An empty line comes every 2 s: a watch without one for this long is broken.
 const SILENCE: Duration = Duration::from_millis(2750);
--- a/crates/transport/src/handover/mod.rs
+++ b/crates/transport/src/handover/mod.rs
@@ -6,7 +6,7 @@
 
 mod codec;
 mod link;
-mod partner;
+mod peer_process;
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -98,7 +98,7 @@
         let said = timeout_at(Instant::now() + PATIENCE, self.link.say(READY)).await;
         tokio::spawn(async move {
             if let (Some(commands), Ok(Ok(()))) = (commands, said) {
-                partner::follow(&mut self.link, &core, commands).await;
+                peer_process::follow(&mut self.link, &core, commands).await;
             }
             // Without a program there is nobody to tell.
             let _ = phases.send(PeerPhase::Exited).await;
@@ -143,6 +143,6 @@
     }
     // Without a program there is nobody to tell.
     let _ = phases.send(PeerPhase::Serving).await;
-    partner::follow(link, core, commands).await;
+    peer_process::follow(link, core, commands).await;
     Some(())
 }
--- a/crates/transport/tests/stored/main.rs
+++ b/crates/transport/tests/stored/main.rs
@@ -2,6 +2,6 @@
 //! as bytes in files: each is compared or read byte for byte.
 #![cfg(test)]
 
+mod admin;
 mod counters;
 mod handover;
-mod ops;
