--- a/crates/discovery-pacing/src/call_pacer.rs
+++ b/crates/discovery-pacing/src/call_pacer.rs
@@ -1,150 +1,157 @@
-//! When one of many schedulers may call a list service that all of them ask.
+//! When one of many schedulers may call a service that all of them share.
 //!
-//! The service is one for all and has room for so many calls a second; what it can do is told nowhere. A call
-//! that finds no room waits, fails, and has still cost a turn. So the calls of a fleet have to come no faster
-//! than they are served. Each host keeps an estimate of what one call costs the service, by what its own
-//! calls met: an answer that came at once shows the cost, one that came late bounds it, a failure shows that
-//! it is larger than thought. A round of calls of the whole fleet then takes the estimate times the number
-//! of hosts, and each host calls at its own place in the round, by its number: evenly, not by chance.
+//! The service serves a limited number of calls per second, and does not say how many. A call that exceeds this
+//! waits, fails, and still uses up some of the service's time, so the fleet must not call faster than it is
+//! served. Each scheduler estimates what one call costs the service from its own calls: an answer that comes
+//! at once shows the cost, a late one is an upper bound, and a failure shows that the cost is higher than
+//! estimated. A round, in which every scheduler calls once, then takes the estimated cost times the number of
+//! schedulers. Each scheduler calls in its own slot of the round, so that calls are spread evenly.
 
 use std::time::Duration;
 
-/// What a call is taken to cost before any was answered. Measured: some 54 ms at one service. Too small a
-/// guess costs rounds of failures, too large a one makes the first round as much longer.
-const FIRST_GUESS: Duration = Duration::from_millis(54);
-/// No estimate is outside these.
-const BOUNDS: (Duration, Duration) = (Duration::from_millis(2), Duration::from_millis(1_000));
-/// A round leaves so much room beside the estimate.
-const ROOM: f64 = 1.2;
-/// A failure raises the estimate by that, and an answer raises it by no more: one answer may have waited
-/// long.
-const RAISE: f64 = 1.6;
-/// An answer lowers it by no more.
-const LOWER: f64 = 0.5;
-/// What the soonest answer grows by with each further one.
-const FORGET: f64 = 1.1;
-/// A round is no shorter: guards against calls without a pause in a fleet of a few.
-const LEAST_ROUND: Duration = Duration::from_millis(100);
-/// And no longer: a host is out of the list's reach meanwhile.
-const LONGEST_ROUND: Duration = Duration::from_secs(600);
-/// A hint to come again later is followed up to that.
-const LONGEST_HINT: Duration = Duration::from_secs(60);
-
-/// Which of how many.
+/// The estimated cost of a call before any was answered.
+const INITIAL_COST: Duration = Duration::from_millis(54);
+/// The lowest estimate.
+const MIN_COST: Duration = Duration::from_millis(2);
+/// The highest estimate.
+const MAX_COST: Duration = Duration::from_millis(1_000);
+/// A round is longer than the estimated cost of its calls by this factor.
+const ROUND_HEADROOM_FACTOR: f64 = 1.2;
+/// A failure raises the estimate by this factor, and a late answer by no more: it may have waited for others.
+const MAX_COST_RAISE_FACTOR: f64 = 1.6;
+/// An answer lowers the estimate to no less than this fraction of it.
+const MAX_COST_DROP_FACTOR: f64 = 0.5;
+/// The fastest answer so far counts as slower by this factor with each further answer, so that it is forgotten
+/// when the service becomes slower.
+const FASTEST_ANSWER_AGING_FACTOR: f64 = 1.1;
+/// The shortest round, so that a small fleet does not call without a pause.
+const MIN_ROUND: Duration = Duration::from_millis(100);
+/// The longest round. Between its calls a scheduler learns of no change.
+const MAX_ROUND: Duration = Duration::from_secs(600);
+/// A Retry-After hint is followed up to this.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
+
+/// The position of one scheduler in its fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FleetPosition {
-    /// The host's number, from 0; taken by the number of hosts where it is none of them.
+    /// The scheduler's index, from 0. An index outside the fleet is reduced modulo its size.
     pub scheduler_index: u32,
-    /// How many there are; 0 counts as 1.
+    /// The number of schedulers; 0 counts as 1.
     pub schedulers: u32,
 }
 
 /// How a call failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallFailure {
-    /// Nobody was there, or the connection broke at once: it has cost no turn.
+    /// There was no connection, or it broke at once: the service has spent no time on it.
     Unreachable,
-    /// It waited, and failed: it has had its turn, or will have it.
+    /// It waited and got no answer: the service has spent time on it, or will.
     TimedOut,
-    /// It was turned away, with a hint when to come again where there was one.
-    Rejected(Option<Duration>),
+    /// It was rejected.
+    Rejected {
+        /// The Retry-After hint that came with it, if any.
+        retry_after: Option<Duration>,
+    },
 }
 
-/// When the next call may be made.
+/// Decides when one scheduler may make its next call.
 #[derive(Clone, Debug)]
 pub struct CallPacer {
     rng: fastrand::Rng,
-    place: FleetPosition,
-    /// What one call costs the service, as far as this host has seen.
+    position: FleetPosition,
+    /// What one call costs the service, as far as this scheduler's calls show.
     estimated_cost: Duration,
-    /// The soonest answer so far, by and by forgotten.
-    least: Option<Duration>,
+    /// The fastest answer so far, aged by each answer since.
+    fastest_answer: Option<Duration>,
     /// Failures since the last answer.
     failures: u32,
 }
 
 impl CallPacer {
-    /// For that host; `seed` is its only source of chance.
-    pub fn new(place: FleetPosition, seed: u64) -> Self {
-        let hosts = place.schedulers.max(1);
-        let place = FleetPosition { scheduler_index: place.scheduler_index % hosts, schedulers: hosts };
-        Self {
-            rng: fastrand::Rng::with_seed(seed),
-            place,
-            estimated_cost: FIRST_GUESS,
-            least: None,
-            failures: 0,
-        }
+    /// The pacer of that scheduler. All its randomness comes from `seed`.
+    pub fn new(position: FleetPosition, seed: u64) -> Self {
+        let schedulers = position.schedulers.max(1);
+        let scheduler_index = position.scheduler_index % schedulers;
+        Self::without_history(fastrand::Rng::with_seed(seed), FleetPosition { scheduler_index, schedulers })
     }
 
-    /// One for another service, of which nothing is known.
+    /// A pacer of the same scheduler for another service, without any history.
     pub fn fork(&mut self) -> Self {
-        Self {
-            rng: self.rng.fork(),
-            place: self.place,
-            estimated_cost: FIRST_GUESS,
-            least: None,
-            failures: 0,
-        }
+        Self::without_history(self.rng.fork(), self.position)
     }
 
-    /// What one call is taken to cost now.
+    fn without_history(rng: fastrand::Rng, position: FleetPosition) -> Self {
+        Self { rng, position, estimated_cost: INITIAL_COST, fastest_answer: None, failures: 0 }
+    }
+
+    /// The estimated cost of one call, from 2 ms to 1 s.
     pub fn estimated_cost(&self) -> Duration {
         self.estimated_cost
     }
 
-    /// How long a round of the whole fleet's calls takes now.
+    /// How long a round of calls of the whole fleet takes now, from 100 ms to 600 s.
     pub fn round_duration(&self) -> Duration {
-        self.estimated_cost.mul_f64(ROOM * f64::from(self.place.schedulers)).clamp(LEAST_ROUND, LONGEST_ROUND)
+        let cost_factor = ROUND_HEADROOM_FACTOR * f64::from(self.position.schedulers);
+        self.estimated_cost.mul_f64(cost_factor).clamp(MIN_ROUND, MAX_ROUND)
     }
 
-    /// How long the first call after a start waits: this host's place in a round, as all may start at once.
+    /// The delay before the first call: until this scheduler's slot in a round, as all schedulers may start at
+    /// the same time.
     pub fn first_delay(&mut self) -> Duration {
-        self.placed()
+        self.offset_in_round()
     }
 
-    /// A call was answered after so long. Returns how long the next one waits should this watch end.
-    pub fn on_answer(&mut self, after: Duration) -> Duration {
+    /// Records that a call was answered after `elapsed`. Returns the delay before the next call, should this
+    /// watch end.
+    pub fn on_answer(&mut self, elapsed: Duration) -> Duration {
         self.failures = 0;
-        // Waiting for others' calls makes an answer later, never sooner: the least seen is nearest to the
-        // truth. It grows a little with each answer, as a service may become slower.
-        let least = self.least.map_or(after, |least| after.min(least.mul_f64(FORGET)));
-        self.least = Some(least);
-        let (low, high) = (self.estimated_cost.mul_f64(LOWER), self.estimated_cost.mul_f64(RAISE));
-        self.estimated_cost = least.clamp(low, high).clamp(BOUNDS.0, BOUNDS.1);
-        self.placed()
+        // Waiting for other schedulers' calls makes an answer later and never sooner, so the fastest answer is
+        // the closest to the real cost.
+        let aged = |fastest: Duration| fastest.mul_f64(FASTEST_ANSWER_AGING_FACTOR);
+        let fastest = self.fastest_answer.map_or(elapsed, |fastest| elapsed.min(aged(fastest)));
+        self.fastest_answer = Some(fastest);
+        let lowest = self.estimated_cost.mul_f64(MAX_COST_DROP_FACTOR);
+        let highest = self.estimated_cost.mul_f64(MAX_COST_RAISE_FACTOR);
+        self.estimated_cost = fastest.clamp(lowest, highest).clamp(MIN_COST, MAX_COST);
+        self.offset_in_round()
     }
 
-    /// A call failed so, `since` after it was made. Returns how long the next one waits: for the rest of this
-    /// round, and for its place in the next. Guards against hosts whose place is early and who would call
-    /// again and again meanwhile.
-    pub fn on_failure(&mut self, how: CallFailure, since: Duration) -> Duration {
-        let (first, before) = (self.failures == 0, self.round_duration());
+    /// Records that a call failed, `elapsed` after it was made. Returns the delay before the next call: the rest
+    /// of this round, and the way to this scheduler's slot in the next one. Without the rest of this round,
+    /// schedulers with an early slot would call again and again within it.
+    pub fn on_failure(&mut self, failure: CallFailure, elapsed: Duration) -> Duration {
+        let is_first_failure = self.failures == 0;
+        let round_before = self.round_duration();
         self.failures = self.failures.saturating_add(1);
-        let overloaded = match how {
-            // Whoever is not there is not overloaded.
+        let shows_overload = match failure {
             CallFailure::Unreachable => false,
             CallFailure::TimedOut => true,
-            // Once may be chance.
-            CallFailure::Rejected(_) => !first,
+            // A single rejection may have another cause.
+            CallFailure::Rejected { .. } => !is_first_failure,
         };
-        if overloaded {
-            self.estimated_cost = self.estimated_cost.mul_f64(RAISE).clamp(BOUNDS.0, BOUNDS.1);
+        if shows_overload {
+            self.estimated_cost =
+                self.estimated_cost.mul_f64(MAX_COST_RAISE_FACTOR).clamp(MIN_COST, MAX_COST);
         }
-        let rest =
-            before.mul_f64(1.0 - f64::from(self.place.scheduler_index) / f64::from(self.place.schedulers));
-        let next = rest.saturating_sub(since) + self.placed();
-        match how {
-            CallFailure::Rejected(Some(hint)) => next.max(hint.min(LONGEST_HINT)),
-            _ => next,
+        let rest_of_round = round_before.mul_f64(1.0 - self.slot_start());
+        let delay = rest_of_round.saturating_sub(elapsed) + self.offset_in_round();
+        match failure {
+            CallFailure::Rejected { retry_after: Some(hint) } => delay.max(hint.min(MAX_RETRY_AFTER)),
+            _ => delay,
         }
     }
 
-    /// This host's place in a round, with a chance within the place alone.
-    fn placed(&mut self) -> Duration {
-        let place =
-            (f64::from(self.place.scheduler_index) + self.rng.f64()) / f64::from(self.place.schedulers);
-        self.round_duration().mul_f64(place)
+    /// Where this scheduler's slot begins, as a fraction of a round.
+    fn slot_start(&self) -> f64 {
+        f64::from(self.position.scheduler_index) / f64::from(self.position.schedulers)
+    }
+
+    /// A random point in this scheduler's slot, from the beginning of a round.
+    fn offset_in_round(&mut self) -> Duration {
+        let slot_offset = self.rng.f64();
+        let fraction =
+            (f64::from(self.position.scheduler_index) + slot_offset) / f64::from(self.position.schedulers);
+        self.round_duration().mul_f64(fraction)
     }
 }
 
--- a/crates/transport/src/backoff.rs
+++ b/crates/transport/src/backoff.rs
@@ -1,93 +1,112 @@
-//! How long one of many schedulers waits before it calls discovery again. No I/O, no clock.
+//! How long to wait between two calls to discovery: exponential backoff with jitter at an agent on this machine,
+//! paced calls at a service that all schedulers share. No I/O, no clock.
 
 use std::time::Duration;
 
 use heathward_discovery_pacing::{CallFailure, CallPacer, FleetPosition};
 use heathward_policy::EndpointListMode;
 
-/// The spans over which the call to one's own agent after a first failure and after many is drawn.
-const SPANS: (Duration, Duration) = (Duration::from_millis(50), Duration::from_millis(1000));
-/// No less of a span than this: guards against calls without a pause.
-const PART: f64 = 0.1;
-/// The call after a sound watch has ended is drawn over this span: what the agent of this machine has counts
-/// as told from the moment it has it, whether it was asked or not.
-const AT_ONCE: Duration = Duration::from_millis(50);
+/// The longest delay after the first failure; it doubles with each further one.
+const INITIAL_FAILURE_DELAY: Duration = Duration::from_millis(50);
+/// No delay after a failure is longer.
+const MAX_FAILURE_DELAY: Duration = Duration::from_millis(1000);
+/// A delay after a failure is at least this fraction of the longest possible one, so that calls never follow each
+/// other without a pause.
+const MIN_DELAY_FRACTION: f64 = 0.1;
+/// The longest delay after a healthy watch has ended. It is short because changes that the agent already has
+/// count as delivered, whether they were asked for or not.
+const MAX_HEALTHY_DELAY: Duration = Duration::from_millis(50);
+/// Doublings of the delay are counted up to this.
+const MAX_DOUBLINGS: u32 = 20;
 
-/// Pauses that double with each failure and are drawn apart: for an agent of this host's own, which answers
-/// at no cost to anybody, however large the fleet.
+/// Exponential backoff with jitter, for calls to the agent on this machine: it serves this scheduler alone, so the
+/// size of the fleet plays no part.
 #[derive(Clone, Debug)]
 pub struct AgentBackoff {
     rng: fastrand::Rng,
+    /// Failures since the last healthy watch.
     failures: u32,
 }
 
 impl AgentBackoff {
-    /// `seed` is its only source of chance.
+    /// A backoff without any failure. All its jitter comes from `seed`.
     pub fn new(seed: u64) -> Self {
         Self { rng: fastrand::Rng::with_seed(seed), failures: 0 }
     }
 
-    /// The pause before the next call, 50 ms at most where the last one was `sound`.
-    pub fn next_delay(&mut self, sound: bool) -> Duration {
-        if sound {
+    /// The delay before the next call: at most 50 ms after a `healthy` watch, at most 1 s after a failure.
+    pub fn next_delay(&mut self, healthy: bool) -> Duration {
+        if healthy {
             self.failures = 0;
-            return AT_ONCE.mul_f64(self.rng.f64());
+            return MAX_HEALTHY_DELAY.mul_f64(self.rng.f64());
         }
-        let span = SPANS.0.saturating_mul(1 << self.failures.min(20)).min(SPANS.1);
+        let doublings = self.failures.min(MAX_DOUBLINGS);
+        let longest = INITIAL_FAILURE_DELAY.saturating_mul(1 << doublings).min(MAX_FAILURE_DELAY);
         self.failures = self.failures.saturating_add(1);
-        span.mul_f64(PART + (1.0 - PART) * self.rng.f64())
+        longest.mul_f64(MIN_DELAY_FRACTION + (1.0 - MIN_DELAY_FRACTION) * self.rng.f64())
     }
 }
 
-/// How a watch ended that is followed by another.
+/// How a watch ended that another one is to follow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchEnd {
-    /// It had brought something, or stood for a while; its call was answered after so long.
-    Healthy(Duration),
-    /// It failed so, so long after its call.
-    Failed(CallFailure, Duration),
+    /// It had brought an update, or had been open for a while.
+    Healthy {
+        /// From when the call was accepted until its response began.
+        answered_in: Duration,
+    },
+    /// It failed.
+    Failed {
+        /// How.
+        failure: CallFailure,
+        /// From when the call was opened until it failed.
+        elapsed: Duration,
+    },
 }
 
-/// When the next call is made.
+/// When to make the next call for the endpoint list.
 #[derive(Clone, Debug)]
 pub enum ReconnectPolicy {
-    /// To an agent of this host's own.
+    /// At the agent on this machine.
     LocalAgent(AgentBackoff),
-    /// To a service that all hosts share.
+    /// At a service that all schedulers share.
     SharedService(CallPacer),
 }
 
 impl ReconnectPolicy {
-    /// For one of many hosts where lists come so; `seed` is its only source of chance.
-    pub fn new(lists: EndpointListMode, place: FleetPosition, seed: u64) -> Self {
-        match lists {
+    /// The policy for one scheduler of a fleet: streamed lists come from an agent on its machine, polled lists
+    /// from a shared service. All randomness comes from `seed`.
+    pub fn new(mode: EndpointListMode, position: FleetPosition, seed: u64) -> Self {
+        match mode {
             EndpointListMode::Streamed => Self::LocalAgent(AgentBackoff::new(seed)),
-            EndpointListMode::Polled { .. } => Self::SharedService(CallPacer::new(place, seed)),
+            EndpointListMode::Polled { .. } => Self::SharedService(CallPacer::new(position, seed)),
         }
     }
 
-    /// One for another address, with chances of its own.
+    /// A policy for another address, without any history and with random draws of its own.
     pub fn fork(&mut self) -> Self {
         match self {
             Self::LocalAgent(backoff) => Self::LocalAgent(AgentBackoff::new(backoff.rng.u64(..))),
-            Self::SharedService(calls) => Self::SharedService(calls.fork()),
+            Self::SharedService(pacer) => Self::SharedService(pacer.fork()),
         }
     }
 
-    /// How long the first call waits.
+    /// The delay before the first call.
     pub fn first_delay(&mut self) -> Duration {
         match self {
             Self::LocalAgent(_) => Duration::ZERO,
-            Self::SharedService(calls) => calls.first_delay(),
+            Self::SharedService(pacer) => pacer.first_delay(),
         }
     }
 
-    /// How long the next call waits.
-    pub fn next_delay(&mut self, ended: WatchEnd) -> Duration {
-        match (self, ended) {
-            (Self::LocalAgent(backoff), ended) => backoff.next_delay(matches!(ended, WatchEnd::Healthy(_))),
-            (Self::SharedService(calls), WatchEnd::Healthy(after)) => calls.on_answer(after),
-            (Self::SharedService(calls), WatchEnd::Failed(how, since)) => calls.on_failure(how, since),
+    /// The delay from the end of a watch to the next call.
+    pub fn next_delay(&mut self, end: WatchEnd) -> Duration {
+        match (self, end) {
+            (Self::LocalAgent(backoff), end) => backoff.next_delay(matches!(end, WatchEnd::Healthy { .. })),
+            (Self::SharedService(pacer), WatchEnd::Healthy { answered_in }) => pacer.on_answer(answered_in),
+            (Self::SharedService(pacer), WatchEnd::Failed { failure, elapsed }) => {
+                pacer.on_failure(failure, elapsed)
+            }
         }
     }
 }
--- a/crates/transport/src/backoff/tests.rs
+++ b/crates/transport/src/backoff/tests.rs
@@ -1,29 +1,31 @@
+use std::collections::BTreeSet;
+
 use super::*;
 
-/// Guards against a host of a large fleet that leaves its own agent alone for half a minute while what
-/// that has counts as told, and against one that is as quick at a service of all.
+/// A scheduler of a large fleet must not leave its agent uncalled for half a minute, as changes that the agent has
+/// count as delivered meanwhile; and it must not call a shared service as soon as its agent.
 #[test]
-fn ones_own_agent_is_called_at_once_and_a_service_of_all_by_ones_place() {
-    let place = FleetPosition { scheduler_index: 299, schedulers: 300 };
-    let failed = WatchEnd::Failed(CallFailure::Unreachable, Duration::ZERO);
-    let longest = |lists, ended| {
-        let mut pace = ReconnectPolicy::new(lists, place, 7);
-        (0..100).map(|_| pace.next_delay(ended)).max().unwrap()
+fn a_local_agent_is_called_at_once_and_a_shared_service_in_the_schedulers_slot() {
+    let position = FleetPosition { scheduler_index: 299, schedulers: 300 };
+    let failed = WatchEnd::Failed { failure: CallFailure::Unreachable, elapsed: Duration::ZERO };
+    let longest = |mode, end| {
+        let mut policy = ReconnectPolicy::new(mode, position, 7);
+        (0..100).map(|_| policy.next_delay(end)).max().unwrap()
     };
-    let asked = EndpointListMode::Polled { max_interval: 10_000_000 };
-    let sound = WatchEnd::Healthy(Duration::from_millis(54));
+    let polled = EndpointListMode::Polled { max_interval: 10_000_000 };
+    let healthy = WatchEnd::Healthy { answered_in: Duration::from_millis(54) };
     assert!(longest(EndpointListMode::Streamed, failed) <= Duration::from_secs(1));
-    assert!(longest(EndpointListMode::Streamed, sound) <= Duration::from_millis(50));
-    assert!(longest(asked, failed) > Duration::from_secs(10));
-    assert_eq!(ReconnectPolicy::new(EndpointListMode::Streamed, place, 7).first_delay(), Duration::ZERO);
-    assert!(ReconnectPolicy::new(asked, place, 7).first_delay() > Duration::from_secs(10));
+    assert!(longest(EndpointListMode::Streamed, healthy) <= Duration::from_millis(50));
+    assert!(longest(polled, failed) > Duration::from_secs(10));
+    assert_eq!(ReconnectPolicy::new(EndpointListMode::Streamed, position, 7).first_delay(), Duration::ZERO);
+    assert!(ReconnectPolicy::new(polled, position, 7).first_delay() > Duration::from_secs(10));
 }
 
 #[test]
-fn no_two_hosts_keep_step_with_their_agents() {
-    let mut one = AgentBackoff::new(1);
-    assert!(one.next_delay(false) <= Duration::from_millis(50));
-    let first: std::collections::BTreeSet<_> =
-        (0..100).map(|seed| AgentBackoff::new(seed).next_delay(false)).collect();
-    assert!(first.len() > 95);
+fn schedulers_reconnect_to_their_agents_at_different_times() {
+    let mut backoff = AgentBackoff::new(1);
+    assert!(backoff.next_delay(false) <= Duration::from_millis(50));
+    let first_delay = |seed| AgentBackoff::new(seed).next_delay(false);
+    let delays: BTreeSet<_> = (0..100).map(first_delay).collect();
+    assert!(delays.len() > 95);
 }
--- a/crates/transport/src/discovery.rs
+++ b/crates/transport/src/discovery.rs
@@ -372,11 +372,15 @@
             // It has brought something, or has stood for a while.
             (head, Some(taken)) if revision != self.after || since > SILENCE * 2 => {
                 let answered = head.map_or(since, |(at, _)| *at - *taken);
-                WatchEnd::Healthy(answered)
+                WatchEnd::Healthy { answered_in: answered }
             }
-            (Some((_, Err(hint))), _) => WatchEnd::Failed(CallFailure::Rejected(*hint), since),
-            (_, Some(_)) if since > AT_ONCE => WatchEnd::Failed(CallFailure::TimedOut, since),
-            _ => WatchEnd::Failed(CallFailure::Unreachable, since),
+            (Some((_, Err(hint))), _) => {
+                WatchEnd::Failed { failure: CallFailure::Rejected { retry_after: *hint }, elapsed: since }
+            }
+            (_, Some(_)) if since > AT_ONCE => {
+                WatchEnd::Failed { failure: CallFailure::TimedOut, elapsed: since }
+            }
+            _ => WatchEnd::Failed { failure: CallFailure::Unreachable, elapsed: since },
         }
     }
 }
--- a/testing/scale-tests/src/callers.rs
+++ b/testing/scale-tests/src/callers.rs
@@ -103,7 +103,7 @@
             since[host] = at;
             if service.call(at, host, 0).is_err() {
                 calls.push(Reverse((
-                    at + laws[host].failed(CallFailure::Rejected(None), Duration::ZERO),
+                    at + laws[host].failed(CallFailure::Rejected { retry_after: None }, Duration::ZERO),
                     host,
                 )));
             }
--- a/testing/scale-tests/src/lists.rs
+++ b/testing/scale-tests/src/lists.rs
@@ -455,7 +455,7 @@
         if self.servers[of].call(Duration::from_micros(at), (scheduler, generation), entries).is_err() {
             let wait = self.clients[scheduler as usize]
                 .calls
-                .on_failure(CallFailure::Rejected(None), Duration::ZERO);
+                .on_failure(CallFailure::Rejected { retry_after: None }, Duration::ZERO);
             self.costs.failed_calls += 1;
             self.call_later(at, scheduler, wait);
         }
