--- a/crates/logs/src/lib.rs
+++ b/crates/logs/src/lib.rs
@@ -1,7 +1,7 @@
 //! Structured logs on tracing: text or JSON lines on standard error, filtered by target and level.
 //!
-//! A thread of its own writes them, behind a queue of [`WAITING`] lines: while standard error is full or
-//! stuck, further lines are dropped and counted, and nobody waits.
+//! A thread of its own writes them from a queue of [`QUEUE_CAPACITY`] lines. While standard error is full or
+//! blocked, further lines are dropped and counted; logging never waits.
 
 use std::fmt;
 use std::io::Write;
@@ -13,16 +13,16 @@
 use tracing_subscriber::reload::{self, Handle};
 use tracing_subscriber::{Layer, Registry};
 
-/// Lines that wait to be written at most.
-pub const WAITING: usize = 1024;
+/// The number of lines that can wait to be written.
+pub const QUEUE_CAPACITY: usize = 1024;
 
-/// How a line looks.
+/// The format of a line.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Format {
-    /// Time, level, target, words and fields.
+    /// Time, level, target, message and fields, as text.
     #[default]
     Text,
-    /// One JSON object.
+    /// A JSON object.
     Json,
 }
 
@@ -38,7 +38,8 @@
     }
 }
 
-/// Which lines are written: levels, for all targets or some, as `info,heathward_core=debug`.
+/// Which lines are written: a level for all targets, and levels for single targets, as in
+/// `info,heathward_core=debug`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Filter(Targets);
 
@@ -48,7 +49,7 @@
     }
 }
 
-/// A text that is no filter, or no format.
+/// A text that is not a filter, or not the name of a format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FilterError;
 
@@ -64,29 +65,31 @@
     type Err = FilterError;
 
     fn from_str(text: &str) -> Result<Self, FilterError> {
-        // The library takes a word that is no level for a target, so that a slip would pass unseen.
-        let level = |word: &str| ["off", "error", "warn", "info", "debug", "trace"].contains(&word);
-        let sound = |word: &str| level(word.rsplit('=').next().unwrap_or_default());
-        if !text.split(',').all(sound) {
+        // The library would accept a misspelt level as a target.
+        let is_level = |word: &str| ["off", "error", "warn", "info", "debug", "trace"].contains(&word);
+        let ends_with_level = |part: &str| is_level(part.rsplit('=').next().unwrap_or_default());
+        if !text.split(',').all(ends_with_level) {
             return Err(FilterError);
         }
         text.parse().map(Self).map_err(|_| FilterError)
     }
 }
 
-type Filtered = tracing_subscriber::layer::Layered<reload::Layer<Targets, Registry>, Registry>;
-type Lines = Box<dyn Layer<Filtered> + Send + Sync>;
+/// The registry of spans behind the filter.
+type FilteredRegistry = tracing_subscriber::layer::Layered<reload::Layer<Targets, Registry>, Registry>;
+/// Formats and writes lines; replaced when the format changes.
+type LineLayer = Box<dyn Layer<FilteredRegistry> + Send + Sync>;
 
-/// The logs of this process. Dropped, it has the lines that wait written, for a second at most.
+/// The logs of this process. When it is dropped, lines in the queue are written, for a second at most.
 pub struct Logs {
     filter: Handle<Targets, Registry>,
-    lines: Handle<Lines, Filtered>,
+    line_layer: Handle<LineLayer, FilteredRegistry>,
     writer: NonBlocking,
     dropped: ErrorCounter,
     _worker: WorkerGuard,
 }
 
-fn lines(format: Format, writer: NonBlocking) -> Lines {
+fn line_layer(format: Format, writer: NonBlocking) -> LineLayer {
     let layer = tracing_subscriber::fmt::layer().with_writer(writer).with_ansi(false);
     match format {
         Format::Text => Box::new(layer),
@@ -94,38 +97,39 @@
     }
 }
 
-/// What a process sets up, and the subscriber that goes with it.
+/// The logs and the subscriber that feeds them.
 fn set_up(
     format: Format,
     filter: Filter,
     out: impl Write + Send + 'static,
 ) -> (Logs, impl tracing::Subscriber + Send + Sync) {
-    let builder = NonBlockingBuilder::default().lossy(true).buffered_lines_limit(WAITING);
+    let builder = NonBlockingBuilder::default().lossy(true).buffered_lines_limit(QUEUE_CAPACITY);
     let (writer, worker) = builder.thread_name("logs").finish(out);
-    let (filter_layer, filter) = reload::Layer::new(filter.0);
-    let (lines_layer, lines) = reload::Layer::new(lines(format, writer.clone()));
-    let subscriber = Registry::default().with(filter_layer).with(lines_layer);
+    let (reloadable_filter, filter) = reload::Layer::new(filter.0);
+    let (reloadable_lines, line_layer) = reload::Layer::new(line_layer(format, writer.clone()));
+    let subscriber = Registry::default().with(reloadable_filter).with(reloadable_lines);
     let dropped = writer.error_counter();
-    (Logs { filter, lines, writer, dropped, _worker: worker }, subscriber)
+    (Logs { filter, line_layer, writer, dropped, _worker: worker }, subscriber)
 }
 
-/// Sends this process's logs to standard error. To be called once; a second call's logs go nowhere.
+/// Writes the logs of this process to standard error. To be called once: the logs of a second call are not
+/// written.
 pub fn start(format: Format, filter: Filter) -> Logs {
     let (logs, subscriber) = set_up(format, filter, std::io::stderr());
-    // Another subscriber stands: its lines are written, not these.
+    // It fails if a subscriber has been set before, which then stays.
     let _ = tracing::subscriber::set_global_default(subscriber);
     logs
 }
 
 impl Logs {
-    /// From now on lines look so, and these are written.
+    /// Changes the format and the filter of all further lines.
     pub fn change(&self, format: Format, filter: Filter) {
-        // Neither fails but without a subscriber, which would have nothing to change.
+        // They fail only if the subscriber is gone, and with it all logs.
         let _ = self.filter.reload(filter.0);
-        let _ = self.lines.reload(lines(format, self.writer.clone()));
+        let _ = self.line_layer.reload(line_layer(format, self.writer.clone()));
     }
 
-    /// Lines that were dropped so far.
+    /// The number of lines dropped so far.
     pub fn dropped(&self) -> usize {
         self.dropped.dropped_lines()
     }
--- a/crates/logs/src/tests.rs
+++ b/crates/logs/src/tests.rs
@@ -8,9 +8,9 @@
 use super::*;
 
 #[derive(Clone, Default)]
-struct Kept(Arc<Mutex<Vec<u8>>>);
+struct SharedBuffer(Arc<Mutex<Vec<u8>>>);
 
-impl Write for Kept {
+impl Write for SharedBuffer {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.0.lock().unwrap().extend_from_slice(bytes);
         Ok(bytes.len())
@@ -21,10 +21,10 @@
     }
 }
 
-/// Says that it is asked to write, and does so once it is let.
-struct Stuck(Sender<()>, Receiver<()>);
+/// Reports that a write has begun, and completes it when it is released.
+struct BlockedWriter(Sender<()>, Receiver<()>);
 
-impl Write for Stuck {
+impl Write for BlockedWriter {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         let _ = self.0.send(());
         let _ = self.1.recv();
@@ -44,14 +44,14 @@
 #[case("loud", false)]
 #[case("heathward_core=loud", false)]
 #[case("info,", false)]
-fn a_filter_is_a_level_or_targets_with_levels(#[case] text: &str, #[case] sound: bool) {
-    assert_eq!(text.parse::<Filter>().is_ok(), sound);
+fn a_filter_is_a_level_or_targets_with_levels(#[case] text: &str, #[case] valid: bool) {
+    assert_eq!(text.parse::<Filter>().is_ok(), valid);
 }
 
 #[test]
-fn lines_are_written_as_the_settings_say_also_when_they_change() {
-    let kept = Kept::default();
-    let (logs, subscriber) = set_up(Format::Text, "info,quiet=warn".parse().unwrap(), kept.clone());
+fn format_and_filter_can_be_changed_at_runtime() {
+    let buffer = SharedBuffer::default();
+    let (logs, subscriber) = set_up(Format::Text, "info,quiet=warn".parse().unwrap(), buffer.clone());
     tracing::subscriber::with_default(subscriber, || {
         tracing::info!(node = "s-1", "first");
         tracing::info!(target: "quiet", "never");
@@ -61,7 +61,7 @@
         tracing::info!(target: "quiet", "third");
     });
     drop(logs);
-    let text = String::from_utf8(kept.0.lock().unwrap().clone()).unwrap();
+    let text = String::from_utf8(buffer.0.lock().unwrap().clone()).unwrap();
     let lines: Vec<&str> = text.lines().collect();
     assert_eq!(lines.len(), 3, "{text}");
     assert!(lines[0].contains(" INFO ") && lines[0].ends_with("first node=\"s-1\""), "{text}");
@@ -69,21 +69,21 @@
     assert!(lines[2].contains(r#""message":"third""#), "{text}");
 }
 
-/// Nobody waits, whatever standard error does, and each line that is lost is counted.
+/// Each line that is lost is counted.
 #[test]
-fn a_stuck_reader_holds_up_nobody() {
+fn logging_does_not_wait_for_a_blocked_reader() {
     let ((begun, beginning), (release, released)) = (channel(), channel());
-    let (logs, subscriber) = set_up(Format::Text, Filter::default(), Stuck(begun, released));
-    let more = 500;
-    let took = tracing::subscriber::with_default(subscriber, || {
+    let (logs, subscriber) = set_up(Format::Text, Filter::default(), BlockedWriter(begun, released));
+    let excess = 500;
+    let elapsed = tracing::subscriber::with_default(subscriber, || {
         tracing::info!("stuck");
         beginning.recv().unwrap();
         let start = Instant::now();
-        (0..WAITING + more).for_each(|at| tracing::info!(at, "line"));
+        (0..QUEUE_CAPACITY + excess).for_each(|at| tracing::info!(at, "line"));
         start.elapsed()
     });
-    assert_eq!(logs.dropped(), more);
-    // An hour where it waited; the bound is for a loaded machine.
-    assert!(took < Duration::from_secs(5), "{took:?}");
+    assert_eq!(logs.dropped(), excess);
+    // If it waited, it would take an hour; the bound allows for a loaded machine.
+    assert!(elapsed < Duration::from_secs(5), "{elapsed:?}");
     drop(release);
 }
