--- a/crates/scheduler/src/main.rs
+++ b/crates/scheduler/src/main.rs
@@ -1,24 +1,24 @@
 //! The scheduler as a program: its arguments, and its end by them.
 
-mod check;
-mod cli;
-mod listing;
-mod records;
+mod arguments;
+mod core_start;
+mod file_commands;
+mod handover;
+mod load_listing;
+mod recording;
 mod serve;
 mod shutdown;
-mod start;
-mod takeover;
 
 use std::process::ExitCode;
 
+use arguments::{Arguments, Command};
 use clap::Parser;
-use cli::{Arguments, Command};
 
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
     match arguments.command {
-        Some(Command::Check { files }) => return check::run(&files),
-        Some(Command::Evaluate { file }) => return check::evaluate(&file),
+        Some(Command::Check { files }) => return file_commands::run(&files),
+        Some(Command::Evaluate { file }) => return file_commands::evaluate(&file),
         None => {}
     }
     let files = arguments.serve.files();
@@ -30,7 +30,7 @@
         }
     };
     if let Some((source, rules)) = &config.load_source {
-        listing::print(source, rules);
+        load_listing::print(source, rules);
         return ExitCode::SUCCESS;
     }
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
--- a/crates/scheduler/src/serve.rs
+++ b/crates/scheduler/src/serve.rs
@@ -22,9 +22,9 @@
 use tokio::task::AbortHandle;
 use tokio::time::interval;
 
-use crate::records::Records;
-use crate::takeover::Meeting;
-use crate::{shutdown, start, takeover};
+use crate::handover::Meeting;
+use crate::recording::Records;
+use crate::{core_start as start, handover as takeover, shutdown};
 
 /// How often it is looked whether lines of the log were dropped.
 const TELL: Duration = Duration::from_secs(1);
--- a/crates/scheduler/tests/net/main.rs
+++ b/crates/scheduler/tests/net/main.rs
@@ -2,20 +2,20 @@
 //! are on loopback with ports that the system chooses; no case hangs on a short time being kept.
 #![cfg(test)]
 
-mod closing;
-mod crowd;
-mod departure;
-mod fleet;
+mod admin_interface;
+mod client_disconnect;
+mod connection_close;
+mod descriptor_exhaustion;
+mod disconnect_while_connecting;
+mod drain_during_reload;
+mod endpoint_lease;
+mod fragmented_requests;
 mod handover;
 mod http;
-mod leaving;
+mod large_bodies;
+mod large_fleet;
 mod nvme;
-mod ops;
 mod parsers;
-mod pieces;
 mod process;
-mod reload;
+mod request_writer;
 mod shutdown;
-mod size;
-mod told;
-mod writer;
