--- a/crates/config/src/jsonnet/tests.rs
+++ b/crates/config/src/jsonnet/tests.rs
@@ -18,7 +18,7 @@
 #[case::escaped("import '\\u002e\\u002e'", Err(()))]
 #[case::block("import |||\n  a\n|||", Err(()))]
 #[case::no_end("import 'a", Err(()))]
-fn imports_are_found_where_they_are_and_stay_in_the_folder(
+fn imports_are_found_and_must_stay_in_the_folder(
     #[case] source: &str,
     #[case] expected: Result<&[&str], ()>,
 ) {
--- a/crates/config/src/operator/tests.rs
+++ b/crates/config/src/operator/tests.rs
@@ -23,7 +23,7 @@
     Some("records.clock.step")
 )]
 #[case::nvme(r#"{"nvme":{}}"#, Some("a configuration that the section nvme goes with"))]
-fn what_makes_no_sense_is_named(#[case] text: &str, #[case] field: Option<&str>) {
+fn an_invalid_setting_is_named(#[case] text: &str, #[case] field: Option<&str>) {
     let read = OperatorSettings::parse(text, None);
     assert_eq!(read.as_ref().err().map(|e| e.field.as_str()), field, "{read:?}");
 }
--- a/crates/scheduler/tests/deploy_file.rs
+++ b/crates/scheduler/tests/deploy_file.rs
@@ -67,7 +67,7 @@
 #[case::a_file_that_moved("scheduler.rs", "schedulers.rs", "policy: ")]
 #[case::a_folder_that_moved("crates/transport/src", "crates/wire/src", "node: ")]
 #[case::no_toml("build =", "build", "")]
-fn a_fault_in_the_deploy_file_is_seen(#[case] from: &str, #[case] to: &str, #[case] named: &str) {
+fn a_fault_in_the_deploy_file_is_detected(#[case] from: &str, #[case] to: &str, #[case] named: &str) {
     let text = deploy_file();
     let broken = text.replacen(from, to, 1);
     assert_ne!(text, broken);
@@ -103,7 +103,7 @@
 #[case::on_the_platform(false)]
 #[case::with_an_operator_file(true)]
 #[tokio::test]
-async fn it_serves_as_one_process(#[case] operator: bool) {
+async fn the_program_serves_as_one_process(#[case] operator: bool) {
     let log = Log::default();
     let node = http_node(0, &[Does::Serve], &log).await;
     let discovery = Discovery::start(vec![Listed {
--- a/crates/scheduler/tests/fault_scenarios.rs
+++ b/crates/scheduler/tests/fault_scenarios.rs
@@ -35,7 +35,12 @@
 #[case::partition("partition", 10.2, 12.5, 0.965)]
 #[case::shared_service("shared-service", 4.0, 9.0, 0.95)]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn rules_are_kept_through(#[case] name: &str, #[case] from: f64, #[case] to: f64, #[case] least: f64) {
+async fn invariants_hold_through_fault_scenarios(
+    #[case] name: &str,
+    #[case] from: f64,
+    #[case] to: f64,
+    #[case] least: f64,
+) {
     let scenario = scenario(name);
     let mut outcome = played(&scenario).await;
     let late = |outcome: &Outcome| outcome.breaches.iter().filter(|b| b.rule == Rule::Answer).count();
--- a/crates/scheduler/tests/incident_report.rs
+++ b/crates/scheduler/tests/incident_report.rs
@@ -32,7 +32,7 @@
 }
 
 #[tokio::test]
-async fn the_report_says_what_really_happened() {
+async fn the_report_matches_what_happened() {
     let (truth, incident) = staged("staged").await;
     let told: Vec<String> = incident.findings.iter().map(|f| f.text.clone()).collect();
     let told = told.join("\n");
@@ -177,7 +177,7 @@
 
 /// Where records can't be written the scheduler serves on and says so; they begin again by themselves.
 #[tokio::test]
-async fn records_that_cannot_be_written_cost_records_only() {
+async fn a_failing_disk_costs_recorded_events_only() {
     let place = Place::new("unfit", "blocked/records").await;
     let blocked = place.folder.join("blocked");
     std::fs::write(&blocked, "a file where a folder should be").unwrap();
@@ -200,7 +200,7 @@
 
 /// Two processes of one scheduler write beside each other, each into files of its own.
 #[tokio::test]
-async fn a_takeover_is_recorded_by_both() {
+async fn a_handover_is_recorded_by_both_processes() {
     let place = Place::new("taken", "records").await;
     let mut old = place.start();
     assert!(served(old.listen, 1).await);
--- a/crates/scheduler/tests/net/admin_interface.rs
+++ b/crates/scheduler/tests/net/admin_interface.rs
@@ -51,7 +51,7 @@
 #[case::nothing("\n")]
 #[case::not_text("\u{1}\u{2}\n")]
 #[tokio::test]
-async fn what_makes_no_sense_is_told_so(#[case] line: &str) {
+async fn a_malformed_command_is_answered_with_an_error(#[case] line: &str) {
     let (_, nobody) = nobody();
     let (rig, address) = attended(&[member("s0", nobody, 0, "in_service", 0)], 4).await;
     rig.until(|c| c.endpoint_updates == 1).await;
@@ -61,7 +61,7 @@
 
 /// The metrics say what was answered and sent, class by class.
 #[tokio::test]
-async fn the_figures_are_those_of_what_was_given_and_sent() {
+async fn the_metrics_count_answers_and_attempts() {
     let log = Log::default();
     let node = http_node(0, &[Does::Serve, Does::Error], &log).await;
     let members = [member("s0", node, 0, "in_service", 0), member("s1", node, 1, "terminating", 0)];
@@ -90,7 +90,7 @@
 
 /// Guards against callers that say nothing, or half a call, keeping others out.
 #[tokio::test]
-async fn silent_callers_keep_nobody_out() {
+async fn silent_connections_do_not_keep_other_operators_out() {
     let (_rig, address) = attended(&[], 4).await;
     let mut silent = Vec::new();
     for _ in 0..12 {
@@ -142,7 +142,7 @@
 #[case::out(true, AttemptEnd::NotSent, 0)]
 #[case::in_service(false, AttemptEnd::Served, 1)]
 #[tokio::test]
-async fn what_was_on_its_way_to_a_suspended_node_is_not_sent(
+async fn an_attempt_waiting_for_a_suspended_node_is_not_sent(
     #[case] out: bool,
     #[case] end: AttemptEnd,
     #[case] seen: usize,
@@ -159,7 +159,7 @@
 
 /// A pause says no at once, turns nobody back, and has closed every connection before 4 s are over.
 #[tokio::test]
-async fn a_pause_empties_the_front_and_ends() {
+async fn a_pause_sends_clients_away_until_it_ends() {
     let log = Log::default();
     let node = http_node(0, &[Does::Serve], &log).await;
     let (rig, address) = attended(&[member("s0", node, 0, "in_service", 0)], 4).await;
--- a/crates/scheduler/tests/net/client_disconnect.rs
+++ b/crates/scheduler/tests/net/client_disconnect.rs
@@ -147,7 +147,7 @@
 /// The client leaves while its first attempt waits for a connection, which comes up 0.1 s later.
 #[rstest]
 #[tokio::test]
-async fn no_first_attempt_begins_a_tenth_of_a_second_after_its_client_has_left(
+async fn no_first_attempt_starts_100_ms_after_a_client_disconnect(
     #[values(Leaves::Close, Leaves::Reset, Leaves::BehindARequest)] leaves: Leaves,
 ) {
     let mut node = Node::listen();
@@ -166,7 +166,7 @@
 /// one has ended as the case has it.
 #[rstest]
 #[tokio::test]
-async fn no_further_attempt_begins_a_tenth_of_a_second_after_its_client_has_left(
+async fn no_retry_starts_100_ms_after_a_client_disconnect(
     #[values(Leaves::Close, Leaves::Reset, Leaves::BehindARequest)] leaves: Leaves,
     #[values(ERROR, "")] first_ends: &str,
 ) {
@@ -193,7 +193,7 @@
 /// further attempt follows at once.
 #[rstest]
 #[tokio::test]
-async fn no_attempt_follows_one_that_ends_a_tenth_of_a_second_after_its_client_has_left(
+async fn no_retry_follows_an_attempt_that_ends_100_ms_after_a_client_disconnect(
     #[values(Leaves::Close, Leaves::Reset, Leaves::BehindARequest)] leaves: Leaves,
     #[values(ERROR, "")] first_ends: &str,
 ) {
@@ -243,7 +243,7 @@
 /// comes up 0.1 s later.
 #[rstest]
 #[tokio::test]
-async fn no_attempt_begins_a_tenth_of_a_second_after_its_command_was_cancelled(
+async fn no_attempt_starts_100_ms_after_its_nvme_command_was_cancelled(
     #[values(Cancels::Abort, Cancels::Queue, Cancels::Admin)] cancels: Cancels,
     #[values(false, true)] further: bool,
 ) {
--- a/crates/scheduler/tests/net/connection_close.rs
+++ b/crates/scheduler/tests/net/connection_close.rs
@@ -36,7 +36,7 @@
 #[case::another_request(1)]
 #[case::many(200)]
 #[tokio::test]
-async fn a_client_is_seen_to_leave_behind_what_it_has_sent(
+async fn a_client_disconnect_is_detected_behind_unread_bytes(
     #[case] behind: u32,
     #[values(Leaves::Close, Leaves::HalfClose, Leaves::Reset)] leaves: Leaves,
 ) {
@@ -64,7 +64,7 @@
 /// More requests than are held stand behind the one that is worked on: that one is answered, and its
 /// connection ends. Memory stays as it is, however much comes.
 #[tokio::test]
-async fn a_flood_behind_a_request_ends_its_connection_with_its_answer() {
+async fn a_connection_with_too_many_pipelined_bytes_closes_with_its_answer() {
     let log = Log::default();
     let node = http_node(0, &[Does::LateError, Does::Serve], &log).await;
     let rig = rig(&[member("s0", node, 0, "in_service", 0)], None).await;
@@ -112,7 +112,7 @@
 
 /// Half of a request is there when the program stops: it has its answer, which is the last on its connection.
 #[tokio::test]
-async fn a_request_that_is_coming_at_the_stop_is_answered() {
+async fn a_request_being_received_at_shutdown_is_answered() {
     let log = Log::default();
     let node = http_node(0, &[Does::Serve], &log).await;
     let rig = rig(&[member("s0", node, 0, "in_service", 0)], None).await;
--- a/crates/scheduler/tests/net/disconnect_while_connecting.rs
+++ b/crates/scheduler/tests/net/disconnect_while_connecting.rs
@@ -30,7 +30,7 @@
 
 /// Guards against an attempt that goes on waiting for a connection, and holds its place, for nobody.
 #[tokio::test]
-async fn a_dial_ends_as_soon_as_its_client_has_left() {
+async fn connecting_to_a_node_ends_when_the_client_disconnects() {
     let (_listener, address, _filling) = full_node().await;
     let by = Instant::now() + PATIENCE * 10;
     let attempt = attempt(SendGate::default(), by);
@@ -64,7 +64,7 @@
 /// its first attempt then the share that is sent on is 0. The stayers are served on connections that were
 /// asked for after the leavers', so that those would have come up before.
 #[tokio::test]
-async fn of_requests_whose_clients_left_while_connections_came_up_none_is_sent() {
+async fn requests_of_clients_that_disconnected_during_connecting_are_not_sent() {
     let mut nodes = Vec::new();
     for _ in 0..LEAVING + STAYING {
         nodes.push(full_node().await);
--- a/crates/scheduler/tests/net/drain_during_reload.rs
+++ b/crates/scheduler/tests/net/drain_during_reload.rs
@@ -29,7 +29,7 @@
 /// Guards against a drain that is lost between two agents, or that an older word of the other takes back.
 #[rstest]
 #[tokio::test]
-async fn a_drain_that_crosses_a_reload_is_heeded(
+async fn a_drain_that_arrives_during_a_reload_is_applied(
     #[values(Tells::OldAgent, Tells::OldAgentLater, Tells::NewAgent, Tells::NewAgentWhole)] tells: Tells,
 ) {
     let log = Log::default();
--- a/crates/scheduler/tests/net/endpoint_lease.rs
+++ b/crates/scheduler/tests/net/endpoint_lease.rs
@@ -58,7 +58,7 @@
 #[case::refused(Call::Refused)]
 #[case::failed(Call::Failed)]
 #[tokio::test]
-async fn a_list_is_not_gone_by_for_longer_after_a_call_that_brought_nothing(#[case] call: Call) {
+async fn a_failed_discovery_call_does_not_extend_the_endpoint_lease(#[case] call: Call) {
     let gone_by = gone_by_for(EndpointListMode::Streamed, call).await;
     assert!(gone_by < TOLD_BY + LATE, "went by the list for {gone_by:?}");
 }
@@ -66,7 +66,7 @@
 /// The same where lists have to be asked for. Guards against the time that settings allow a host that has not
 /// called.
 #[tokio::test]
-async fn neither_is_one_that_is_asked_for() {
+async fn a_failed_discovery_call_does_not_extend_the_lease_of_a_polled_list() {
     let gone_by = tokio::join!(
         gone_by_for(ASKED, Call::Refused),
         gone_by_for(ASKED, Call::Failed),
@@ -109,7 +109,7 @@
 /// Guards against a broken watch that counts as a failed call, and against a failed call that counts as a
 /// broken watch, where lists are asked for.
 #[tokio::test]
-async fn the_core_is_told_whether_a_watch_ended_or_a_call_failed() {
+async fn the_core_is_notified_whether_a_watch_ended_or_a_call_failed() {
     let (listener, address) = listen().await;
     let (_keep, addresses) = watch::channel(address);
     let (core, mut messages) = mpsc::channel(16);
--- a/crates/scheduler/tests/net/fragmented_requests.rs
+++ b/crates/scheduler/tests/net/fragmented_requests.rs
@@ -33,7 +33,7 @@
 /// Guards against a request that is answered before its last byte, cut, sent on twice or in part.
 #[rstest]
 #[tokio::test]
-async fn a_request_in_pieces_passes_on_once_and_whole(
+async fn a_fragmented_request_is_forwarded_once_and_complete(
     #[values(as_it_is, other_spelling, in_chunks)] form: fn(String) -> String,
     #[values(1, 2, 7, 50)] piece: usize,
 ) {
--- a/crates/scheduler/tests/net/handover.rs
+++ b/crates/scheduler/tests/net/handover.rs
@@ -16,7 +16,7 @@
 use heathward_fakes::*;
 
 #[test]
-fn the_state_comes_back_as_it_was() {
+fn the_handover_state_round_trips() {
     let state = HandoverState {
         endpoint_list: EndpointUpdate {
             revision: 7,
@@ -45,7 +45,7 @@
     r#"{"list":{"revision":1,"complete":true,"members":[{"id":"a","host_port":"b","cell":1,"phase":"x"}]},
     "suspended":[],"cold":[],"paused":false}"#
 )]
-fn a_state_that_makes_no_sense_is_none(#[case] line: &str) {
+fn a_malformed_handover_state_is_rejected(#[case] line: &str) {
     assert!(decode(line.as_bytes()).is_err());
 }
 
@@ -155,7 +155,7 @@
 #[case::silent(Before::Silent)]
 #[case::other_version(Before::Other)]
 #[tokio::test]
-async fn nothing_there_stops_a_start(#[case] before: Before) {
+async fn no_fault_of_the_previous_process_prevents_a_start(#[case] before: Before) {
     let place = Place::new("");
     let mut other = None;
     match before {
@@ -193,7 +193,7 @@
 #[case::other_version("HEATHWARD 9\n")]
 #[case::serves_and_dies("HEATHWARD 1\nREADY\n")]
 #[tokio::test]
-async fn a_process_that_dies_at_any_step_changes_nothing(#[case] says: &str) {
+async fn a_peer_process_that_dies_at_any_step_changes_nothing(#[case] says: &str) {
     let log = Log::default();
     let node = http_node(0, &[Does::Serve], &log).await;
     let place = Place::new(&member("s0", node, 0, "in_service", 0));
--- a/crates/scheduler/tests/net/http.rs
+++ b/crates/scheduler/tests/net/http.rs
@@ -22,7 +22,7 @@
 }
 
 #[tokio::test]
-async fn a_request_passes_on_unchanged_and_its_answer_comes_back() {
+async fn a_request_is_forwarded_unchanged_and_its_answer_returned() {
     let log = Log::default();
     let node = http_node(0, &[Does::Serve], &log).await;
     let rig = rig(&[member("s0", node, 0, "in_service", 0)], None).await;
@@ -54,7 +54,7 @@
 #[case::reset_write("pedido", Does::Reset, AttemptEnd::Reset, 3, 502)]
 #[case::cut("consulta", Does::Cut, AttemptEnd::Reset, 3, 503)]
 #[tokio::test]
-async fn what_comes_back_decides_what_may_follow(
+async fn the_end_of_an_attempt_decides_on_retries_and_the_answer(
     #[case] class: &str,
     #[case] does: Does,
     #[case] end: AttemptEnd,
@@ -95,7 +95,7 @@
 #[case::spoilt_rejection("HTTP/1.1 503 Full\r\nX-Rejected: 1\r\nContent-Length: -1\r\n\r\n")]
 #[case::other_kind("HTTP/1.1 101 Switching Protocols\r\nConnection: upgrade\r\nUpgrade: x\r\n\r\n")]
 #[tokio::test]
-async fn a_spoilt_answer_is_no_answer(#[case] spoilt: &'static str) {
+async fn a_malformed_node_answer_is_not_forwarded(#[case] spoilt: &'static str) {
     let log = Log::default();
     let node = http_node(0, &[Does::Say(spoilt), Does::Serve, Does::Say(spoilt)], &log).await;
     let rig = rig(&[member("s0", node, 0, "in_service", 0)], None).await;
@@ -123,7 +123,7 @@
 #[case::second_copy("", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello")]
 #[case::noise("", "\x07\x08nothing\r\n\r\n")]
 #[tokio::test]
-async fn a_good_answer_is_served_whatever_stands_round_it(#[case] before: &str, #[case] behind: &str) {
+async fn a_valid_node_answer_is_served_despite_surrounding_bytes(#[case] before: &str, #[case] behind: &str) {
     let good = "HTTP/1.1 200 OK\r\nX-Volume-Use: TEXT \r\nContent-Length: 5\r\n\r\nfirst";
     let text: &'static str = Box::leak(format!("{before}{good}{behind}").into_boxed_str());
     let log = Log::default();
@@ -139,7 +139,7 @@
 /// The node's machine takes no connection and refuses none. Guards against telling the client after half of
 /// its time, and against "it may have run" for what has never left.
 #[tokio::test]
-async fn a_connection_that_does_not_come_up_is_given_up_by_half_the_time() {
+async fn connecting_to_a_node_times_out_by_half_of_the_time_budget() {
     let socket = TcpSocket::new_v4().unwrap();
     socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let address = socket.local_addr().unwrap();
@@ -154,7 +154,7 @@
 
 /// Guards against a request that is still open when the program is killed.
 #[tokio::test]
-async fn no_request_gets_more_time_than_the_program_has() {
+async fn no_request_gets_more_time_than_is_left_before_the_shutdown() {
     let log = Log::default();
     let node = http_node(0, &[Does::Silent], &log).await;
     let rig = rig(&[member("s0", node, 0, "in_service", 0)], None).await;
@@ -165,7 +165,7 @@
 }
 
 #[tokio::test]
-async fn a_keyed_repeat_goes_to_its_shard_within_the_window() {
+async fn a_retry_with_a_key_goes_to_its_shard_within_the_deduplication_window() {
     let log = Log::default();
     let first = http_node(0, &[Does::Error, Does::Serve], &log).await;
     let second = http_node(1, &[Does::Serve], &log).await;
@@ -180,7 +180,7 @@
 
 /// The node's error comes after the window in which it would drop a repeat: there is none.
 #[tokio::test]
-async fn a_keyed_repeat_past_the_window_is_not_sent() {
+async fn a_retry_with_a_key_is_not_sent_after_the_deduplication_window() {
     let log = Log::default();
     let node = http_node(0, &[Does::LateError], &log).await;
     let member = member("s0", node, 0, "in_service", 0);
@@ -193,7 +193,7 @@
 /// Guards against taking a connection that broke under a request for one that had carried it, and the other
 /// way round: whether the last byte was written decides.
 #[tokio::test]
-async fn broken_before_the_last_byte_never_ran() {
+async fn a_connection_lost_before_the_last_byte_means_not_executed() {
     let log = Log::default();
     let node = http_node(0, &[Does::HangUp], &log).await;
     let (_kept, nobody) = nobody();
@@ -228,7 +228,7 @@
 }
 
 #[tokio::test]
-async fn a_silent_node_is_given_up_and_the_answer_comes_by_the_deadline() {
+async fn an_unresponsive_node_times_out_and_the_answer_comes_by_the_deadline() {
     let log = Log::default();
     let node = http_node(0, &[Does::Silent], &log).await;
     let rig = rig(&[member("s0", node, 0, "in_service", 0)], None).await;
@@ -246,7 +246,7 @@
 }
 
 #[tokio::test]
-async fn a_client_that_leaves_is_told_to_the_module_and_gets_no_answer() {
+async fn a_client_disconnect_is_reported_and_gets_no_answer() {
     let log = Log::default();
     let node = http_node(0, &[Does::Silent], &log).await;
     let rig = rig(&[member("s0", node, 0, "in_service", 0)], None).await;
@@ -259,7 +259,7 @@
 }
 
 #[tokio::test]
-async fn a_node_that_drains_gets_nothing_new() {
+async fn a_draining_node_gets_no_new_requests() {
     let log = Log::default();
     let node = http_node(0, &[Does::Serve], &log).await;
     let rig = rig(&[member("s0", node, 0, "in_service", 0)], None).await;
@@ -300,7 +300,7 @@
 /// A node that starts at 24% of its capacity: 24 units within any 0.5 s are always borne, and it warms within
 /// 6 s. Guards against a burst right after the start, also by a scheduler that has just started itself.
 #[tokio::test]
-async fn a_cold_node_is_not_pushed_over() {
+async fn a_node_in_slow_start_is_not_overloaded() {
     let log = Log::default();
     let node = http_node(0, &[Does::Serve], &log).await;
     let born = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis();
@@ -357,7 +357,7 @@
 #[case::two_lengths(("Content-Length: 0\r\n", "Content-Length: 0\r\nContent-Length: 2\r\n"))]
 #[case::line(("GET /consulta", "GET  /consulta"))]
 #[tokio::test]
-async fn a_malformed_request_is_told_so_at_once_and_counted(#[case] (from, to): (&str, &str)) {
+async fn a_malformed_request_is_rejected_at_once_and_counted(#[case] (from, to): (&str, &str)) {
     let log = Log::default();
     let node = http_node(0, &[Does::Serve], &log).await;
     let rig = rig(&[member("s0", node, 0, "in_service", 0)], None).await;
@@ -375,7 +375,7 @@
 #[case::chunked_last("Content-Length: 5\r\nTransfer-Encoding: chunked")]
 #[case::chunked_first("Transfer-Encoding: chunked\r\nContent-Length: 5")]
 #[tokio::test]
-async fn a_body_that_may_hide_a_request_is_refused(#[case] lengths: &str) {
+async fn a_body_with_two_lengths_is_rejected(#[case] lengths: &str) {
     let log = Log::default();
     let node = http_node(0, &[Does::Serve], &log).await;
     let rig = rig(&[member("s0", node, 0, "in_service", 0)], None).await;
@@ -391,7 +391,7 @@
 
 /// Guards against two attempts at once for what a node takes for one request.
 #[tokio::test]
-async fn the_id_of_an_open_request_is_refused() {
+async fn the_id_of_an_open_request_is_rejected() {
     let log = Log::default();
     let node = http_node(0, &[Does::Silent, Does::Serve], &log).await;
     let rig = rig(&[member("s0", node, 0, "in_service", 0)], None).await;
@@ -413,7 +413,7 @@
     Some(408)
 )]
 #[tokio::test]
-async fn a_request_that_does_not_end_is_ended(#[case] text: &str, #[case] status: Option<u16>) {
+async fn an_incomplete_request_times_out(#[case] text: &str, #[case] status: Option<u16>) {
     let rig = rig(&[], None).await;
     let mut stream = TcpStream::connect(rig.front).await.unwrap();
     stream.write_all(text.as_bytes()).await.unwrap();
@@ -427,7 +427,7 @@
 #[case::body("Content-Length: 60000000\r\n", 413)]
 #[case::head("X-Pad: ", 431)]
 #[tokio::test]
-async fn a_client_that_sends_too_much_can_read_why(#[case] head: &str, #[case] status: u16) {
+async fn a_client_that_sends_too_much_can_read_the_answer(#[case] head: &str, #[case] status: u16) {
     let rig = rig(&[], None).await;
     let mut stream = TcpStream::connect(rig.front).await.unwrap();
     let start = request("pedido", 1, 0, 900, "").replace("Content-Length: 0\r\n", head);
@@ -441,7 +441,7 @@
 }
 
 #[tokio::test]
-async fn a_body_over_the_limit_is_turned_away() {
+async fn a_body_over_the_limit_is_rejected() {
     let rig = rig(&[], None).await;
     let text = request("pedido", 1, 0, 900, &"x".repeat((32 << 20) + 1));
     assert_eq!(rig.ask(&text).await.0, 413);
@@ -455,7 +455,7 @@
 #[case::half_a_body("PUT /pedido/1/2 HTTP/1.1\r\nContent-Length: 9\r\n\r\nabc", false)]
 #[case::asked_once("", true)]
 #[tokio::test]
-async fn connections_that_are_kept_for_nothing_keep_nobody_out(#[case] text: &str, #[case] ask: bool) {
+async fn useless_connections_do_not_keep_other_clients_out(#[case] text: &str, #[case] ask: bool) {
     let log = Log::default();
     let node = http_node(0, &[Does::Serve], &log).await;
     let rig = rig(&[member("s0", node, 0, "in_service", 0)], None).await;
@@ -490,7 +490,7 @@
 /// A crowd of clients that ask once and stay: more of them at once than there are places. Guards against
 /// turning away those who come to ask for the sake of those who have been answered.
 #[tokio::test]
-async fn in_a_crowd_the_answered_make_way() {
+async fn in_a_full_table_answered_connections_are_evicted() {
     let log = Log::default();
     let node = http_node(0, &[Does::Serve], &log).await;
     let rig = rig(&[member("s0", node, 0, "in_service", 0)], None).await;
@@ -512,7 +512,7 @@
 }
 
 #[tokio::test]
-async fn it_is_ready_once_it_has_a_list() {
+async fn it_is_ready_once_it_has_an_endpoint_list() {
     let rig = rig(&[], None).await;
     let ask = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
     rig.until(|c| c.endpoint_updates == 1).await;
@@ -539,7 +539,7 @@
 /// A watch brings a broken line, a change, and then nothing: the line is dropped, the silent watch is opened
 /// anew from the version that was heard last.
 #[tokio::test]
-async fn a_silent_watch_is_opened_anew_and_a_broken_line_dropped() {
+async fn a_watch_that_times_out_is_reopened_and_a_malformed_line_dropped() {
     let rig = rig(&[], None).await;
     let (listener, address) = listen().await;
     let _keep = follow(&rig, address, EndpointListMode::Streamed);
@@ -555,7 +555,7 @@
 
 /// Two watches stand while discovery moves: the slower one tells what the other knows better.
 #[tokio::test]
-async fn a_drain_is_not_taken_back_by_a_slower_watch() {
+async fn a_drain_is_not_undone_by_an_older_revision() {
     let log = Log::default();
     let node = http_node(0, &[Does::Serve], &log).await;
     let rig = rig(&[member("s0", node, 0, "in_service", 0)], None).await;
@@ -590,7 +590,7 @@
 #[case::nobody_takes_a_call(EndpointListMode::Streamed, false, true)]
 #[case::calls_wait_in_turn(EndpointListMode::Polled { max_interval: 10_000_000 }, true, true)]
 #[tokio::test]
-async fn nothing_is_sent_by_a_list_that_discovery_does_not_stand_by(
+async fn nothing_is_sent_on_an_expired_endpoint_lease(
     #[case] lists: EndpointListMode,
     #[case] taken: bool,
     #[case] stops: bool,
@@ -640,7 +640,7 @@
 /// Watches that are broken from their beginning: the agent has news, and answers any other call. Guards
 /// against taking it for one that has nothing to tell. Its list comes indented, on many lines.
 #[tokio::test]
-async fn a_watch_that_never_says_anything_is_not_believed() {
+async fn a_watch_without_any_event_is_replaced_by_a_snapshot() {
     let log = Log::default();
     let node = http_node(0, &[Does::Serve], &log).await;
     let rig = rig(&[member("s0", node, 0, "in_service", 0)], None).await;
@@ -671,7 +671,7 @@
 /// Discovery is down for a while: the watch falls silent. Guards against a host of a large fleet that then
 /// listens to nobody for half a minute, while its agent has news, which count as told.
 #[tokio::test]
-async fn a_silent_watch_still_counts_until_another_one_tells() {
+async fn a_watch_that_timed_out_is_read_until_another_one_delivers() {
     let log = Log::default();
     let node = http_node(0, &[Does::Serve], &log).await;
     let rig = rig(&[member("s0", node, 0, "in_service", 0)], None).await;
@@ -690,7 +690,7 @@
 /// Guards against a fleet that comes back to discovery as one, and against calls without a pause: with two
 /// seeds, watches that are refused are opened anew at other times, ever more seldom.
 #[tokio::test]
-async fn refused_watches_are_opened_anew_at_times_of_their_own() {
+async fn rejected_watches_are_reopened_with_jittered_backoff() {
     let rig = rig(&[], None).await;
     let mut gaps = Vec::new();
     for seed in [1, 2] {
@@ -732,7 +732,7 @@
 #[case::cut_in_a_list("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n40\r\n{\"revision\":9,\"comp", 0)]
 #[case::no_line("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n", 5 << 20)]
 #[tokio::test]
-async fn a_list_that_is_refused_cut_or_too_long_leaves_the_last_good_one(
+async fn a_rejected_truncated_or_oversized_list_keeps_the_last_valid_one(
     #[case] begins: &str,
     #[case] noise: usize,
 ) {
@@ -762,7 +762,7 @@
 /// Six in ten nodes are replaced while the first list is old and discovery answers late: what is asked of a
 /// gone node is answered, never sent on; once the list is there each shard is served by its new node.
 #[tokio::test]
-async fn a_late_list_that_replaces_most_nodes_moves_every_shard() {
+async fn a_late_update_that_replaces_most_nodes_moves_every_shard() {
     let (old, new) = (Log::default(), Log::default());
     let (mut listed, mut kept) = (Vec::new(), Vec::new());
     for shard in 0..10 {
--- a/crates/scheduler/tests/net/large_bodies.rs
+++ b/crates/scheduler/tests/net/large_bodies.rs
@@ -46,7 +46,7 @@
 #[case::chunks("transfer-encoding: chunked\r\n", true)]
 #[case::until_closed("", false)]
 #[tokio::test]
-async fn a_long_answer_passes_whole(#[case] framing: &str, #[case] chunks: bool) {
+async fn a_long_answer_is_streamed_completely(#[case] framing: &str, #[case] chunks: bool) {
     let body = noise(LONG);
     let sent = if chunks { chunked(&body, 70_001) } else { body.clone() };
     let mut pieces = vec![format!("HTTP/1.1 200 OK\r\n{framing}\r").into_bytes(), b"\n".to_vec()];
@@ -60,7 +60,7 @@
 /// Guards against an answer that ends well for its client though its node broke off, and, while it passes,
 /// against another request under its id.
 #[tokio::test]
-async fn what_the_node_breaks_off_is_broken_off_for_the_client() {
+async fn an_answer_cut_by_the_node_is_cut_for_the_client() {
     let head = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n".to_vec();
     let part = chunked(&noise(200_000), 100_000);
     let (address, _told) = node(vec![head, part[..150_000].to_vec()]).await;
@@ -81,7 +81,11 @@
 #[case::long(LONG, false, 400_000)]
 #[case::long_chunks(LONG, true, 400_000)]
 #[tokio::test]
-async fn a_body_passes_whole(#[case] size: usize, #[case] chunks: bool, #[case] piece: usize) {
+async fn a_body_of_any_size_is_forwarded_completely(
+    #[case] size: usize,
+    #[case] chunks: bool,
+    #[case] piece: usize,
+) {
     let answer_text = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok".to_vec();
     let (address, told) = node(vec![answer_text]).await;
     let rig = rig(&[member("s0", address, 0, "in_service", 0)], None).await;
@@ -107,7 +111,7 @@
 
 /// Guards against sending a part of a body a second time: what passes is tried once.
 #[tokio::test]
-async fn what_is_not_held_whole_is_not_repeated() {
+async fn a_streamed_body_is_not_sent_again() {
     let log = Log::default();
     let address = http_node(0, &[Does::Error], &log).await;
     let rig = rig(&[member("s0", address, 0, "in_service", 0)], None).await;
@@ -118,7 +122,7 @@
 
 /// A body that stops coming is given up, and its id is free again.
 #[tokio::test]
-async fn a_body_that_stops_coming_is_given_up() {
+async fn a_body_that_stalls_times_out() {
     let (address, _told) = node(Vec::new()).await;
     let rig = rig(&[member("s0", address, 0, "in_service", 0)], None).await;
     let text = request("pedido", 1, 0, 900, &"x".repeat(200_000));
@@ -133,7 +137,7 @@
 /// wait, and a connection. Guards against an upload that is held for as long as the node hangs, and its
 /// client with it.
 #[tokio::test]
-async fn a_node_that_takes_nothing_of_a_long_body_is_given_up() {
+async fn a_node_that_reads_nothing_of_a_long_body_times_out() {
     let (listener, address) = listen().await;
     let rig = rig(&[member("s0", address, 0, "in_service", 0)], None).await;
     let text = request("pedido", 1, 0, 300, &"x".repeat(30 << 20));
--- a/crates/scheduler/tests/net/nvme.rs
+++ b/crates/scheduler/tests/net/nvme.rs
@@ -69,7 +69,7 @@
 const WRITE: Body = Body::Write(Blocks { nsid: 1, first: 0, count: 1 });
 
 #[tokio::test]
-async fn a_host_finds_what_it_needs_and_reads_and_writes_on_both_kinds_of_node() {
+async fn a_host_discovers_its_namespaces_and_reads_and_writes_on_both_kinds_of_node() {
     let mixed = mixed(&[Does::Serve], 0).await;
     let mut host = Host::connect(mixed.address).await;
     for (offset, wide, value) in
@@ -128,7 +128,7 @@
 #[case::reset_read(Does::Reset, SMALL, false, AttemptEnd::Reset, 3, Status::INTERRUPTED)]
 #[case::reset_write(Does::Reset, LARGE, true, AttemptEnd::Reset, 3, Status::INTERNAL.last())]
 #[tokio::test]
-async fn how_an_attempt_ends_decides_how_the_command_does(
+async fn the_end_of_an_attempt_decides_the_command_status(
     #[case] does: Does,
     #[case] size: usize,
     #[case] write: bool,
@@ -216,7 +216,7 @@
 #[case::no_data(WRITE, Sgl::InCapsule { offset: 0, length: 512 }, Status::SGL_LENGTH)]
 #[case::second_connect(connect(1, 1, 0).0, NONE, Status::SEQUENCE)]
 #[tokio::test]
-async fn a_command_that_makes_no_sense_gets_its_status_code_and_the_queue_goes_on(
+async fn a_malformed_io_command_gets_its_status_code_and_the_queue_goes_on(
     #[case] body: Body,
     #[case] sgl: Sgl,
     #[case] ends: Status,
@@ -238,7 +238,10 @@
 #[case::namespace(Body::Identify { nsid: 7, cns: 0 }, Status::INVALID_NAMESPACE)]
 #[case::page_length(Body::Identify { nsid: 1, cns: 0 }, Status::SGL_LENGTH)]
 #[tokio::test]
-async fn so_it_is_on_the_admin_queue(#[case] body: Body, #[case] ends: Status) {
+async fn a_malformed_admin_command_gets_its_status_code_and_the_queue_goes_on(
+    #[case] body: Body,
+    #[case] ends: Status,
+) {
     let mixed = mixed(&[Does::Serve], 0).await;
     let mut host = Host::connect(mixed.address).await;
     assert_eq!(ask(&mut host.admin, 8, body, NONE, Bytes::new()).await.0.status, ends);
@@ -257,7 +260,7 @@
 }
 
 #[tokio::test]
-async fn an_abort_ends_a_command_and_tells_whether_it_did() {
+async fn an_abort_ends_a_command_and_reports_whether_it_did() {
     let mixed = mixed(&[Does::Silent], 0).await;
     let mut host = Host::connect(mixed.address).await;
     let (body, sgl) = read_of(1, 256, SMALL);
@@ -274,7 +277,7 @@
 /// A host that breaks a queue off, or whose admin queue goes, gets no answer, and the module hears of it.
 #[rstest]
 #[tokio::test]
-async fn a_queue_that_goes_takes_its_commands_with_it(#[values(true, false)] admin: bool) {
+async fn commands_are_cancelled_when_their_queue_disconnects(#[values(true, false)] admin: bool) {
     let mixed = mixed(&[Does::Silent], 0).await;
     let Host { admin: first, mut io } = Host::connect(mixed.address).await;
     for cid in 3..6 {
@@ -289,7 +292,7 @@
 }
 
 #[tokio::test]
-async fn a_host_that_does_not_keep_alive_loses_its_controller() {
+async fn a_host_that_misses_its_keep_alive_loses_its_controller() {
     let mixed = mixed(&[Does::Serve], 0).await;
     let mut admin = wire(mixed.address).await;
     assert_eq!(join(&mut admin, 0, 0xffff, 300).await.status, Status::SUCCESS);
@@ -316,7 +319,7 @@
 
 /// Guards memory against a host that does not keep to its queue's size.
 #[tokio::test]
-async fn more_commands_than_the_queue_holds_end_it() {
+async fn more_commands_than_the_queue_holds_end_the_connection() {
     let mixed = mixed(&[Does::Silent], 0).await;
     let mut host = Host::connect(mixed.address).await;
     let asks: Vec<Pdu> =
@@ -393,7 +396,7 @@
 /// Both kinds of node start at 24% of their capacity: guards against a burst through the second front, which
 /// the guard of the first would not see if the two did not share it.
 #[tokio::test]
-async fn cold_nodes_of_both_kinds_are_not_pushed_over() {
+async fn nodes_of_both_kinds_in_slow_start_are_not_overloaded() {
     let born = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis();
     let mixed = mixed(&[Does::Serve], born).await;
     let begun = Instant::now();
--- a/crates/scheduler/tests/net/parsers.rs
+++ b/crates/scheduler/tests/net/parsers.rs
@@ -25,7 +25,7 @@
 #[case::body("PUT / HTTP/1.1\r\n\r\nabcd", 4, true)]
 #[case::odd_ends("PUT / HTTP/1.1\r\r\n\r\n", 0, true)]
 #[case::nothing("", 0, false)]
-fn bytes_on_the_socket_tell_whether_a_request_is_whole(
+fn written_bytes_tell_whether_a_request_is_complete(
     #[case] bytes: &str,
     #[case] body: usize,
     #[case] whole: bool,
@@ -62,7 +62,7 @@
 #[case::no_zone("\"locality\":\"a\",", "", true)]
 #[case::whole_number("12.5", "12", true)]
 #[case::same("", "", true)]
-fn lines_of_discovery(#[case] from: &str, #[case] to: &str, #[case] sound: bool) {
+fn endpoint_updates_are_decoded_or_rejected(#[case] from: &str, #[case] to: &str, #[case] sound: bool) {
     let update = discovery::parse_update(&ENTRY.replacen(from, to, 1));
     assert_eq!(update.is_ok(), sound, "{update:?}");
     if let Ok(update) = update {
@@ -154,7 +154,7 @@
     [pdu(&[3, 0, 24, 0, 28, 0, 0, 0, 1, 0, 4], 24), vec![1, 2, 3, 4]].concat(),
     Pdu::TermReq { by_host: false, fatal: Fatal::header(4), echo: Bytes::from_static(&[1, 2, 3, 4]) }
 )]
-fn pdus_both_ways(#[case] bytes: Vec<u8>, #[case] pdu: Pdu) {
+fn pdus_round_trip(#[case] bytes: Vec<u8>, #[case] pdu: Pdu) {
     let mut input = BytesMut::new();
     for byte in &bytes {
         assert_eq!(Pdu::decode(&mut input), Ok(None), "not whole after {} bytes", input.len());
@@ -176,12 +176,12 @@
 #[case::short(&[0, 0, 128, 0, 127, 0, 0, 0], Fatal::header(4))]
 #[case::long(&[4, 0, 72, 72, 0, 0, 0, 1], Fatal::header(4))]
 #[case::data_on_r2t(&[9, 0, 24, 24, 25, 0, 0, 0], Fatal::header(4))]
-fn malformed_pdus_are_fatal_as_soon_as_their_head_is_there(#[case] bytes: &[u8], #[case] fatal: Fatal) {
+fn malformed_pdus_are_fatal_once_their_header_is_complete(#[case] bytes: &[u8], #[case] fatal: Fatal) {
     assert_eq!(Pdu::decode(&mut BytesMut::from(bytes)), Err(fatal));
 }
 
 #[test]
-fn data_is_aligned_as_the_far_side_wants() {
+fn data_is_aligned_as_the_peer_requires() {
     let data = Bytes::from(vec![7; MOST_DATA]);
     let pdu = Pdu::C2hData { cid: 1, offset: 0, last: true, data };
     for align in [4, 24, 32, 128] {
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn names_of_a_connect_both_ways() {
+fn connect_data_round_trips() {
     let names = ConnectData { controller: 0xffff, subsystem: "nqn.a".to_owned(), host: "nqn.b".to_owned() };
     let bytes = names.encode();
     assert_eq!((bytes.len(), &bytes[16..18], &bytes[256..262]), (1024, &[255, 255][..], &b"nqn.a\0"[..]));
@@ -220,7 +220,11 @@
 #[case::listen("127.0.0.1:4420", "here", Some("listen"))]
 #[case::subsystem("nqn.2026", "2026", Some("subsystem"))]
 #[case::missing("\"depth\": 32,", "", Some("nvme"))]
-fn the_map_of_namespaces(#[case] from: &str, #[case] to: &str, #[case] wrong: Option<&str>) {
+fn an_invalid_nvme_map_names_the_field_at_fault(
+    #[case] from: &str,
+    #[case] to: &str,
+    #[case] wrong: Option<&str>,
+) {
     let text = include_str!("../../../../deploy/nvme.json");
     assert!(text.contains(from));
     let map = Map::parse(&text.replacen(from, to, 1), &deployment());
@@ -273,7 +277,11 @@
 #[case::no_method("\"method\":\"GET\",", "", [Ok(()), Err("request.method: missing")])]
 #[case::address("https://", "data:", [Ok(()), Err("request.url")])]
 #[case::size("1e9", "\"all\"", [Ok(()), Err("response.content.size")])]
-fn entries_of_a_har_file(#[case] from: &str, #[case] to: &str, #[case] each: [Result<(), &str>; 2]) {
+fn har_entries_become_requests_or_are_skipped(
+    #[case] from: &str,
+    #[case] to: &str,
+    #[case] each: [Result<(), &str>; 2],
+) {
     let found = har(&HAR.replacen(from, to, 1), &rules());
     assert_eq!(found.len(), 2);
     for ((found, expected), place) in found.iter().zip(&each).zip(1..) {
@@ -297,7 +305,7 @@
 #[case::not_json("{", "not JSON")]
 #[case::no_log("{}", "no list")]
 #[case::no_entries(r#"{"log":{"entries":3}}"#, "no list")]
-fn a_file_that_is_no_har(#[case] text: &str, #[case] why: &str) {
+fn a_malformed_har_file_is_reported(#[case] text: &str, #[case] why: &str) {
     let found = har(text, &rules());
     assert!(
         matches!(&found[..], [Err(skipped)] if skipped.place == 0 && skipped.why.contains(why)),
@@ -319,7 +327,10 @@
 #[case::status(r#"h - - [01/Dec/2026:08:00:01 +0000] "GET / HTTP/1.1" ok 1"#, Err("status"))]
 #[case::size(r#"h - - [01/Dec/2026:08:00:01 +0000] "GET / HTTP/1.1" 200 many"#, Err("size"))]
 #[case::target(r#"h - - [01/Dec/2026:08:00:01 +0000] "GET http://x/ HTTP/1.1" 200 1"#, Err("target"))]
-fn lines_of_an_access_log(#[case] line: &str, #[case] expected: Result<(u16, u32), &str>) {
+fn access_log_lines_become_requests_or_are_skipped(
+    #[case] line: &str,
+    #[case] expected: Result<(u16, u32), &str>,
+) {
     let found = access_log(&format!("\n{line}\n"), &rules());
     match (found.first(), expected) {
         (Some(Ok(recorded)), Ok((class, units))) => {
@@ -349,7 +360,7 @@
 #[case::broken_off("{\"a\":[{\"b\n{\"a\":1}\n", &["{\"a\":[{\"b", "{\"a\":1}"])]
 #[case::broken_off_then_silence("{\"a\":[{\n\n{\"a\":1}\n", &["{\"a\":[{", "", "{\"a\":1}"])]
 #[case::closed_too_often("{\"a\":1}}\n{\"b\":2}\n", &["{\"a\":1}", "}", "{\"b\":2}"])]
-fn a_watch_is_cut_into_lists_and_lines(
+fn a_watch_stream_is_split_into_snapshots_and_lines(
     #[case] text: &str,
     #[case] cut: &[&str],
     #[values(1, 2, 3, 1000)] piece: usize,
--- a/crates/scheduler/tests/net/process.rs
+++ b/crates/scheduler/tests/net/process.rs
@@ -41,7 +41,7 @@
 
 /// The NVMe front is off unless the program is pointed at its file.
 #[tokio::test]
-async fn the_second_front_listens_where_its_file_says() {
+async fn the_nvme_front_listens_where_its_map_says() {
     let config = file("nvme-config", &config_text("127.0.0.1:0", "127.0.0.1:1", ""));
     let (mut off, ..) = listening(start(&config, &[]));
     off.kill().unwrap();
@@ -69,7 +69,7 @@
 #[case::repeat("guarded", "sometimes", "settings.lanes.1.repeat")]
 #[case::aim("\"aimMs\":150", "\"aimMs\":-150", "settings.lanes.0.aimMs")]
 #[case::hosts("\"balancers\":1", "\"balancers\":0", "hosts")]
-fn a_wrong_configuration_ends_it_with_one_line_that_names_the_field(
+fn an_invalid_configuration_ends_the_program_with_one_line_that_names_the_field(
     #[case] from: &str,
     #[case] to: &str,
     #[case] field: &str,
@@ -85,7 +85,7 @@
 
 /// Guards against losing what is open at a planned restart, and against refusing those who still come.
 #[tokio::test]
-async fn after_sigterm_it_answers_what_it_has_and_what_still_comes_then_ends() {
+async fn after_sigterm_open_and_new_requests_are_answered_before_the_exit() {
     let log = Log::default();
     let slow = http_node(0, &[Does::Silent], &log).await;
     let quick = http_node(1, &[Does::Serve], &log).await;
@@ -124,7 +124,7 @@
 /// Clients may wait for longer than the platform lets it run on after SIGTERM. Guards against an end of their
 /// connections in place of an answer: what is out then has failed, and comes with a status.
 #[tokio::test]
-async fn what_is_open_past_the_end_is_answered_before_it() {
+async fn requests_open_past_the_shutdown_deadline_are_answered_before_it() {
     let log = Log::default();
     let node = http_node(0, &[Does::Silent], &log).await;
     let members = member("s0", node, 0, "in_service", 0);
@@ -161,7 +161,7 @@
 /// SIGHUP ended the program once. A file that makes no sense is named and leaves all as it was; a good one is
 /// gone by as a whole, with what is open going on, also when they come in a row.
 #[tokio::test]
-async fn on_sighup_it_reads_its_configuration_again() {
+async fn sighup_reloads_the_configuration() {
     let log = Log::default();
     let node = http_node(0, &[Does::Silent, Does::Serve], &log).await;
     let members = member("s0", node, 0, "in_service", 0).replace('\n', "");
@@ -216,7 +216,7 @@
 
 /// The counters come on SIGUSR1, while it runs.
 #[tokio::test]
-async fn the_counters_come_on_request() {
+async fn sigusr1_writes_the_counters_to_the_log() {
     let path = file("counts", &config_text("127.0.0.1:0", "127.0.0.1:1", ""));
     let (mut child, mut log_lines, _) = listening(start(&path, &[]));
     Command::new("kill").args(["-USR1", &child.id().to_string()]).status().unwrap();
@@ -228,7 +228,7 @@
 }
 
 #[test]
-fn a_source_of_load_is_listed_and_what_was_skipped_is_said() {
+fn a_load_source_is_listed_and_skipped_entries_are_reported() {
     let examples = concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples");
     let config = PathBuf::from(examples).join("config.json");
     let (log, rules) = (format!("{examples}/access.log"), format!("{examples}/rules.json"));
@@ -249,7 +249,7 @@
 }
 
 #[test]
-fn check_says_of_each_file_whether_it_would_be_taken() {
+fn check_reports_of_each_file_whether_it_is_accepted() {
     let config = file("check-sound", &config_text("127.0.0.1:1", "127.0.0.1:2", ""));
     let nvme = file("check-nvme", include_str!("../../../../deploy/nvme.json"));
     let rules = file("check-rules", include_str!("../../../../examples/rules.json"));
@@ -270,7 +270,7 @@
 }
 
 #[test]
-fn check_holds_an_nvme_map_against_its_configuration() {
+fn check_validates_an_nvme_map_against_its_configuration() {
     let map = include_str!("../../../../deploy/nvme.json");
     let config = file("check-held", &config_text("127.0.0.1:1", "127.0.0.1:2", ""));
     let alone = check(&[&file("check-alone", map)]);
@@ -293,7 +293,7 @@
 #[case::outside("import '../secret.json'", "own folder")]
 #[case::absolute("importstr '/etc/hostname'", "own folder")]
 #[case::missing("import 'nowhere.json'", "nowhere.json")]
-fn a_hostile_operator_file_is_refused(#[case] text: &str, #[case] why: &str) {
+fn a_hostile_operator_file_is_rejected(#[case] text: &str, #[case] why: &str) {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
     let path = path.join(format!("operator-{:x}-{}.jsonnet", text.len(), std::process::id()));
     std::fs::write(&path, text).unwrap();
@@ -303,7 +303,7 @@
 }
 
 #[test]
-fn the_operator_file_that_ships_would_be_taken() {
+fn the_shipped_operator_file_is_accepted() {
     let config = file("check-operator", &config_text("127.0.0.1:1", "127.0.0.1:2", ""));
     let shipped = PathBuf::from(concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/heathward.jsonnet"));
     let (code, out, err) = check(&[&config, &shipped]);
@@ -312,7 +312,7 @@
 
 /// On SIGHUP the file acts whole or not at all: its log's level changes, and a wrong one leaves the old.
 #[test]
-fn the_operator_file_is_read_again() {
+fn sighup_reloads_the_operator_file() {
     let config = file("reread-config", &config_text("127.0.0.1:0", "127.0.0.1:1", ""));
     let operator = config.with_extension("jsonnet");
     std::fs::write(&operator, "{ log: { format: 'json', filter: 'info' } }").unwrap();
--- a/crates/scheduler/tests/net/request_writer.rs
+++ b/crates/scheduler/tests/net/request_writer.rs
@@ -43,7 +43,7 @@
 /// one whose client has left: of that no byte more is written.
 #[rstest]
 #[tokio::test]
-async fn no_first_byte_once_the_way_is_shut_and_no_request_cut(
+async fn no_first_byte_is_written_once_the_gate_is_closed_and_no_request_is_cut(
     #[values(Shuts::Drain, Shuts::Silence, Shuts::Time, Shuts::Cancel)] shuts: Shuts,
     #[values(0, 1, 7)] before: usize,
 ) {
@@ -91,7 +91,7 @@
 /// run for want of a look at a connection that was closed before.
 #[rstest]
 #[tokio::test]
-async fn a_connection_on_which_something_crosses_takes_nothing_of_the_next_request(
+async fn a_connection_with_unexpected_bytes_takes_no_further_request(
     #[values(Crosses::Nothing, Crosses::SecondAnswer, Crosses::HalfALine, Crosses::Close)] crosses: Crosses,
 ) {
     let (mut near, written, mut far) = pair().await;
@@ -149,7 +149,7 @@
 /// "A second answer may come some milliseconds later": guards against a connection that is in use again by
 /// then. Of those that have rested one is used, and none is opened.
 #[tokio::test(start_paused = true)]
-async fn a_connection_rests_after_an_answer_before_it_carries_another_attempt() {
+async fn a_connection_pauses_after_an_answer_before_the_next_attempt() {
     let config = config_text("127.0.0.1:1", "127.0.0.1:1", "");
     let deployment = heathward_config::parse_configuration(&config).unwrap().deployment;
     let (_keep, limits) = watch::channel(Limits::new(&deployment, 16, 8));
--- a/crates/scheduler/tests/net/shutdown.rs
+++ b/crates/scheduler/tests/net/shutdown.rs
@@ -69,7 +69,7 @@
 /// part, and an end that waits for nobody or for ever.
 #[rstest]
 #[tokio::test]
-async fn whatever_crosses_the_shutdown_is_answered_or_never_read(#[values(1, 2)] times: usize) {
+async fn requests_that_cross_the_shutdown_are_answered_or_never_read(#[values(1, 2)] times: usize) {
     let log = Log::default();
     let node = http_node(0, &[Does::Serve], &log).await;
     let members = member("s0", node, 0, "in_service", 0);
@@ -126,7 +126,7 @@
 /// is closed over them: each whole request has its answer, and nobody is reset.
 #[rstest]
 #[tokio::test]
-async fn who_stands_behind_an_accept_at_the_end_is_answered(#[values(false, true)] heeded: bool) {
+async fn connections_waiting_to_be_accepted_at_shutdown_are_answered(#[values(false, true)] heeded: bool) {
     let log = Log::default();
     let node = http_node(0, &[Does::Serve], &log).await;
     let hangs = http_node(1, &[Does::Silent], &log).await;
@@ -177,7 +177,7 @@
 #[case::short(100)]
 #[case::long(10_000)]
 #[tokio::test]
-async fn what_hangs_at_a_node_is_answered_before_the_end(#[case] budget: u32) {
+async fn requests_pending_at_a_node_are_answered_before_the_exit(#[case] budget: u32) {
     let log = Log::default();
     let node = http_node(0, &[Does::Silent], &log).await;
     let members = member("s0", node, 0, "in_service", 0);
@@ -219,7 +219,7 @@
 /// to end before it is ready, it ends.
 #[rstest]
 #[tokio::test]
-async fn a_start_needs_no_discovery_to_be_ready_in_time_or_to_end(
+async fn start_and_shutdown_need_no_discovery(
     #[values(Agent::Down, Agent::Silent)] agent: Agent,
     #[values(false, true)] ends_at_once: bool,
 ) {
--- a/crates/scheduler/tests/slow_start_across_processes.rs
+++ b/crates/scheduler/tests/slow_start_across_processes.rs
@@ -24,7 +24,9 @@
 
 #[rstest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn the_sum_of_many_processes_stays_within_what_a_cold_node_bears(#[values(20, 30)] hosts: u32) {
+async fn attempts_of_many_processes_stay_within_the_limit_of_a_node_in_slow_start(
+    #[values(20, 30)] hosts: u32,
+) {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../testing/fault-injection/scenarios/throng.jsonnet");
     let mut scenario = Scenario::load(Path::new(path)).unwrap_or_else(|wrong| panic!("{wrong}"));
     (scenario.hosts, scenario.rate) = (hosts, ASKED / f64::from(hosts));
