--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -1,30 +1,32 @@
-//! Says of files whether they would be taken, without acting on any.
+//! Checks files without applying any: whether a file would be accepted, and which field is at fault if not.
 
 use std::path::Path;
 
-use miniserde::json::{self, Value};
-
 use heathward_load_sources::Rules;
 use heathward_policy::settings::{ConfigError, Deployment};
 use heathward_transport::nvme::Map;
+use miniserde::json::{self, Value};
 
-use crate::{parse_configuration, read_text_file, this_program, OperatorSettings};
+use crate::configuration::parse_configuration;
+use crate::files::read_text_file;
+use crate::jsonnet::current_executable;
+use crate::operator::OperatorSettings;
 
-/// What a file is, by what it holds.
+/// The kind of a file, told by its name or its fields.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FileKind {
     /// The platform's configuration.
     Configuration,
-    /// The NVMe front's map.
+    /// The map of the NVMe front.
     NvmeMap,
-    /// Rules for a source of load.
+    /// Rules for a load source.
     Rules,
     /// The operator file.
     Operator,
 }
 
 impl FileKind {
-    /// A name for people.
+    /// The name that messages use.
     pub fn display_name(self) -> &'static str {
         match self {
             Self::Configuration => "configuration",
@@ -34,39 +36,42 @@
         }
     }
 
-    /// The kind that has such fields.
+    /// The kind of JSON file that has such fields; `None` if there is no such kind or the text is not JSON.
     fn detect(text: &str) -> Option<Self> {
         let Ok(Value::Object(object)) = json::from_str(text) else { return None };
-        let has = |field: &str| object.contains_key(field);
-        match () {
-            () if has("settings") => Some(Self::Configuration),
-            () if has("namespaces") => Some(Self::NvmeMap),
-            () if has("unit_bytes") => Some(Self::Rules),
-            () => None,
+        if object.contains_key("settings") {
+            Some(Self::Configuration)
+        } else if object.contains_key("namespaces") {
+            Some(Self::NvmeMap)
+        } else if object.contains_key("unit_bytes") {
+            Some(Self::Rules)
+        } else {
+            None
         }
     }
 }
 
-/// Checks one file; `deployment` is the one that names in it are held against, if there is any.
+/// Checks one file and says of which kind it is. Names of classes and plans in it are looked up in
+/// `deployment`; without a deployment, rules are checked by themselves.
 ///
 /// # Errors
-/// The field at fault.
+/// The field at fault; or that a configuration is needed to check the file.
 pub fn check_file(path: &Path, deployment: Option<&Deployment>) -> Result<FileKind, ConfigError> {
-    if path.extension().is_some_and(|ending| ending == "jsonnet") {
-        OperatorSettings::load(&this_program(), path, deployment)?;
+    if path.extension().is_some_and(|extension| extension == "jsonnet") {
+        OperatorSettings::load(&current_executable(), path, deployment)?;
         return Ok(FileKind::Operator);
     }
     let text = read_text_file("file", path)?;
-    let unknown = || ConfigError {
+    let unknown_kind = || ConfigError {
         field: "file".to_owned(),
         reason: "not JSON, or neither a configuration, an NVMe map nor rules, and no .jsonnet".to_owned(),
     };
-    let kind = FileKind::detect(&text).ok_or_else(unknown)?;
+    let kind = FileKind::detect(&text).ok_or_else(unknown_kind)?;
     match kind {
         FileKind::Configuration => parse_configuration(&text).map(drop)?,
         FileKind::NvmeMap => {
-            let need = || ConfigError::missing("a configuration that the NVMe map goes with");
-            Map::parse(&text, deployment.ok_or_else(need)?).map(drop)?;
+            let no_configuration = || ConfigError::missing("a configuration that the NVMe map goes with");
+            Map::parse(&text, deployment.ok_or_else(no_configuration)?).map(drop)?;
         }
         FileKind::Rules => match deployment {
             Some(deployment) => Rules::parse(&text, deployment.clone().into()).map(drop)?,
@@ -77,11 +82,11 @@
     Ok(kind)
 }
 
-/// The deployment that a set of files is held against: that of the first configuration among them.
+/// The deployment of the first valid configuration among these files, if there is one.
 pub fn first_deployment<'a>(paths: impl IntoIterator<Item = &'a Path>) -> Option<Deployment> {
-    let configuration = |path: &Path| {
+    let deployment_of = |path: &Path| {
         let text = read_text_file("file", path).ok()?;
         Some(parse_configuration(&text).ok()?.deployment)
     };
-    paths.into_iter().find_map(configuration)
+    paths.into_iter().find_map(deployment_of)
 }
--- /dev/null
+++ b/crates/config/src/configuration.rs
@@ -0,0 +1,120 @@
+//! The platform's configuration, decoded from JSON.
+
+use std::net::SocketAddr;
+
+use heathward_core::EndpointUpdate;
+use heathward_load_sources::Rules;
+use heathward_policy::settings::{ConfigError, Deployment, JsonSource, SettingsSource};
+use heathward_policy::EndpointUpdateKind;
+use heathward_transport::discovery;
+use heathward_transport::nvme::Map;
+use miniserde::json::{self, Value};
+
+use crate::operator::OperatorSettings;
+
+/// File descriptors that the process may hold if the file sets no limit.
+const DEFAULT_MAX_DESCRIPTORS: usize = 1024;
+/// With fewer file descriptors there is no room for clients and nodes.
+const MIN_DESCRIPTORS: usize = 64;
+
+/// Everything that the program is configured with.
+pub struct Config {
+    /// The scheduler's name, the same after a restart.
+    pub name: String,
+    /// The address that clients connect to.
+    pub listen_address: SocketAddr,
+    /// The address of the admin interface, if it is on.
+    pub admin_address: Option<SocketAddr>,
+    /// The address of discovery, which serves the endpoint list.
+    pub discovery_address: SocketAddr,
+    /// The seed of all random numbers.
+    pub seed: u64,
+    /// File descriptors that the process may hold, at least 64.
+    pub max_descriptors: usize,
+    /// The endpoint list as it was last known.
+    pub cached_endpoints: EndpointUpdate,
+    /// The settings of the decision module, and the names of classes and plans.
+    pub deployment: Deployment,
+    /// The map of the NVMe front, if that front is on.
+    pub nvme_map: Option<Map>,
+    /// The operator file's settings; the defaults if there is no such file.
+    pub operator_settings: OperatorSettings,
+    /// A load source to be listed in place of serving.
+    pub load_listing: Option<LoadListing>,
+}
+
+/// A load source that is to be listed.
+pub struct LoadListing {
+    /// The source.
+    pub source: LoadSource,
+    /// How its entries become requests.
+    pub rules: Rules,
+}
+
+/// The text of a load source, by its format.
+pub enum LoadSource {
+    /// A HAR file.
+    Har(String),
+    /// An access log.
+    AccessLog(String),
+}
+
+/// Decodes the platform's configuration. What other files set is at its default.
+///
+/// # Errors
+/// The first field that is missing or invalid.
+pub fn parse_configuration(text: &str) -> Result<Config, ConfigError> {
+    let value: Value = json::from_str(text).map_err(|_| not_json())?;
+    let source = JsonSource(&value);
+    let seed = source.required("seed")?;
+    let max_descriptors = source.number_or("limits.sockets", DEFAULT_MAX_DESCRIPTORS)?;
+    if max_descriptors < MIN_DESCRIPTORS {
+        return Err(ConfigError::invalid("limits.sockets", &max_descriptors.to_string()));
+    }
+    let cached_endpoints = parse_cached_endpoints(section(&value, "known")?)?;
+    let deployment = parse_deployment(section(&value, "settings")?)?;
+    Ok(Config {
+        name: source.number_or("name", "heathward".to_owned())?,
+        listen_address: source.required_number("listen")?,
+        admin_address: source.get("ops").map(|_| source.required_number("ops")).transpose()?,
+        discovery_address: source.required_number("discovery")?,
+        seed: u64::from_str_radix(&seed, 16).map_err(|_| ConfigError::invalid("seed", &seed))?,
+        max_descriptors,
+        cached_endpoints,
+        deployment,
+        nvme_map: None,
+        operator_settings: OperatorSettings::default(),
+        load_listing: None,
+    })
+}
+
+fn not_json() -> ConfigError {
+    ConfigError { field: "configuration".to_owned(), reason: "not JSON".to_owned() }
+}
+
+/// A section that must be there.
+fn section<'a>(value: &'a Value, name: &str) -> Result<&'a Value, ConfigError> {
+    match value {
+        Value::Object(object) => object.get(name).ok_or_else(|| ConfigError::missing(name)),
+        _ => Err(ConfigError::missing(name)),
+    }
+}
+
+/// The section `known`, which has the form that discovery's updates have.
+fn parse_cached_endpoints(known: &Value) -> Result<EndpointUpdate, ConfigError> {
+    let update = discovery::parse_update(&json::to_string(known));
+    let update =
+        update.map_err(|error| ConfigError { field: "known".to_owned(), reason: error.to_string() })?;
+    Ok(EndpointUpdate { kind: EndpointUpdateKind::Cached, ..update })
+}
+
+/// The section `settings`.
+fn parse_deployment(settings: &Value) -> Result<Deployment, ConfigError> {
+    let deployment = Deployment::read(&JsonSource(settings))
+        .map_err(|error| ConfigError { field: format!("settings.{}", error.field), ..error })?;
+    deployment
+        .settings
+        .validate()
+        .map_err(|error| ConfigError { field: "settings".to_owned(), reason: error.to_string() })?;
+    Ok(deployment)
+}
--- /dev/null
+++ b/crates/config/src/jsonnet/imports.rs
@@ -0,0 +1,100 @@
+//! Finds the imports of a Jsonnet source without parsing all of it: skips comments and strings, and takes
+//! the string that follows an import keyword.
+
+use thiserror::Error;
+
+/// Why the imports of a source cannot be followed.
+#[derive(Debug, Error, PartialEq, Eq)]
+pub enum ImportError {
+    /// The name of the file is a text block.
+    #[error("an import by a block of text")]
+    TextBlock,
+    /// A string has no closing quote.
+    #[error("a text without end")]
+    UnterminatedString,
+    /// The name leads out of the folder, or may be read as another name.
+    #[error("import {0:?}: only files in its own folder, by their plain names")]
+    OutsideFolder(String),
+}
+
+/// The file names in a source's imports, in order.
+///
+/// # Errors
+/// An import that may not be followed, or a string without end.
+pub fn find_imports(source: &str) -> Result<Vec<String>, ImportError> {
+    let mut names = Vec::new();
+    let mut rest = source;
+    // Whether the last word was an import keyword with only white space or comments behind it.
+    let mut after_keyword = false;
+    while let Some(first) = rest.chars().next() {
+        let is_verbatim = rest.starts_with("@\"") || rest.starts_with("@'");
+        if rest.starts_with("//") || first == '#' {
+            rest = rest.find('\n').map_or("", |end| &rest[end..]);
+        } else if rest.starts_with("/*") {
+            rest = rest.find("*/").map_or("", |end| &rest[end + 2..]);
+        } else if rest.starts_with("|||") {
+            if after_keyword {
+                return Err(ImportError::TextBlock);
+            }
+            rest = after_text_block(&rest[3..]);
+        } else if is_verbatim || first == '"' || first == '\'' {
+            let body = &rest[usize::from(is_verbatim) + 1..];
+            let quote = if is_verbatim { rest[1..].chars().next().unwrap_or('"') } else { first };
+            let end = closing_quote(body, quote, is_verbatim).ok_or(ImportError::UnterminatedString)?;
+            if after_keyword {
+                names.push(plain_file_name(&body[..end])?);
+            }
+            after_keyword = false;
+            rest = &body[end + 1..];
+        } else if first.is_alphanumeric() || first == '_' {
+            let end = rest.find(|c: char| !c.is_alphanumeric() && c != '_').unwrap_or(rest.len());
+            after_keyword = matches!(&rest[..end], "import" | "importstr" | "importbin");
+            rest = &rest[end..];
+        } else {
+            // The parser rejects everything but white space and comments between an import and its name.
+            after_keyword &= first.is_whitespace();
+            rest = &rest[first.len_utf8()..];
+        }
+    }
+    Ok(names)
+}
+
+/// What follows a text block, which ends at the first `|||` that only white space stands before in its
+/// line.
+fn after_text_block(body: &str) -> &str {
+    let end = body.match_indices("|||").find(|(index, _)| {
+        let line_start = body[..*index].rsplit('\n').next().unwrap_or_default();
+        line_start.trim().is_empty()
+    });
+    end.map_or("", |(index, _)| &body[index + 3..])
+}
+
+/// The index of the quote that closes a string. In a verbatim string a doubled quote stands for one, in any
+/// other a backslash escapes the next character.
+fn closing_quote(body: &str, quote: char, is_verbatim: bool) -> Option<usize> {
+    let mut index = 0;
+    while let Some(c) = body[index..].chars().next() {
+        let next = index + c.len_utf8();
+        if c == quote && is_verbatim && body[next..].starts_with(quote) {
+            index = next + c.len_utf8();
+        } else if c == quote {
+            return Some(index);
+        } else if c == '\\' && !is_verbatim {
+            index = next + body[next..].chars().next().map_or(0, char::len_utf8);
+        } else {
+            index = next;
+        }
+    }
+    None
+}
+
+/// The name of a file in the same folder, without escapes.
+fn plain_file_name(text: &str) -> Result<String, ImportError> {
+    let is_plain =
+        !text.is_empty() && !text.contains(['/', '\\', '\0', '"', '\'']) && !text.starts_with("..");
+    if is_plain {
+        Ok(text.to_owned())
+    } else {
+        Err(ImportError::OutsideFolder(text.to_owned()))
+    }
+}
--- a/crates/config/src/jsonnet/tests.rs
+++ b/crates/config/src/jsonnet/tests.rs
@@ -1,6 +1,6 @@
 use rstest::rstest;
 
-use super::*;
+use super::imports::find_imports;
 
 #[rstest]
 #[case::none("{a: 1}", Ok(&[][..]))]
@@ -23,5 +23,5 @@
     #[case] expected: Result<&[&str], ()>,
 ) {
     let expected = expected.map(|names| names.iter().map(|n| (*n).to_owned()).collect::<Vec<_>>());
-    assert_eq!(imports(source).map_err(drop), expected);
+    assert_eq!(find_imports(source).map_err(drop), expected);
 }
--- a/crates/config/src/operator.rs
+++ b/crates/config/src/operator.rs
@@ -1,5 +1,5 @@
-//! The operator file, `deploy/heathward.jsonnet`: what our installations set beside the platform's
-//! configuration. Evaluated, decoded and checked whole before any of it acts.
+//! The operator file, `deploy/heathward.jsonnet`: what the operators of an installation set beside the
+//! platform's configuration. It is evaluated, decoded and checked as a whole before any of it is applied.
 
 use std::path::{Path, PathBuf};
 
@@ -13,121 +13,151 @@
 
 use crate::jsonnet;
 
-/// What the file sets.
+/// Bytes in a megabyte of the file's settings.
+const BYTES_PER_MB: u64 = 1 << 20;
+/// Microseconds in a second.
+const MICROS_PER_SECOND: u64 = 1_000_000;
+
+/// A whole number that the file may set, with its bounds; both bounds are allowed.
+struct BoundedSetting {
+    /// The path in the file.
+    path: &'static str,
+    default: u64,
+    min: u64,
+    max: u64,
+}
+
+/// The size of a segment at which the next one is begun, MB.
+const SEGMENT_MB: BoundedSetting =
+    BoundedSetting { path: "records.segmentMb", default: 16, min: 1, max: 1024 };
+/// The age of a segment at which the next one is begun, seconds.
+const SEGMENT_SECONDS: BoundedSetting =
+    BoundedSetting { path: "records.segmentSeconds", default: 600, min: 1, max: 86_400 };
+/// The size of all segments, MB; the oldest are deleted above it.
+const TOTAL_MB: BoundedSetting =
+    BoundedSetting { path: "records.totalMb", default: 512, min: 2, max: 1 << 20 };
+/// Events that may wait for the disk.
+const WAITING_EVENTS: BoundedSetting =
+    BoundedSetting { path: "records.waiting", default: 8192, min: 64, max: 65_536 };
+
+/// The settings of the operator file.
 #[derive(Clone, Debug, Default)]
 pub struct OperatorSettings {
-    /// The logs.
+    /// The log.
     pub log: LogSettings,
-    /// The NVMe front, where it is on.
+    /// The map of the NVMe front, if that front is on.
     pub nvme_map: Option<Map>,
-    /// The records, where they are kept.
+    /// The event recorder, if it is on.
     pub recorder: Option<Settings>,
 }
 
-/// How logs look, and which are written.
+/// The format of the log, and which lines are written.
 #[derive(Clone, Debug, Default)]
 pub struct LogSettings {
     /// Text or JSON.
     pub format: Format,
-    /// By target and level.
+    /// A level for all targets, and levels for single targets.
     pub filter: Filter,
 }
 
 impl OperatorSettings {
-    /// Reads the file, in a process of its own that `program evaluate FILE` starts, and checks all of it.
+    /// Reads and checks the file. It is evaluated in a child process that runs `program evaluate FILE`.
     ///
     /// # Errors
-    /// The field at fault, or what keeps the file from being evaluated.
+    /// The field at fault, or the reason why the file cannot be evaluated.
     pub fn load(program: &Path, path: &Path, deployment: Option<&Deployment>) -> Result<Self, ConfigError> {
-        Self::parse(&jsonnet::evaluate_apart(program, path)?, deployment)
+        Self::parse(&jsonnet::evaluate_in_child_process(program, path)?, deployment)
     }
 
-    /// Decodes what the file evaluates to.
+    /// Decodes the JSON that the file evaluates to. Names of classes and plans are looked up in the
+    /// deployment.
     ///
     /// # Errors
     /// The field at fault.
     pub fn parse(text: &str, deployment: Option<&Deployment>) -> Result<Self, ConfigError> {
-        let broken = |_| ConfigError { field: "operator file".to_owned(), reason: "no JSON".to_owned() };
-        let value: Value = json::from_str(text).map_err(broken)?;
-        let tree = JsonSource(&value);
-        known(&value, "", &["log", "nvme", "records"])?;
+        let not_json = |_| ConfigError { field: "operator file".to_owned(), reason: "no JSON".to_owned() };
+        let value: Value = json::from_str(text).map_err(not_json)?;
+        let source = JsonSource(&value);
+        reject_unknown_fields(&value, "", &["log", "nvme", "records"])?;
         Ok(Self {
-            log: LogSettings::read(&tree, section(&value, "log"))?,
-            nvme_map: section(&value, "nvme").map(|map| nvme(map, deployment)).transpose()?,
-            recorder: section(&value, "records").map(|section| records(&tree, section)).transpose()?,
+            log: LogSettings::read(&source, section(&value, "log"))?,
+            nvme_map: section(&value, "nvme").map(|map| nvme_map(map, deployment)).transpose()?,
+            recorder: section(&value, "records").map(|records| recorder(&source, records)).transpose()?,
         })
     }
 }
 
 impl LogSettings {
-    fn read(tree: &JsonSource<'_>, section: Option<&Value>) -> Result<Self, ConfigError> {
+    fn read(source: &JsonSource<'_>, section: Option<&Value>) -> Result<Self, ConfigError> {
         let Some(section) = section else { return Ok(Self::default()) };
-        known(section, "log.", &["format", "filter"])?;
+        reject_unknown_fields(section, "log.", &["format", "filter"])?;
         Ok(Self {
-            format: tree.number_or("log.format", Format::default())?,
-            filter: tree.number_or("log.filter", Filter::default())?,
+            format: source.number_or("log.format", Format::default())?,
+            filter: source.number_or("log.filter", Filter::default())?,
         })
     }
 }
 
-fn nvme(map: &Value, deployment: Option<&Deployment>) -> Result<Map, ConfigError> {
-    let need = || ConfigError::missing("a configuration that the section nvme goes with");
-    let inside = |error: ConfigError| ConfigError { field: format!("nvme.{}", error.field), ..error };
-    Map::parse(&json::to_string(map), deployment.ok_or_else(need)?).map_err(inside)
-}
-
-/// Bytes in a megabyte as the file counts them.
-const MB: u64 = 1 << 20;
-
-fn records(tree: &JsonSource<'_>, section: &Value) -> Result<Settings, ConfigError> {
-    let names = ["folder", "segmentMb", "segmentSeconds", "totalMb", "waiting", "requests", "clock"];
-    known(section, "records.", &names)?;
-    let within = |name: &str, absent: u64, least: u64, most: u64| {
-        let field = format!("records.{name}");
-        let value: u64 = tree.number_or(&field, absent)?;
-        if (least..=most).contains(&value) {
+impl BoundedSetting {
+    /// The value in the file, or the default.
+    fn read(&self, source: &JsonSource<'_>) -> Result<u64, ConfigError> {
+        let Self { path, default, min, max } = *self;
+        let value: u64 = source.number_or(path, default)?;
+        if (min..=max).contains(&value) {
             Ok(value)
         } else {
-            Err(ConfigError { field, reason: format!("{value} is not within {least} to {most}") })
+            Err(invalid(path, format!("{value} is not within {min} to {max}")))
         }
-    };
-    let folder = tree.required("records.folder")?;
+    }
+}
+
+fn invalid(path: &str, reason: impl Into<String>) -> ConfigError {
+    ConfigError { field: path.to_owned(), reason: reason.into() }
+}
+
+fn nvme_map(map: &Value, deployment: Option<&Deployment>) -> Result<Map, ConfigError> {
+    let no_configuration = || ConfigError::missing("a configuration that the section nvme goes with");
+    let in_section = |error: ConfigError| ConfigError { field: format!("nvme.{}", error.field), ..error };
+    Map::parse(&json::to_string(map), deployment.ok_or_else(no_configuration)?).map_err(in_section)
+}
+
+fn recorder(source: &JsonSource<'_>, section: &Value) -> Result<Settings, ConfigError> {
+    let fields = ["folder", "segmentMb", "segmentSeconds", "totalMb", "waiting", "requests", "clock"];
+    reject_unknown_fields(section, "records.", &fields)?;
+    let folder = source.required("records.folder")?;
     if !Path::new(&*folder).is_absolute() {
-        return Err(ConfigError {
-            field: "records.folder".to_owned(),
-            reason: "no absolute path".to_owned(),
-        });
+        return Err(invalid("records.folder", "no absolute path"));
     }
-    let size = within("segmentMb", 16, 1, 1024)? * MB;
-    let age = within("segmentSeconds", 600, 1, 86_400)? * 1_000_000;
-    let total = within("totalMb", 512, 2, 1 << 20)? * MB;
-    if total < 2 * size {
-        let why = "less than two segments".to_owned();
-        return Err(ConfigError { field: "records.totalMb".to_owned(), reason: why });
+    let segment_bytes = SEGMENT_MB.read(source)? * BYTES_PER_MB;
+    let segment_micros = SEGMENT_SECONDS.read(source)? * MICROS_PER_SECOND;
+    let total_bytes = TOTAL_MB.read(source)? * BYTES_PER_MB;
+    if total_bytes < 2 * segment_bytes {
+        return Err(invalid("records.totalMb", "less than two segments"));
     }
     Ok(Settings {
         folder: PathBuf::from(&*folder),
         limits: StorageLimits {
-            rotation: Rotation { max_bytes: size, max_age: age },
-            max_total_bytes: total,
+            rotation: Rotation { max_bytes: segment_bytes, max_age: segment_micros },
+            max_total_bytes: total_bytes,
         },
-        waiting: within("waiting", 8192, 64, 65_536)? as usize,
-        requests: tree.flag("records.requests")?,
-        clock: clock(tree, section)?,
+        waiting: WAITING_EVENTS.read(source)? as usize,
+        requests: source.flag("records.requests")?,
+        clock: recorder_clock(source, section)?,
     })
 }
 
-fn clock(tree: &JsonSource<'_>, records: &Value) -> Result<Clock, ConfigError> {
-    let Some(clock) = self::section(records, "clock") else { return Ok(Clock::default()) };
-    known(clock, "records.clock.", &["offsetMs", "stepAfterMs", "stepMs"])?;
+/// The recorder's clock, which is wrong on purpose in rehearsals.
+fn recorder_clock(source: &JsonSource<'_>, records: &Value) -> Result<Clock, ConfigError> {
+    let Some(clock) = section(records, "clock") else { return Ok(Clock::default()) };
+    reject_unknown_fields(clock, "records.clock.", &["offsetMs", "stepAfterMs", "stepMs"])?;
     Ok(Clock {
-        offset_ms: tree.number_or("records.clock.offsetMs", 0)?,
-        step_after_ms: tree.number_or("records.clock.stepAfterMs", 0)?,
-        step_ms: tree.number_or("records.clock.stepMs", 0)?,
+        offset_ms: source.number_or("records.clock.offsetMs", 0)?,
+        step_after_ms: source.number_or("records.clock.stepAfterMs", 0)?,
+        step_ms: source.number_or("records.clock.stepMs", 0)?,
     })
 }
 
-/// A field's value; null is as good as none.
+/// The value of a field; null counts as absent.
 fn section<'a>(value: &'a Value, name: &str) -> Option<&'a Value> {
     match value {
         Value::Object(object) => object.get(name).filter(|value| !matches!(value, Value::Null)),
@@ -135,19 +165,16 @@
     }
 }
 
-/// Refuses what is no object or has a field that means nothing: a slip must not pass for a setting.
-fn known(value: &Value, path: &str, names: &[&str]) -> Result<(), ConfigError> {
-    let field = |name: &str| format!("{path}{name}");
-    match value {
-        Value::Object(object) => match object.keys().find(|name| !names.contains(&name.as_str())) {
-            None => Ok(()),
-            Some(name) => Err(ConfigError { field: field(name), reason: "no such setting".to_owned() }),
-        },
-        _ => {
-            let name = path.trim_end_matches('.');
-            let name = if name.is_empty() { "operator file" } else { name };
-            Err(ConfigError { field: name.to_owned(), reason: "no object".to_owned() })
-        }
+/// Rejects a value that is no object, or that has a field of no meaning: a misspelt name must not pass for
+/// a setting. `prefix` is the path of the object with a dot behind it, or empty.
+fn reject_unknown_fields(value: &Value, prefix: &str, known: &[&str]) -> Result<(), ConfigError> {
+    let Value::Object(object) = value else {
+        let path = prefix.trim_end_matches('.');
+        return Err(invalid(if path.is_empty() { "operator file" } else { path }, "no object"));
+    };
+    match object.keys().find(|name| !known.contains(&name.as_str())) {
+        None => Ok(()),
+        Some(name) => Err(invalid(&format!("{prefix}{name}"), "no such setting")),
     }
 }
 
--- a/crates/config/tests/operator_file.rs
+++ b/crates/config/tests/operator_file.rs
@@ -5,7 +5,7 @@
 use std::fmt::Write;
 use std::path::{Path, PathBuf};
 
-use heathward_config::{evaluate, parse_configuration, OperatorSettings};
+use heathward_config::{evaluate_jsonnet, parse_configuration, OperatorSettings};
 use heathward_logs::{Filter, Format};
 use rstest::rstest;
 
@@ -66,7 +66,7 @@
 fn every_setting_is_evaluated_and_read_as_pinned() {
     let configuration =
         parse_configuration(include_str!("../../../examples/config.json")).unwrap_or_else(|e| panic!("{e}"));
-    let json = evaluate(&fixture("every_setting.jsonnet")).unwrap();
+    let json = evaluate_jsonnet(&fixture("every_setting.jsonnet")).unwrap();
     assert_matches_fixture("every_setting.json", &json);
     let operator = OperatorSettings::parse(&json, Some(&configuration.deployment)).unwrap();
     assert_matches_fixture("every_setting.txt", &print(&operator));
--- a/crates/scheduler/src/arguments.rs
+++ b/crates/scheduler/src/arguments.rs
@@ -5,7 +5,7 @@
 use clap::{Args, Parser, Subcommand};
 use heathward_config::FileArguments;
 
-const EXAMPLES: &str = "\
+const AFTER_HELP: &str = "\
 Examples:
   GW_CONFIG=examples/config.json heathward
       serves, as the configuration says
@@ -23,20 +23,21 @@
   GW_CONFIG   the configuration, JSON
   GW_OPS      the second address, where the configuration names none";
 
-/// A storage scheduler: decides which requests go to which storage node and when, and gives each one answer.
+/// A storage scheduler: decides which requests go to which storage node and when, and gives each one
+/// answer.
 #[derive(Parser)]
-#[command(name = "heathward", version, after_help = EXAMPLES, args_conflicts_with_subcommands = true)]
+#[command(name = "heathward", version, after_help = AFTER_HELP, args_conflicts_with_subcommands = true)]
 pub struct Arguments {
     /// Without one it serves.
     #[command(subcommand)]
     pub command: Option<Command>,
     #[command(flatten)]
-    pub serve: Serve,
+    pub serve: ServeArguments,
 }
 
 /// What it serves.
 #[derive(Args)]
-pub struct Serve {
+pub struct ServeArguments {
     /// What our installations set beside the configuration, in Jsonnet
     #[arg(long, value_name = "FILE")]
     operator: Option<PathBuf>,
@@ -54,9 +55,9 @@
     rules: Option<PathBuf>,
 }
 
-impl Serve {
+impl ServeArguments {
     /// The files that it names.
-    pub fn files(self) -> FileArguments {
+    pub fn into_files(self) -> FileArguments {
         let Self { operator, nvme, har, access_log, rules } = self;
         FileArguments { operator, nvme_map: nvme, har, access_log, load_rules: rules }
     }
--- /dev/null
+++ b/crates/scheduler/src/descriptor_budget.rs
@@ -0,0 +1,60 @@
+//! Divides the file descriptors that the process may hold.
+//!
+//! Half of them are for clients, three eighths for connections to storage nodes, and an eighth is for
+//! everything else: NVMe hosts, the admin interface, and what the program needs itself. While a peer
+//! process of the same scheduler runs, both count against the same limit and each takes less.
+
+use heathward_policy::settings::Deployment;
+use heathward_transport::http::closing_places;
+use heathward_transport::node::Limits;
+
+/// The fewest connections to storage nodes that may stand idle at a node.
+const MIN_IDLE_PER_NODE: usize = 2;
+/// The fewest connections that the admin interface accepts.
+const MIN_ADMIN_CONNECTIONS: usize = 2;
+
+/// The descriptors of this process, and whether a peer process shares them.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct DescriptorBudget {
+    /// Descriptors that the configuration allows the scheduler.
+    pub max_descriptors: usize,
+    /// Whether a peer process of the same scheduler runs.
+    pub peer_running: bool,
+}
+
+/// How many client connections the HTTP front may hold.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ClientConnectionLimits {
+    /// Connections when this process is alone; idle ones are closed sooner as the table fills up to it.
+    pub capacity: usize,
+    /// Connections that may be accepted now: fewer than the capacity while a peer process runs.
+    pub current: usize,
+}
+
+impl DescriptorBudget {
+    /// The limits of the connections to storage nodes. Idle connections are limited per node, so that many
+    /// nodes do not keep the others from being reached.
+    pub fn node_limits(&self, deployment: &Deployment) -> Limits {
+        let total = self.max_descriptors;
+        let open = if self.peer_running { total * 5 / 32 } else { total * 3 / 8 };
+        Limits::new(deployment, open, (total / 48).max(MIN_IDLE_PER_NODE))
+    }
+
+    /// The limits of client connections. Room for connections that are being closed is taken off.
+    pub fn client_limits(&self) -> ClientConnectionLimits {
+        let without_closing = |share: usize| share - closing_places(share).min(share / 2);
+        let alone = self.max_descriptors / 2;
+        let current = if self.peer_running { self.max_descriptors * 3 / 8 } else { alone };
+        ClientConnectionLimits { capacity: without_closing(alone), current: without_closing(current) }
+    }
+
+    /// Connections that the admin interface may hold.
+    pub fn admin_connections(&self) -> usize {
+        (self.max_descriptors / 32).max(MIN_ADMIN_CONNECTIONS)
+    }
+
+    /// Connections of NVMe hosts: what is left of the last eighth, less a part for the program itself.
+    pub fn nvme_host_connections(&self) -> usize {
+        self.max_descriptors / 8 - self.max_descriptors / 32 - self.admin_connections()
+    }
+}
--- a/crates/scheduler/src/file_commands.rs
+++ b/crates/scheduler/src/file_commands.rs
@@ -1,43 +1,52 @@
-//! `heathward check`: whether files would be taken.
+//! The subcommands that read files and serve nothing: `heathward check` and `heathward evaluate`.
 
+use std::fmt::Display;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
 use heathward_config as config;
 
-/// A line for each file: taken as what, or the field at fault.
-pub fn run(files: &[PathBuf]) -> ExitCode {
+/// The exit code if a file would be rejected.
+const REJECTED: u8 = 2;
+
+/// `heathward check`: prints a line for each file, with its kind or with the field at fault.
+pub fn check(files: &[PathBuf]) -> ExitCode {
     let environment = std::env::var_os("GW_CONFIG").map(PathBuf::from);
-    let named = files.iter().chain(&environment).map(PathBuf::as_path);
-    let deployment = config::first_deployment(named);
-    let mut sound = true;
+    let configurations = files.iter().chain(&environment).map(PathBuf::as_path);
+    let deployment = config::first_deployment(configurations);
+    let mut all_valid = true;
     for path in files.iter().map(PathBuf::as_path) {
         match config::check_file(path, deployment.as_ref()) {
             Ok(kind) => println!("{}: {}, would be taken", path.display(), kind.display_name()),
             Err(error) => {
                 eprintln!("{}: {error}", path.display());
-                sound = false;
+                all_valid = false;
             }
         }
     }
-    if sound {
+    if all_valid {
         ExitCode::SUCCESS
     } else {
-        ExitCode::from(2)
+        ExitCode::from(REJECTED)
     }
 }
 
-/// `heathward evaluate`: what a process does that was started for one operator file.
+/// `heathward evaluate`: prints an operator file as JSON, within limits on CPU time and memory. The
+/// scheduler starts this command as a child process, so that a file that needs too much harms nothing else.
 pub fn evaluate(file: &Path) -> ExitCode {
-    let evaluated = config::bound_this_process().map_err(|e| e.to_string());
-    match evaluated.and_then(|()| config::evaluate(file).map_err(|e| e.reason)) {
+    if let Err(error) = config::limit_this_process() {
+        return reject(error);
+    }
+    match config::evaluate_jsonnet(file) {
         Ok(json) => {
             print!("{json}");
             ExitCode::SUCCESS
         }
-        Err(why) => {
-            eprintln!("{why}");
-            ExitCode::from(2)
-        }
+        Err(error) => reject(error.reason),
     }
 }
+
+fn reject(reason: impl Display) -> ExitCode {
+    eprintln!("{reason}");
+    ExitCode::from(REJECTED)
+}
--- /dev/null
+++ b/crates/scheduler/src/fronts.rs
@@ -0,0 +1,139 @@
+//! The fronts that clients and NVMe hosts connect to: their listening sockets, the tasks that accept
+//! connections on them, and the limits of HTTP connections.
+
+use std::io;
+use std::net::SocketAddr;
+use std::os::fd::OwnedFd;
+use std::sync::Arc;
+
+use heathward_core::CoreHandle;
+use heathward_transport::http::{self, ConnectionTable, Front};
+use heathward_transport::nvme::{self, Subsystem};
+use tokio::sync::watch;
+use tokio::task::JoinSet;
+
+use crate::descriptor_budget::{ClientConnectionLimits, DescriptorBudget};
+use crate::sockets;
+
+/// The NVMe front: where hosts connect, and what they find there.
+pub struct NvmeFront {
+    /// Its listening socket.
+    pub socket: OwnedFd,
+    /// The subsystem that hosts see.
+    pub subsystem: Arc<Subsystem>,
+}
+
+/// Both fronts. The listening sockets stay open while a peer process accepts connections, as that process
+/// may end first.
+pub struct Fronts {
+    core: CoreHandle,
+    /// The address that the configuration names; its port may be 0.
+    http_address: SocketAddr,
+    http_socket: OwnedFd,
+    nvme: Option<NvmeFront>,
+    connections: ConnectionTable,
+    /// Set to true, connections close as soon as they have nothing open. Each accepting task and each
+    /// connection holds a receiver.
+    closing: watch::Sender<bool>,
+    /// The tasks that accept connections, one for each front; aborted when dropped. Accepted connections
+    /// are tasks of their own and go on.
+    accept_tasks: JoinSet<()>,
+}
+
+impl Fronts {
+    /// Fronts that do not accept connections yet.
+    pub fn new(
+        core: CoreHandle,
+        http_address: SocketAddr,
+        http_socket: OwnedFd,
+        nvme: Option<NvmeFront>,
+        limits: ClientConnectionLimits,
+    ) -> Self {
+        let connections = ConnectionTable::new(limits.capacity);
+        connections.resize(limits.capacity, limits.current);
+        let (closing, _) = watch::channel(false);
+        let accept_tasks = JoinSet::new();
+        Self { core, http_address, http_socket, nvme, connections, closing, accept_tasks }
+    }
+
+    /// The configured address of the HTTP front.
+    pub fn http_address(&self) -> SocketAddr {
+        self.http_address
+    }
+
+    /// The address that the HTTP front listens at, with the port that the system has chosen if none is
+    /// configured.
+    ///
+    /// # Errors
+    /// The system's.
+    pub fn local_http_address(&self) -> io::Result<SocketAddr> {
+        sockets::listener(&self.http_socket)?.local_addr()
+    }
+
+    /// Copies of the listening sockets, the HTTP front's first, for a process that takes over.
+    ///
+    /// # Errors
+    /// The system's, if there are no descriptors left.
+    pub fn copy_sockets(&self) -> io::Result<Vec<OwnedFd>> {
+        let nvme = self.nvme.iter().map(|front| &front.socket);
+        std::iter::once(&self.http_socket).chain(nvme).map(OwnedFd::try_clone).collect()
+    }
+
+    /// Accepts connections on all fronts, in place of the tasks that did so until now.
+    ///
+    /// # Errors
+    /// The system's, if there are no descriptors left; then the tasks before go on.
+    pub fn accept(&mut self, descriptors: DescriptorBudget) -> io::Result<()> {
+        let mut accept_tasks = JoinSet::new();
+        let listener = sockets::listener(&self.http_socket)?;
+        let front = Front::new(self.core.clone());
+        accept_tasks.spawn(http::serve(listener, front, self.connections.clone(), self.closing.subscribe()));
+        if let Some(NvmeFront { socket, subsystem }) = &self.nvme {
+            let listener = sockets::listener(socket)?;
+            let hosts = descriptors.nvme_host_connections();
+            accept_tasks.spawn(nvme::serve(listener, subsystem.clone(), hosts, self.closing.subscribe()));
+        }
+        self.accept_tasks = accept_tasks;
+        Ok(())
+    }
+
+    /// Whether connections are accepted.
+    pub fn is_accepting(&self) -> bool {
+        !self.accept_tasks.is_empty()
+    }
+
+    /// Accepts no more connections; those that were accepted are served on.
+    pub fn stop_accepting(&mut self) {
+        self.accept_tasks = JoinSet::new();
+    }
+
+    /// Listens for clients at another address from now on, by a socket that is open already.
+    ///
+    /// # Errors
+    /// As [`Self::accept`].
+    pub fn move_http(
+        &mut self,
+        address: SocketAddr,
+        socket: OwnedFd,
+        descriptors: DescriptorBudget,
+    ) -> io::Result<()> {
+        self.http_socket = socket;
+        self.http_address = address;
+        self.accept(descriptors)
+    }
+
+    /// Holds at most so many HTTP connections from now on.
+    pub fn set_limits(&self, limits: ClientConnectionLimits) {
+        self.connections.resize(limits.capacity, limits.current);
+    }
+
+    /// Closes each connection as soon as no request is open on it.
+    pub fn close_connections(&self) {
+        self.closing.send_replace(true);
+    }
+
+    /// Whether any connection is left.
+    pub fn has_connections(&self) -> bool {
+        self.closing.receiver_count() > self.accept_tasks.len()
+    }
+}
--- a/crates/scheduler/src/handover.rs
+++ b/crates/scheduler/src/handover.rs
@@ -1,6 +1,7 @@
-//! Two processes of one scheduler: the meeting place, and what each does as the other comes and goes.
+//! The endpoint at which two processes of one scheduler meet: a starting process takes the listening
+//! sockets and the state from the running one.
 
-use std::io;
+use std::future::Future;
 use std::net::SocketAddr;
 use std::os::fd::OwnedFd;
 use std::path::PathBuf;
@@ -10,70 +11,66 @@
 use tokio::net::{UnixListener, UnixStream};
 use tokio::sync::mpsc;
 
-use crate::serve::Service;
+/// Phases of the peer process that may wait to be handled.
+const PHASE_CHANNEL_CAPACITY: usize = 8;
 
-/// What the other process is at is told so many times before anybody listens.
-const PHASES: usize = 8;
-
-/// Where the next process of this scheduler finds this one; without a place there is no handover, and all
-/// else works.
-pub struct Meeting {
-    path: Option<PathBuf>,
+/// Where the next process of this scheduler connects. Without a fixed port there is no such place: then
+/// there is no handover, and everything else works.
+pub struct HandoverEndpoint {
+    socket_path: Option<PathBuf>,
     listener: Option<UnixListener>,
-    tell: mpsc::Sender<PeerPhase>,
+    peer_phases: mpsc::Sender<PeerPhase>,
 }
 
-/// What is known of the other process.
-pub type Phases = mpsc::Receiver<PeerPhase>;
+/// What a process has after it has asked the running one for a handover.
+pub struct HandoverStart {
+    /// The endpoint, not open to the next process yet.
+    pub endpoint: HandoverEndpoint,
+    /// The phases that a peer process reaches, from now on.
+    pub peer_phases: mpsc::Receiver<PeerPhase>,
+    /// What the running process hands over, if there is one.
+    pub received: Option<ReceivedHandover>,
+}
 
-impl Meeting {
-    /// The place that belongs to the clients' address, and what the process before hands over there.
-    pub async fn come(listen: SocketAddr) -> (Self, Phases, Option<ReceivedHandover>) {
-        let path = handover::socket_path(listen);
-        let taken = match &path {
+impl HandoverEndpoint {
+    /// Asks the process that serves the clients' address for a handover.
+    pub async fn request_handover(listen_address: SocketAddr) -> HandoverStart {
+        let socket_path = handover::socket_path(listen_address);
+        let received = match &socket_path {
             Some(path) => handover::receive(path).await,
             None => None,
         };
-        let (tell, phases) = mpsc::channel(PHASES);
-        (Self { path, listener: None, tell }, phases, taken)
+        let (sender, peer_phases) = mpsc::channel(PHASE_CHANNEL_CAPACITY);
+        let endpoint = Self { socket_path, listener: None, peer_phases: sender };
+        HandoverStart { endpoint, peer_phases, received }
     }
 
-    /// Goes on from what the process before has handed over, which leaves.
-    pub async fn go_on(&self, taken: ReceivedHandover, core: CoreHandle) {
-        taken.complete(core, self.tell.clone()).await;
-        tracing::info!("took over from the process before");
+    /// Gives the received state to the core. To be called once this process accepts connections: the
+    /// process before stops accepting then.
+    pub async fn complete(&self, received: ReceivedHandover, core: CoreHandle) {
+        received.complete(core, self.peer_phases.clone()).await;
+        tracing::info!("took over from the previous process");
     }
 
-    /// From now on the next process finds this one here.
-    pub fn open(&mut self) {
-        self.listener = self.path.as_ref().and_then(|path| handover::bind(path).ok());
+    /// Opens the endpoint to the next process. If the system refuses, this process serves on without
+    /// handover.
+    pub fn bind(&mut self) {
+        self.listener = self.socket_path.as_ref().and_then(|path| handover::bind(path).ok());
     }
 
-    /// The next process that comes; never, where there is no place.
-    pub async fn next(&self) -> Option<UnixStream> {
+    /// The next process that connects; `None` if the endpoint is not open or the connection fails.
+    pub async fn next_peer(&self) -> Option<UnixStream> {
         self.listener.as_ref()?.accept().await.ok().map(|(stream, _)| stream)
     }
 
-    /// Hands all to that process.
-    pub fn give(&self, stream: UnixStream, core: CoreHandle, listening: &[OwnedFd]) -> io::Result<()> {
-        let sockets = listening.iter().map(OwnedFd::try_clone).collect::<io::Result<_>>()?;
-        tokio::spawn(handover::send(stream, core, sockets, self.tell.clone()));
-        Ok(())
-    }
-}
-
-/// Does what the other process's coming and going asks for.
-pub fn follow(phase: PeerPhase, service: &mut Service, meeting: &mut Meeting) -> io::Result<()> {
-    tracing::info!("the process beside this one: {phase}");
-    service.share(phase != PeerPhase::Exited);
-    match phase {
-        PeerPhase::Starting => {}
-        PeerPhase::Serving => service.leave_to_other(),
-        PeerPhase::Exited => {
-            service.take_back()?;
-            // The other one had taken the meeting place over.
-            meeting.open();
-        }
+    /// Hands over to the process on that connection, and passes operators' commands on to it until it
+    /// exits. To be run as a task.
+    pub fn send_handover(
+        &self,
+        peer: UnixStream,
+        core: CoreHandle,
+        listening_sockets: Vec<OwnedFd>,
+    ) -> impl Future<Output = ()> + Send + 'static {
+        handover::send(peer, core, listening_sockets, self.peer_phases.clone())
     }
-    Ok(())
 }
--- a/crates/scheduler/src/load_listing.rs
+++ b/crates/scheduler/src/load_listing.rs
@@ -1,17 +1,17 @@
-//! Lists a source of load, and sends nothing.
+//! Lists the requests of a load source without sending any.
 
-use heathward_config::LoadSource;
-use heathward_load_sources::{self as load, Rules};
+use heathward_config::{LoadListing, LoadSource};
+use heathward_load_sources as load_sources;
 
-/// Writes what a source of load asks for, a line each, and what was skipped of it.
-pub fn print(source: &LoadSource, rules: &Rules) {
-    let found = match source {
-        LoadSource::Har(text) => load::har(text, rules),
-        LoadSource::AccessLog(text) => load::access_log(text, rules),
+/// Prints the requests of a load source, one a line, and reports the entries that were skipped.
+pub fn print(listing: &LoadListing) {
+    let entries = match &listing.source {
+        LoadSource::Har(text) => load_sources::har(text, &listing.rules),
+        LoadSource::AccessLog(text) => load_sources::access_log(text, &listing.rules),
     };
-    for entry in found {
+    for entry in entries {
         match entry {
-            Ok(recorded) => println!("{recorded}"),
+            Ok(request) => println!("{request}"),
             Err(skipped) => eprintln!("heathward: skipped {skipped}"),
         }
     }
--- a/crates/scheduler/src/main.rs
+++ b/crates/scheduler/src/main.rs
@@ -1,36 +1,45 @@
-//! The scheduler as a program: its arguments, and its end by them.
+//! The scheduler as a program: reads its command line, and serves or runs a subcommand.
 
 mod arguments;
 mod core_start;
+mod descriptor_budget;
 mod file_commands;
+mod fronts;
 mod handover;
 mod load_listing;
 mod recording;
 mod serve;
+mod server;
 mod shutdown;
+mod signals;
+mod sockets;
+mod startup;
 
 use std::process::ExitCode;
 
 use arguments::{Arguments, Command};
 use clap::Parser;
 
+/// The exit code if the configuration is rejected.
+const CONFIGURATION_REJECTED: u8 = 2;
+
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
     match arguments.command {
-        Some(Command::Check { files }) => return file_commands::run(&files),
+        Some(Command::Check { files }) => return file_commands::check(&files),
         Some(Command::Evaluate { file }) => return file_commands::evaluate(&file),
         None => {}
     }
-    let files = arguments.serve.files();
+    let files = arguments.serve.into_files();
     let config = match heathward_config::load(&files) {
         Ok(config) => config,
         Err(error) => {
             eprintln!("heathward: {error}");
-            return ExitCode::from(2);
+            return ExitCode::from(CONFIGURATION_REJECTED);
         }
     };
-    if let Some((source, rules)) = &config.load_source {
-        load_listing::print(source, rules);
+    if let Some(listing) = &config.load_listing {
+        load_listing::print(listing);
         return ExitCode::SUCCESS;
     }
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
--- a/crates/scheduler/src/recording.rs
+++ b/crates/scheduler/src/recording.rs
@@ -1,4 +1,4 @@
-//! Keeps records as the operator file says: starts, changes and ends with the service.
+//! Runs the event recorder as the operator file says: starts it, replaces it after a reload, and stops it.
 
 use std::collections::hash_map::RandomState;
 use std::hash::{BuildHasher, Hasher};
@@ -9,60 +9,77 @@
 use heathward_event_recorder::{Recorder, Settings, LAST_WRITES};
 use tokio::time::{sleep_until, Instant};
 
-/// How often the writer's end is looked for.
-const LOOK: Duration = Duration::from_millis(2);
+/// How often the end of the writer thread is polled.
+const WRITER_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// The records that are kept, if any.
+/// The event recorder, if the operator file turns it on.
 #[derive(Default)]
-pub struct Records {
-    kept: Option<(Settings, Writer)>,
-    /// Events lost to the disk that were told of, and whether its failing was.
-    told: (u64, u64),
+pub struct EventRecording {
+    active: Option<ActiveRecording>,
 }
 
-impl Records {
-    /// Keeps records as the settings say from now on. Where they stay as they are, so do the records.
-    pub async fn keep(&mut self, settings: Option<Settings>, name: &str, core: &CoreHandle) {
-        if self.kept.as_ref().map(|(kept, _)| kept) == settings.as_ref() {
+/// A recorder that runs.
+struct ActiveRecording {
+    settings: Settings,
+    writer: Writer,
+    /// The faults that the log has told already.
+    reported: DiskFaults,
+}
+
+/// What went wrong with the disk since the recorder was started.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+struct DiskFaults {
+    /// Writes that failed.
+    failures: u64,
+    /// Events that were dropped.
+    lost: u64,
+}
+
+impl EventRecording {
+    /// Records events as the settings say, or not at all without settings. A recorder that runs with the
+    /// same settings goes on. One that cannot start is logged, and the scheduler serves without it.
+    pub async fn apply(&mut self, settings: Option<Settings>, scheduler_name: &str, core: &CoreHandle) {
+        if self.active.as_ref().map(|active| &active.settings) == settings.as_ref() {
             return;
         }
-        self.finish(core).await;
+        self.stop(core).await;
         let Some(settings) = settings else { return };
-        // Drawn by the system: tells this run from all others.
-        let boot = RandomState::new().build_hasher().finish();
-        match Recorder::start(&settings, name, boot, &core.deployment()) {
+        // A random number from the system tells this run from all others of the scheduler.
+        let boot_id = RandomState::new().build_hasher().finish();
+        match Recorder::start(&settings, scheduler_name, boot_id, &core.deployment()) {
             Ok((recorder, writer)) => {
                 core.set_observer(Some(Box::new(recorder))).await;
-                tracing::info!(folder = %settings.folder.display(), "records are kept");
-                self.kept = Some((settings, writer));
-                self.told = (0, 0);
+                tracing::info!(folder = %settings.folder.display(), "event recorder started");
+                self.active = Some(ActiveRecording { settings, writer, reported: DiskFaults::default() });
             }
-            Err(error) => tracing::error!("no records: {error}"),
+            Err(error) => tracing::error!("event recorder not started: {error}"),
         }
     }
 
-    /// Ends them, once what waits is written; a disk that is stuck is not waited for.
-    pub async fn finish(&mut self, core: &CoreHandle) {
-        let Some((_, writer)) = self.kept.take() else { return };
+    /// Stops recording and waits for the last events to be written, at most [`LAST_WRITES`]: a disk that
+    /// does not respond must not hold up the shutdown.
+    pub async fn stop(&mut self, core: &CoreHandle) {
+        let Some(ActiveRecording { writer, .. }) = self.active.take() else { return };
         core.set_observer(None).await;
-        let by = Instant::now() + LAST_WRITES;
-        while !writer.is_finished() && Instant::now() < by {
-            sleep_until(Instant::now() + LOOK).await;
+        let deadline = Instant::now() + LAST_WRITES;
+        while !writer.is_finished() && Instant::now() < deadline {
+            sleep_until(Instant::now() + WRITER_POLL_INTERVAL).await;
         }
         if !writer.is_finished() {
-            tracing::warn!("the last records are not written: the disk does not answer");
+            tracing::warn!("the last events are not recorded: the disk does not respond");
         }
     }
 
-    /// Says in the log what went wrong with them since that was said last.
-    pub fn tell(&mut self) {
-        let Some((settings, writer)) = &self.kept else { return };
-        let health = writer.statistics();
-        let (failures, lost) = (health.failures(), health.lost());
-        if failures > self.told.0 || lost > self.told.1 {
+    /// Logs disk faults since the last call.
+    pub fn report_disk_faults(&mut self) {
+        let Some(ActiveRecording { settings, writer, reported }) = &mut self.active else { return };
+        let statistics = writer.statistics();
+        let DiskFaults { failures, lost } =
+            DiskFaults { failures: statistics.failures(), lost: statistics.lost() };
+        if failures > reported.failures || lost > reported.lost {
             let folder = settings.folder.display();
-            tracing::warn!(%folder, failures, lost, "the disk takes no records; the scheduler serves on");
+            tracing::warn!(%folder, failures, lost, "events cannot be recorded; requests are still served");
         }
-        self.told = (failures, lost);
+        *reported = DiskFaults { failures, lost };
     }
 }
--- /dev/null
+++ b/crates/scheduler/src/server.rs
@@ -0,0 +1,152 @@
+//! The running scheduler: what a reload or a peer process changes in it, and the tasks that it owns.
+
+use std::future::Future;
+use std::io;
+use std::net::SocketAddr;
+use std::sync::Arc;
+
+use heathward_config::{self as config, Config, FileArguments};
+use heathward_core::{CoreHandle, CoreMessage};
+use heathward_logs::Logs;
+use heathward_policy::settings::ConfigError;
+use heathward_transport::node::Limits;
+use tokio::sync::watch;
+use tokio::task::JoinSet;
+
+use crate::descriptor_budget::DescriptorBudget;
+use crate::fronts::Fronts;
+use crate::recording::EventRecording;
+use crate::sockets;
+
+/// The running scheduler.
+pub struct Server {
+    /// Decides on requests, and owns all that is known of them and of the storage nodes.
+    pub core: CoreHandle,
+    /// Where clients and NVMe hosts connect.
+    pub fronts: Fronts,
+    /// The process's file descriptors.
+    pub descriptors: DescriptorBudget,
+    /// The limits of connections to storage nodes, which the connection pool follows.
+    pub node_limits: watch::Sender<Limits>,
+    /// The address of discovery, which the watch of the endpoint list follows.
+    pub discovery_address: watch::Sender<SocketAddr>,
+    /// The files that the command line names, to be read again.
+    pub files: FileArguments,
+    /// The log's format and filter.
+    pub logs: Logs,
+    /// The event recorder.
+    pub recording: EventRecording,
+    /// Tasks that run as long as the server, such as the watch of the endpoint list and the admin
+    /// interface. Nothing waits for them; they are aborted when the server is dropped.
+    pub background: JoinSet<()>,
+}
+
+impl Server {
+    /// Runs a task as long as the server, at most.
+    pub fn spawn(&mut self, task: impl Future<Output = ()> + Send + 'static) {
+        // Those that have ended need not be kept.
+        while self.background.try_join_next().is_some() {}
+        self.background.spawn(task);
+    }
+
+    /// Divides the descriptors anew, as a peer process is there now or no longer.
+    pub fn set_peer_running(&mut self, peer_running: bool) {
+        self.descriptors.peer_running = peer_running;
+        self.apply_descriptor_budget();
+    }
+
+    /// Lets the peer process accept all connections and answer what is new.
+    pub fn yield_to_peer(&mut self) {
+        self.fronts.stop_accepting();
+        self.core.set_replaced(true);
+    }
+
+    /// Accepts connections again, as the peer process has exited.
+    ///
+    /// # Errors
+    /// The system's, if there are no descriptors left.
+    pub fn resume_from_peer(&mut self) -> io::Result<()> {
+        self.core.set_replaced(false);
+        if !self.fronts.is_accepting() {
+            self.fronts.accept(self.descriptors)?;
+        }
+        Ok(())
+    }
+
+    /// Reads the configuration and the operator file again, applies them, and logs whether they were
+    /// accepted.
+    pub async fn reload(&mut self) {
+        let applied = self.read_and_apply().await;
+        self.core.count_configuration_reload(applied.is_ok());
+        match applied {
+            Ok(()) => tracing::info!("configuration reloaded"),
+            Err(error) => tracing::error!("configuration rejected: {error}"),
+        }
+    }
+
+    /// Applies the files as a whole, or leaves everything as it is. Connections and open requests go on;
+    /// the seed, the NVMe front and the address of the admin interface stay as they were at the start.
+    async fn read_and_apply(&mut self) -> Result<(), ConfigError> {
+        let Config {
+            name,
+            listen_address,
+            discovery_address,
+            max_descriptors,
+            cached_endpoints,
+            deployment,
+            operator_settings,
+            ..
+        } = read_files(&self.files).await?;
+        // What may fail comes first, so that a rejected configuration changes nothing.
+        let new_socket = match listen_address == self.fronts.http_address() {
+            true => None,
+            false => Some(sockets::bind(listen_address).map_err(listen_error)?),
+        };
+        self.core.update_settings(Arc::new(deployment)).await?;
+        self.logs.change(operator_settings.log.format, operator_settings.log.filter);
+        self.recording.apply(operator_settings.recorder, &name, &self.core).await;
+        self.descriptors.max_descriptors = max_descriptors;
+        self.apply_descriptor_budget();
+        // Without a core the program ends.
+        let _ = self.core.discovery_sender().send(CoreMessage::EndpointUpdate(cached_endpoints)).await;
+        self.discovery_address.send_replace(discovery_address);
+        if let Some(socket) = new_socket {
+            let moved = self.fronts.move_http(listen_address, socket, self.descriptors);
+            moved.map_err(listen_error)?;
+        }
+        Ok(())
+    }
+
+    /// Whether a request is open or a connection is left.
+    pub fn is_busy(&self) -> bool {
+        self.core.status().open_requests > 0 || self.fronts.has_connections()
+    }
+
+    /// Writes the counters to the log.
+    pub async fn report_counters(&self) {
+        if let Some(metrics) = self.core.metrics().await {
+            tracing::info!("counters {}", metrics.counters);
+        }
+    }
+
+    fn apply_descriptor_budget(&self) {
+        self.node_limits.send_replace(self.descriptors.node_limits(&self.core.deployment()));
+        self.fronts.set_limits(self.descriptors.client_limits());
+    }
+}
+
+fn listen_error(error: io::Error) -> ConfigError {
+    ConfigError { field: "listen".to_owned(), reason: error.to_string() }
+}
+
+/// Reads all files again. An operator file is evaluated on a thread of its own, as that takes a while.
+async fn read_files(files: &FileArguments) -> Result<Config, ConfigError> {
+    if files.operator.is_none() {
+        return config::load(files);
+    }
+    let files = files.clone();
+    let read = tokio::task::spawn_blocking(move || config::load(&files)).await;
+    read.unwrap_or_else(|error| {
+        Err(ConfigError { field: "operator file".to_owned(), reason: error.to_string() })
+    })
+}
--- a/crates/scheduler/src/shutdown.rs
+++ b/crates/scheduler/src/shutdown.rs
@@ -1,42 +1,52 @@
-//! The end: everything is answered by then, and what still comes is served for as long as it can be.
+//! Graceful shutdown: answers every open request, and serves new ones for as long as they can still be
+//! answered.
 
 use std::time::Duration;
 
-use tokio::sync::watch;
 use tokio::time::{sleep_until, Instant};
 
-use crate::serve::Service;
+use crate::server::Server;
 
-/// The platform kills a scheduler so long after SIGTERM, and the longest deadline more, of which it counts no
-/// more than that.
-const GRACE: Duration = Duration::from_millis(700);
-const COUNTED: Duration = Duration::from_secs(3);
-/// By then before that everything is answered.
-const SPARE: Duration = Duration::from_millis(150);
-/// After that the last answers are written for so long.
-const WRITE: Duration = Duration::from_millis(100);
-/// How often the end looks whether anything is still open.
-const LOOK: Duration = Duration::from_millis(5);
+/// The platform kills a process this long after SIGTERM, plus the longest deadline of a class.
+const KILL_DELAY: Duration = Duration::from_millis(700);
+/// The platform counts no longer deadline than this.
+const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
+/// Everything is answered this long before the platform kills the process.
+const ANSWER_MARGIN: Duration = Duration::from_millis(150);
+/// The last answers may be written for this long after that.
+const FINAL_WRITE_TIME: Duration = Duration::from_millis(100);
+/// How often it is checked whether anything is left while new requests are still served.
+const SERVING_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// How often it is checked whether anything is left once connections are being closed.
+const CLOSING_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Serves on as long as what comes can still be answered: clients come for a while, and go on for as long as
-/// their connections stay open; the next scheduler is not there before this one would have been killed,
-/// however soon it ends. With another in its place, it ends once nothing is left.
-pub async fn finish(service: &Service, stop: &watch::Sender<bool>) {
-    let core = service.core();
-    let longest = core.deployment().settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
-    let longest = Duration::from_micros(longest).min(COUNTED);
-    let told = Instant::now();
-    let last = told + longest + GRACE - SPARE;
-    let closing = told + longest + GRACE / 2;
-    core.set_shutdown_deadline(last).await;
+/// Serves on for as long as new requests can be answered, then closes connections and waits for the open
+/// requests.
+///
+/// Clients go on sending for a while, and for as long as their connections stay open. The process that
+/// takes this one's place is not started before this one would have been killed, however soon it exits;
+/// therefore the time is used to the end. If a peer process serves already, this one exits as soon as
+/// nothing is left.
+pub async fn finish(server: &Server) {
+    let core = &server.core;
+    let started = Instant::now();
+    let longest_deadline = longest_deadline(server).min(MAX_COUNTED_DEADLINE);
+    let answer_deadline = started + longest_deadline + KILL_DELAY - ANSWER_MARGIN;
+    let close_at = started + longest_deadline + KILL_DELAY / 2;
+    core.set_shutdown_deadline(answer_deadline).await;
     let replaced = core.draining().borrow().replaced;
-    while Instant::now() < closing && (!replaced || service.busy(stop)) {
-        sleep_until((Instant::now() + LOOK * 4).min(closing)).await;
+    while Instant::now() < close_at && (!replaced || server.is_busy()) {
+        sleep_until((Instant::now() + SERVING_POLL_INTERVAL).min(close_at)).await;
     }
-    // Nothing marks a change: whoever listens has it now, or is gone.
-    stop.send_replace(true);
-    // What is open in the core, and connections whose last answer is on its way.
-    while service.busy(stop) && Instant::now() < last + WRITE {
-        sleep_until(Instant::now() + LOOK).await;
+    server.fronts.close_connections();
+    while server.is_busy() && Instant::now() < answer_deadline + FINAL_WRITE_TIME {
+        sleep_until(Instant::now() + CLOSING_POLL_INTERVAL).await;
     }
 }
+
+/// The longest deadline of all classes; zero without classes.
+fn longest_deadline(server: &Server) -> Duration {
+    let deployment = server.core.deployment();
+    let micros = deployment.settings.classes.iter().map(|class| class.deadline).max().unwrap_or(0);
+    Duration::from_micros(micros)
+}
--- /dev/null
+++ b/crates/scheduler/src/sockets.rs
@@ -0,0 +1,46 @@
+//! Listening sockets: opened here, or inherited from the process before.
+
+use std::io;
+use std::net::SocketAddr;
+use std::os::fd::OwnedFd;
+
+use tokio::net::{TcpListener, TcpSocket};
+
+/// Connections that may wait to be accepted.
+const ACCEPT_BACKLOG: u32 = 1024;
+
+/// Opens a listening socket. Another process may listen at the same address, so that a start never fails
+/// because the process before is still there.
+///
+/// # Errors
+/// The system's, for instance if the address is not one of this machine.
+pub fn bind(address: SocketAddr) -> io::Result<OwnedFd> {
+    let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
+    socket.set_reuseaddr(true)?;
+    socket.set_reuseport(true)?;
+    socket.bind(address)?;
+    Ok(socket.listen(ACCEPT_BACKLOG)?.into_std()?.into())
+}
+
+/// Takes the socket that listens at the address out of the inherited ones, or opens a new one.
+///
+/// # Errors
+/// As [`bind`].
+pub fn inherit_or_bind(inherited: &mut Vec<OwnedFd>, address: SocketAddr) -> io::Result<OwnedFd> {
+    let listens_there = |socket: &OwnedFd| {
+        let copy = socket.try_clone().map(std::net::TcpListener::from);
+        copy.and_then(|socket| socket.local_addr()).is_ok_and(|local| local == address)
+    };
+    match inherited.iter().position(listens_there) {
+        Some(index) => Ok(inherited.swap_remove(index)),
+        None => bind(address),
+    }
+}
+
+/// A listener on a copy of the socket, which stays open when the listener is dropped.
+///
+/// # Errors
+/// The system's, if there are no descriptors left.
+pub fn listener(socket: &OwnedFd) -> io::Result<TcpListener> {
+    TcpListener::from_std(socket.try_clone()?.into())
+}
--- /dev/null
+++ b/crates/scheduler/src/startup.rs
@@ -0,0 +1,106 @@
+//! Starts the scheduler from its configuration: sockets, core, fronts, the watch of the endpoint list and
+//! the admin interface, in this order.
+
+use std::io;
+use std::net::SocketAddr;
+use std::sync::Arc;
+
+use heathward_config::{Config, FileArguments};
+use heathward_core::{CoreMessage, CoreStopped};
+use heathward_discovery_pacing::FleetPosition;
+use heathward_logs::Logs;
+use heathward_transport::backoff::ReconnectPolicy;
+use heathward_transport::handover::ReceivedHandover;
+use heathward_transport::node::Pool;
+use heathward_transport::nvme::Subsystem;
+use heathward_transport::{admin, discovery};
+use tokio::net::TcpListener;
+use tokio::sync::watch;
+use tokio::task::JoinSet;
+
+use crate::descriptor_budget::DescriptorBudget;
+use crate::fronts::{Fronts, NvmeFront};
+use crate::handover::HandoverEndpoint;
+use crate::recording::EventRecording;
+use crate::server::Server;
+use crate::{core_start, sockets};
+
+/// Starts the scheduler. What a running process has handed over is taken on, and that process stops
+/// accepting connections once this one accepts them.
+///
+/// # Errors
+/// An address that cannot be bound, settings that the decision module rejects, and the system's errors.
+pub async fn start(
+    config: Config,
+    files: FileArguments,
+    logs: Logs,
+    handover: &HandoverEndpoint,
+    mut received: Option<ReceivedHandover>,
+) -> io::Result<Server> {
+    let Config { listen_address, seed, max_descriptors, cached_endpoints, operator_settings, .. } = config;
+    let mut inherited =
+        received.as_mut().map(|r| std::mem::take(&mut r.listening_sockets)).unwrap_or_default();
+    let http_socket = sockets::inherit_or_bind(&mut inherited, listen_address)?;
+    let deployment = Arc::new(config.deployment);
+    let descriptors = DescriptorBudget { max_descriptors, peer_running: received.is_some() };
+    let (node_limits, pool_limits) = watch::channel(descriptors.node_limits(&deployment));
+    let nvme_map = config.nvme_map.map(Arc::new);
+    let core = core_start::start(deployment, seed, Pool::new(pool_limits), nvme_map.clone())?;
+    let inherited_revision = received.as_ref().map_or(0, |received| received.state.endpoint_list.revision);
+    let revision = inherited_revision.max(cached_endpoints.revision);
+    let cached = CoreMessage::EndpointUpdate(cached_endpoints);
+    core.discovery_sender().send(cached).await.map_err(|_| io::Error::other(CoreStopped))?;
+    let nvme = match nvme_map {
+        None => None,
+        Some(map) => {
+            let socket = sockets::inherit_or_bind(&mut inherited, map.listen)?;
+            tracing::info!("NVMe front listening on {}", sockets::listener(&socket)?.local_addr()?);
+            Some(NvmeFront { socket, subsystem: Subsystem::new(map, core.clone(), seed) })
+        }
+    };
+    let limits = descriptors.client_limits();
+    let fronts = Fronts::new(core.clone(), listen_address, http_socket, nvme, limits);
+    let (discovery_address, watched_address) = watch::channel(config.discovery_address);
+    let recording = EventRecording::default();
+    let background = JoinSet::new();
+    let mut server = Server {
+        core,
+        fronts,
+        descriptors,
+        node_limits,
+        discovery_address,
+        files,
+        logs,
+        recording,
+        background,
+    };
+    server.recording.apply(operator_settings.recorder, &config.name, &server.core).await;
+    server.fronts.accept(descriptors)?;
+    if let Some(received) = received {
+        handover.complete(received, server.core.clone()).await;
+    }
+    watch_endpoints(&mut server, watched_address, revision, seed);
+    if let Some(address) = config.admin_address {
+        serve_admin(&mut server, address).await?;
+    }
+    Ok(server)
+}
+
+/// Keeps the core's endpoint list up to date from now on, beginning with what changed after that revision.
+fn watch_endpoints(server: &mut Server, address: watch::Receiver<SocketAddr>, revision: u64, seed: u64) {
+    let settings = &server.core.deployment().settings;
+    let mode = settings.endpoint_list_mode;
+    let position =
+        FleetPosition { scheduler_index: settings.scheduler_index, schedulers: settings.schedulers };
+    let policy = ReconnectPolicy::new(mode, position, seed);
+    let core = server.core.discovery_sender();
+    server.spawn(discovery::watch_endpoints(address, revision, mode, core, policy));
+}
+
+/// Serves the admin interface from now on.
+async fn serve_admin(server: &mut Server, address: SocketAddr) -> io::Result<()> {
+    let listener = TcpListener::bind(address).await?;
+    tracing::info!("admin interface listening on {}", listener.local_addr()?);
+    server.spawn(admin::serve(listener, server.core.clone(), server.descriptors.admin_connections()));
+    Ok(())
+}
--- a/crates/scheduler/tests/incident_report.rs
+++ b/crates/scheduler/tests/incident_report.rs
@@ -183,7 +183,7 @@
     std::fs::write(&blocked, "a file where a folder should be").unwrap();
     let mut program = place.start();
     assert!(served(program.listen, 1).await);
-    program.until("the disk takes no records");
+    program.until("events cannot be recorded");
     assert!(served(program.listen, 2).await);
     std::fs::remove_file(&blocked).unwrap();
     let by = tokio::time::Instant::now() + PATIENCE;
@@ -205,7 +205,7 @@
     let mut old = place.start();
     assert!(served(old.listen, 1).await);
     let new = place.start();
-    old.until("Serves");
+    old.until("peer process: serving");
     assert!(served(new.listen, 2).await);
     tokio::task::spawn_blocking(|| old.end()).await.unwrap();
     assert!(served(new.listen, 3).await);
--- a/crates/scheduler/tests/net/handover.rs
+++ b/crates/scheduler/tests/net/handover.rs
@@ -117,7 +117,7 @@
     assert_eq!(ask(&mut kept, 1, 0).await.0, 200);
     let new = place.start();
     assert_eq!(new.call("STATUS").await, "OK\n");
-    old.until("Serves");
+    old.until("peer process: serving");
     // What is open at the old one is served there, for the last time; what comes goes to the new one.
     let (status, head) = ask(&mut kept, 2, 0).await;
     assert_eq!((status, header(&head, "connection")), (200, Some("close")));
@@ -131,12 +131,12 @@
     assert!(new.call("METRICS").await.contains("pool_ejected=1\n"));
     // The new one dies: the old one takes clients again, and hands over once more.
     new.kill();
-    old.until("Gone");
+    old.until("peer process: exited");
     assert_eq!(ask_anew(place.listen, 5, 1).await, 503);
     let mut third = place.start();
-    old.until("Serves");
+    old.until("peer process: serving");
     old.end();
-    third.until("Gone");
+    third.until("peer process: exited");
     assert_eq!(ask_anew(place.listen, 6, 1).await, 503);
     third.end();
 }
@@ -202,15 +202,15 @@
     stream.write_all(says.as_bytes()).await.unwrap();
     sleep(Duration::from_millis(20)).await;
     drop(stream);
-    running.until("Gone");
+    running.until("peer process: exited");
     let by = Instant::now() + PATIENCE;
     while ask_anew(place.listen, 1, 0).await != 200 {
         assert!(Instant::now() < by, "it does not serve");
     }
     // And the next one is given all.
     let next = place.start();
-    running.until("Serves");
+    running.until("peer process: serving");
     next.kill();
-    running.until("Gone");
+    running.until("peer process: exited");
     running.end();
 }
--- a/crates/scheduler/tests/net/process.rs
+++ b/crates/scheduler/tests/net/process.rs
@@ -181,11 +181,11 @@
         file("again", &text(second).replace(from, to));
         signal(&child, "-HUP");
         let said = line(&mut lines);
-        assert!(said.contains("not taken: ") && said.contains(field), "{said}");
+        assert!(said.contains("configuration rejected: ") && said.contains(field), "{said}");
     }
     file("again", &text(second).replace("\"maxRetryAfterMs\":2000", "\"maxRetryAfterMs\":1500"));
     signal(&child, "-HUP");
-    assert!(line(&mut lines).contains("read again"));
+    assert!(line(&mut lines).contains("configuration reloaded"));
     let (_watch, head) = watched(&new).await;
     assert!(head.contains("after=7 "), "{head}");
     // The old watch still counts: it tells of a drain.
@@ -332,12 +332,12 @@
     for wrong in ["{ log: { filter: 'loud' } }", "local f(x) = 1 + f(x); f(0)", "{ log:"] {
         std::fs::write(&operator, wrong).unwrap();
         signal("-HUP");
-        let said = until("configuration not taken");
+        let said = until("configuration rejected");
         assert!(said.starts_with('{') && said.contains("\"level\":\"ERROR\""), "{said}");
     }
     std::fs::write(&operator, "{ log: { filter: 'info' } }").unwrap();
     signal("-HUP");
-    assert!(!until("configuration read again").starts_with('{'), "text from now on");
+    assert!(!until("configuration reloaded").starts_with('{'), "text from now on");
     child.kill().unwrap();
     child.wait().unwrap();
 }
--- a/testing/fakes/src/program.rs
+++ b/testing/fakes/src/program.rs
@@ -53,7 +53,7 @@
         };
         loop {
             let line = new.until(" on ");
-            if line.contains(": operations on ") {
+            if line.contains(": admin interface listening on ") {
                 new.ops = Some(address(&line));
             } else if line.contains(": listening on ") {
                 new.listen = address(&line);
--- a/testing/fault-injection/src/scenario.rs
+++ b/testing/fault-injection/src/scenario.rs
@@ -118,7 +118,7 @@
     /// # Errors
     /// What is wrong, and where.
     pub fn load(path: &Path) -> Result<Self, Wrong> {
-        let text = heathward_config::evaluate(path);
+        let text = heathward_config::evaluate_jsonnet(path);
         let text = text.map_err(|error| Wrong { place: error.field, why: error.reason })?;
         Self::parse(&text)
     }
