--- a/crates/scheduler/src/handover.rs
+++ b/crates/scheduler/src/handover.rs
@@ -45,8 +45,8 @@
         HandoverStart { endpoint, peer_phases, received }
     }
 
-    /// Gives the received state to the core. To be called once this process accepts connections: the
-    /// process before stops accepting then.
+    /// Gives the received state to the core. To be called once this process accepts connections: the previous
+    /// one stops accepting then.
     pub async fn complete(&self, received: ReceivedHandover, core: CoreHandle) {
         received.complete(core, self.peer_phases.clone()).await;
         tracing::info!("took over from the previous process");
--- a/crates/scheduler/src/sockets.rs
+++ b/crates/scheduler/src/sockets.rs
@@ -1,4 +1,4 @@
-//! Listening sockets: opened here, or inherited from the process before.
+//! Listening sockets: opened here, or inherited from the previous process.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,7 +10,7 @@
 const ACCEPT_BACKLOG: u32 = 1024;
 
 /// Opens a listening socket. Another process may listen at the same address, so that a start never fails
-/// because the process before is still there.
+/// because the previous process is still there.
 ///
 /// # Errors
 /// The system's, for instance if the address is not one of this machine.
--- a/crates/scheduler/tests/incident_report.rs
+++ b/crates/scheduler/tests/incident_report.rs
@@ -126,14 +126,14 @@
     assert_eq!(csv[0].lines().count(), incident.findings.len() + 1);
 }
 
-/// A scheduler whose records go to `records`, which the caller may have made unfit for that.
-struct Place {
+/// What the processes of one scheduler share. Its event log goes to `records`, which may be unfit for that.
+struct SchedulerInstance {
     folder: PathBuf,
     records: PathBuf,
     _kept: tokio::net::TcpSocket,
 }
 
-impl Place {
+impl SchedulerInstance {
     async fn new(name: &str, records: &str) -> Self {
         let folder = std::env::temp_dir().join(format!("hw-{name}-{}", std::process::id()));
         // One that a run before has left.
@@ -162,7 +162,7 @@
     }
 }
 
-impl Drop for Place {
+impl Drop for SchedulerInstance {
     fn drop(&mut self) {
         // Only a folder of this test's own.
         let _ = std::fs::remove_dir_all(&self.folder);
@@ -178,22 +178,22 @@
 /// Where records can't be written the scheduler serves on and says so; they begin again by themselves.
 #[tokio::test]
 async fn a_failing_disk_costs_recorded_events_only() {
-    let place = Place::new("unfit", "blocked/records").await;
-    let blocked = place.folder.join("blocked");
+    let instance = SchedulerInstance::new("unfit", "blocked/records").await;
+    let blocked = instance.folder.join("blocked");
     std::fs::write(&blocked, "a file where a folder should be").unwrap();
-    let mut program = place.start();
+    let mut program = instance.start();
     assert!(served(program.listen, 1).await);
     program.until("events cannot be recorded");
     assert!(served(program.listen, 2).await);
     std::fs::remove_file(&blocked).unwrap();
     let by = tokio::time::Instant::now() + PATIENCE;
-    while !place.records.exists() {
+    while !instance.records.exists() {
         assert!(tokio::time::Instant::now() < by, "records never began again");
         sleep(Duration::from_millis(20)).await;
     }
     assert!(served(program.listen, 3).await);
     tokio::task::spawn_blocking(|| program.end()).await.unwrap();
-    let incident = place.incident();
+    let incident = instance.incident();
     assert!(incident.holes.iter().all(|hole| hole.why == Missing::Disk), "{:?}", incident.holes);
     assert!(!incident.holes.is_empty() && incident.audit_broken() == 0);
 }
@@ -201,16 +201,16 @@
 /// Two processes of one scheduler write beside each other, each into files of its own.
 #[tokio::test]
 async fn a_handover_is_recorded_by_both_processes() {
-    let place = Place::new("taken", "records").await;
-    let mut old = place.start();
+    let instance = SchedulerInstance::new("taken", "records").await;
+    let mut old = instance.start();
     assert!(served(old.listen, 1).await);
-    let new = place.start();
+    let new = instance.start();
     old.until("peer process: serving");
     assert!(served(new.listen, 2).await);
     tokio::task::spawn_blocking(|| old.end()).await.unwrap();
     assert!(served(new.listen, 3).await);
     tokio::task::spawn_blocking(|| new.end()).await.unwrap();
-    let incident = place.incident();
+    let incident = instance.incident();
     assert!(incident.holes.is_empty(), "{:?}", incident.holes);
     let has = |what: Lifecycle| incident.boots.iter().flat_map(|b| &b.lifecycle).find(|(_, l)| *l == what);
     let (handed, _) = has(Lifecycle::HandedOver).expect("the old one's word");
--- a/crates/scheduler/tests/net/admin_interface.rs
+++ b/crates/scheduler/tests/net/admin_interface.rs
@@ -12,6 +12,8 @@
 
 use heathward_fakes::*;
 
+use crate::support::HEALTH_CHECK;
+
 /// A scheduler before such nodes, and its second address with room for so many callers.
 async fn attended(members: &[String], most: usize) -> (Rig, std::net::SocketAddr) {
     let rig = rig(members, None).await;
@@ -163,7 +165,7 @@
     let log = Log::default();
     let node = http_node(0, &[Does::Serve], &log).await;
     let (rig, address) = attended(&[member("s0", node, 0, "in_service", 0)], 4).await;
-    let health = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
+    let health = HEALTH_CHECK;
     let mut kept = Vec::new();
     for call in 1..4 {
         let mut stream = TcpStream::connect(rig.front).await.unwrap();
--- a/crates/scheduler/tests/net/client_connections.rs
+++ b/crates/scheduler/tests/net/client_connections.rs
@@ -10,11 +10,11 @@
 
 use heathward_fakes::*;
 
+use crate::support::{one_node, OneNode};
+
 #[tokio::test]
 async fn a_client_disconnect_is_reported_and_gets_no_answer() {
-    let log = Log::default();
-    let node = http_node(0, &[Does::Silent], &log).await;
-    let rig = rig(&[member("s0", node, 0, "in_service", 0)], None).await;
+    let OneNode { rig, .. } = one_node(&[Does::Silent]).await;
     let mut stream = TcpStream::connect(rig.front).await.unwrap();
     stream.write_all(request("consulta", 2, 0, 900, "").as_bytes()).await.unwrap();
     rig.until(|c| c.attempts_sent == 1).await;
@@ -32,9 +32,7 @@
 #[case::asked_once("", true)]
 #[tokio::test]
 async fn useless_connections_do_not_keep_other_clients_out(#[case] text: &str, #[case] ask: bool) {
-    let log = Log::default();
-    let node = http_node(0, &[Does::Serve], &log).await;
-    let rig = rig(&[member("s0", node, 0, "in_service", 0)], None).await;
+    let OneNode { rig, .. } = one_node(&[Does::Serve]).await;
     let mut kept = Vec::new();
     for call in 0..CONNECTIONS as u32 {
         let mut stream = TcpStream::connect(rig.front).await.unwrap();
@@ -67,9 +65,7 @@
 /// turning away those who come to ask for the sake of those who have been answered.
 #[tokio::test]
 async fn in_a_full_table_answered_connections_are_evicted() {
-    let log = Log::default();
-    let node = http_node(0, &[Does::Serve], &log).await;
-    let rig = rig(&[member("s0", node, 0, "in_service", 0)], None).await;
+    let OneNode { rig, .. } = one_node(&[Does::Serve]).await;
     let mut kept = Vec::new();
     for call in 0..2 * CONNECTIONS as u32 {
         let mut stream = TcpStream::connect(rig.front).await.unwrap();
--- a/crates/scheduler/tests/net/connection_close.rs
+++ b/crates/scheduler/tests/net/connection_close.rs
@@ -12,6 +12,8 @@
 
 use heathward_fakes::*;
 
+use crate::support::{one_node, OneNode};
+
 /// A front of so many places before that core, and what tells it to stop.
 async fn front(rig: &Rig, places: usize) -> (SocketAddr, ConnectionTable, watch::Sender<bool>) {
     let (listener, address) = listen().await;
@@ -40,9 +42,7 @@
     #[case] behind: u32,
     #[values(Leaves::Close, Leaves::HalfClose, Leaves::Reset)] leaves: Leaves,
 ) {
-    let log = Log::default();
-    let node = http_node(0, &[Does::Silent], &log).await;
-    let rig = rig(&[member("s0", node, 0, "in_service", 0)], None).await;
+    let OneNode { rig, log, .. } = one_node(&[Does::Silent]).await;
     let mut stream = TcpStream::connect(rig.front).await.unwrap();
     let text: String = (0..=behind).map(|call| request("consulta", call, 0, 1000, "")).collect();
     stream.write_all(text.as_bytes()).await.unwrap();
@@ -65,9 +65,7 @@
 /// connection ends. Memory stays as it is, however much comes.
 #[tokio::test]
 async fn a_connection_with_too_many_pipelined_bytes_closes_with_its_answer() {
-    let log = Log::default();
-    let node = http_node(0, &[Does::LateError, Does::Serve], &log).await;
-    let rig = rig(&[member("s0", node, 0, "in_service", 0)], None).await;
+    let OneNode { rig, log, .. } = one_node(&[Does::LateError, Does::Serve]).await;
     let mut stream = TcpStream::connect(rig.front).await.unwrap();
     stream.write_all(request("consulta", 1, 0, 1000, "").as_bytes()).await.unwrap();
     rig.until(|c| c.attempts_sent == 1).await;
@@ -93,9 +91,7 @@
 #[case::a_large_write(&request("pedido", 2, 0, 900, &"x".repeat(60_000)))]
 #[tokio::test]
 async fn a_request_that_crosses_an_eviction_is_not_read_and_not_reset(#[case] crosses: &str) {
-    let log = Log::default();
-    let node = http_node(0, &[Does::Serve], &log).await;
-    let rig = rig(&[member("s0", node, 0, "in_service", 0)], None).await;
+    let OneNode { rig, log, .. } = one_node(&[Does::Serve]).await;
     let (address, table, _stop) = front(&rig, 2).await;
     let mut stream = TcpStream::connect(address).await.unwrap();
     stream.write_all(request("consulta", 1, 0, 900, "").as_bytes()).await.unwrap();
@@ -113,9 +109,7 @@
 /// Half of a request is there when the program stops: it has its answer, which is the last on its connection.
 #[tokio::test]
 async fn a_request_being_received_at_shutdown_is_answered() {
-    let log = Log::default();
-    let node = http_node(0, &[Does::Serve], &log).await;
-    let rig = rig(&[member("s0", node, 0, "in_service", 0)], None).await;
+    let OneNode { rig, .. } = one_node(&[Does::Serve]).await;
     let (address, _table, stop) = front(&rig, 8).await;
     let mut stream = TcpStream::connect(address).await.unwrap();
     let text = request("consulta", 1, 0, 900, "");
--- a/crates/scheduler/tests/net/descriptor_exhaustion.rs
+++ b/crates/scheduler/tests/net/descriptor_exhaustion.rs
@@ -9,7 +9,7 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout, Instant};
 
-use super::process::{file, listening};
+use crate::support::{wait_until_listening, write_config};
 use heathward_fakes::*;
 
 /// Descriptors that the process may hold: the system enforces it.
@@ -73,9 +73,9 @@
         .replace(r#""sockets":256"#, &format!(r#""sockets":{DESCRIPTORS}"#));
     let limited = format!("ulimit -n {DESCRIPTORS}; exec {}", env!("CARGO_BIN_EXE_heathward"));
     let mut command = Command::new("sh");
-    command.args(["-c", &limited]).env("GW_CONFIG", file("crowd", &text));
+    command.args(["-c", &limited]).env("GW_CONFIG", write_config("crowd", &text));
     let child = command.stderr(Stdio::piped()).stdout(Stdio::null()).spawn().unwrap();
-    let (mut child, _lines, front) = listening(child);
+    let (mut child, _lines, front) = wait_until_listening(child);
     let mut idle = JoinSet::new();
     for _ in 0..IDLE {
         idle.spawn(insist(front));
--- a/crates/scheduler/tests/net/discovery_watch.rs
+++ b/crates/scheduler/tests/net/discovery_watch.rs
@@ -15,10 +15,12 @@
 
 use heathward_fakes::*;
 
+use crate::support::{one_node, OneNode, HEALTH_CHECK};
+
 #[tokio::test]
 async fn it_is_ready_once_it_has_an_endpoint_list() {
     let rig = rig(&[], None).await;
-    let ask = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
+    let ask = HEALTH_CHECK;
     rig.until(|c| c.endpoint_updates == 1).await;
     assert_eq!(rig.ask(ask).await.0, 503);
     let (_, address) = listen().await;
@@ -60,9 +62,7 @@
 /// Two watches stand while discovery moves: the slower one tells what the other knows better.
 #[tokio::test]
 async fn a_drain_is_not_undone_by_an_older_revision() {
-    let log = Log::default();
-    let node = http_node(0, &[Does::Serve], &log).await;
-    let rig = rig(&[member("s0", node, 0, "in_service", 0)], None).await;
+    let OneNode { rig, node, .. } = one_node(&[Does::Serve]).await;
     for (revision, complete, phase, status) in [
         (20, false, "terminating", 503),
         (19, false, "in_service", 503),
@@ -112,7 +112,7 @@
     let mut asked = async |status: u16| {
         call += 1;
         let (said, ..) = rig.ask(&request("consulta", call, 0, 900, "")).await;
-        let (healthy, _, why) = rig.ask("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").await;
+        let (healthy, _, why) = rig.ask(HEALTH_CHECK).await;
         assert_eq!((said, healthy), (status, if status == 200 { 200 } else { 503 }));
         assert_eq!(why.starts_with(b"nothing heard from discovery for "), status == 503, "it says why");
     };
@@ -145,9 +145,7 @@
 /// against taking it for one that has nothing to tell. Its list comes indented, on many lines.
 #[tokio::test]
 async fn a_watch_without_any_event_is_replaced_by_a_snapshot() {
-    let log = Log::default();
-    let node = http_node(0, &[Does::Serve], &log).await;
-    let rig = rig(&[member("s0", node, 0, "in_service", 0)], None).await;
+    let OneNode { rig, node, .. } = one_node(&[Does::Serve]).await;
     assert_eq!(rig.ask(&request("consulta", 1, 0, 900, "")).await.0, 200);
     let (listener, address) = listen().await;
     let _keep = follow(&rig, address, EndpointListMode::Streamed);
@@ -176,9 +174,7 @@
 /// listens to nobody for half a minute, while its agent has news, which count as told.
 #[tokio::test]
 async fn a_watch_that_timed_out_is_read_until_another_one_delivers() {
-    let log = Log::default();
-    let node = http_node(0, &[Does::Serve], &log).await;
-    let rig = rig(&[member("s0", node, 0, "in_service", 0)], None).await;
+    let OneNode { rig, node, .. } = one_node(&[Does::Serve]).await;
     let (listener, address) = listen().await;
     let _keep = follow(&rig, address, EndpointListMode::Polled { max_interval: 10_000_000 });
     let (mut watch, _) = watched(&listener).await;
@@ -240,9 +236,7 @@
     #[case] begins: &str,
     #[case] noise: usize,
 ) {
-    let log = Log::default();
-    let node = http_node(0, &[Does::Serve], &log).await;
-    let rig = rig(&[member("s0", node, 0, "in_service", 0)], None).await;
+    let OneNode { rig, node, .. } = one_node(&[Does::Serve]).await;
     let (listener, address) = listen().await;
     let _keep = follow(&rig, address, EndpointListMode::Streamed);
     let (mut watch, _) = timeout(PATIENCE, listener.accept()).await.expect("a watch").unwrap();
--- a/crates/scheduler/tests/net/drain_during_reload.rs
+++ b/crates/scheduler/tests/net/drain_during_reload.rs
@@ -3,11 +3,9 @@
 use std::time::Duration;
 
 use rstest::rstest;
-use tokio::io::AsyncWriteExt;
-use tokio::net::TcpStream;
-use tokio::time::{sleep, timeout, Instant};
+use tokio::time::{sleep, Instant};
 
-use super::process::{file, listening, signal, start};
+use crate::support::{send_signal, start_program, status_of_read, wait_until_listening, write_config};
 use heathward_fakes::*;
 
 /// Who tells of the drain, and when.
@@ -37,21 +35,21 @@
     let members = member("s0", node, 0, "in_service", 0).replace('\n', "");
     let ((old, first), (new, second)) = (listen().await, listen().await);
     let name = format!("crossed{tells:?}");
-    let path = file(&name, &config_text("127.0.0.1:0", &first.to_string(), &members));
-    let (mut child, _lines, address) = listening(start(&path, &[]));
+    let path = write_config(&name, &config_text("127.0.0.1:0", &first.to_string(), &members));
+    let (mut child, _lines, address) = wait_until_listening(start_program(&path, &[]));
     let (mut old, _) = watched(&old).await;
     tell(&mut old, "\n").await;
-    assert_eq!(ask(address, 1).await, 200);
+    assert_eq!(status_of_read(address, 1, 0).await, 200);
     let drained = members.replace("in_service", "terminating");
     let change = format!("{{\"revision\":9,\"complete\":false,\"members\":[{drained}]}}\n");
     let whole = format!("{{\n \"revision\": 9,\n \"complete\": true,\n \"members\": [\n{drained}\n]}}\n");
-    signal(&child, "-STOP");
-    file(&name, &config_text("127.0.0.1:0", &second.to_string(), &members));
+    send_signal(&child, "-STOP");
+    write_config(&name, &config_text("127.0.0.1:0", &second.to_string(), &members));
     if tells == Tells::OldAgent {
         tell(&mut old, &change).await;
     }
-    signal(&child, "-HUP");
-    signal(&child, "-CONT");
+    send_signal(&child, "-HUP");
+    send_signal(&child, "-CONT");
     let (mut new, head) = watched(&new).await;
     match tells {
         Tells::OldAgent => {}
@@ -61,7 +59,7 @@
     }
     let by = Instant::now() + PATIENCE;
     let mut call = 2;
-    while ask(address, call).await == 200 {
+    while status_of_read(address, call, 0).await == 200 {
         assert!(Instant::now() < by, "the drain is not heeded: {head}");
         call += 1;
     }
@@ -70,14 +68,8 @@
     tell(if tells == Tells::OldAgent { &mut new } else { &mut old }, &stale).await;
     sleep(GRACE).await;
     let before = log.all().len();
-    assert_eq!(ask(address, call + 1).await, 503);
+    assert_eq!(status_of_read(address, call + 1, 0).await, 503);
     assert_eq!(log.all().len(), before, "sent to a node that drains");
     child.kill().unwrap();
     child.wait().unwrap();
 }
-
-async fn ask(address: std::net::SocketAddr, call: u32) -> u16 {
-    let mut client = TcpStream::connect(address).await.unwrap();
-    client.write_all(request("consulta", call, 0, 900, "").as_bytes()).await.unwrap();
-    timeout(PATIENCE, answer(&mut client)).await.expect("an answer").0
-}
--- a/crates/scheduler/tests/net/forwarding.rs
+++ b/crates/scheduler/tests/net/forwarding.rs
@@ -7,13 +7,11 @@
 
 use heathward_fakes::*;
 
-use crate::support::count;
+use crate::support::{count, one_node, OneNode};
 
 #[tokio::test]
 async fn a_request_is_forwarded_unchanged_and_its_answer_returned() {
-    let log = Log::default();
-    let node = http_node(0, &[Does::Serve], &log).await;
-    let rig = rig(&[member("s0", node, 0, "in_service", 0)], None).await;
+    let OneNode { rig, log, .. } = one_node(&[Does::Serve]).await;
     for class in ["consulta", "pedido"] {
         let body = if class == "pedido" { "a write" } else { "" };
         assert_eq!(rig.ask(&request(class, 9, 0, 900, body)).await.2, b"hello", "{class}");
@@ -49,9 +47,7 @@
     #[case] tries: u64,
     #[case] status: u16,
 ) {
-    let log = Log::default();
-    let node = http_node(0, &[does], &log).await;
-    let rig = rig(&[member("s0", node, 0, "in_service", 0)], None).await;
+    let OneNode { rig, log, .. } = one_node(&[does]).await;
     let (told, head, _) = rig.ask(&request(class, 1, 0, 1400, "")).await;
     assert_eq!(told, status, "{head}");
     assert_eq!(header(&head, "retry-after").is_some(), status == 503, "{head}");
@@ -84,9 +80,7 @@
 #[case::other_kind("HTTP/1.1 101 Switching Protocols\r\nConnection: upgrade\r\nUpgrade: x\r\n\r\n")]
 #[tokio::test]
 async fn a_malformed_node_answer_is_not_forwarded(#[case] spoilt: &'static str) {
-    let log = Log::default();
-    let node = http_node(0, &[Does::Say(spoilt), Does::Serve, Does::Say(spoilt)], &log).await;
-    let rig = rig(&[member("s0", node, 0, "in_service", 0)], None).await;
+    let OneNode { rig, log, .. } = one_node(&[Does::Say(spoilt), Does::Serve, Does::Say(spoilt)]).await;
     let (status, _, body) = rig.ask(&request("consulta", 1, 0, 1000, "")).await;
     let counters = rig.counters().await;
     assert_eq!(
@@ -114,9 +108,7 @@
 async fn a_valid_node_answer_is_served_despite_surrounding_bytes(#[case] before: &str, #[case] behind: &str) {
     let good = "HTTP/1.1 200 OK\r\nX-Volume-Use: TEXT \r\nContent-Length: 5\r\n\r\nfirst";
     let text: &'static str = Box::leak(format!("{before}{good}{behind}").into_boxed_str());
-    let log = Log::default();
-    let node = http_node(0, &[Does::Say(text), Does::Serve], &log).await;
-    let rig = rig(&[member("s0", node, 0, "in_service", 0)], None).await;
+    let OneNode { rig, .. } = one_node(&[Does::Say(text), Does::Serve]).await;
     for (call, body) in [(1, "first"), (2, "hello")] {
         let told = rig.ask(&request("consulta", call, 0, 900, "")).await;
         assert_eq!((told.0, told.2), (200, body.as_bytes().to_vec()));
--- a/crates/scheduler/tests/net/fragmented_requests.rs
+++ b/crates/scheduler/tests/net/fragmented_requests.rs
@@ -7,7 +7,7 @@
 
 use heathward_fakes::*;
 
-const HEALTH: &str = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
+use crate::support::{one_node, OneNode, HEALTH_CHECK};
 
 fn as_it_is(text: String) -> String {
     text
@@ -37,9 +37,7 @@
     #[values(as_it_is, other_spelling, in_chunks)] form: fn(String) -> String,
     #[values(1, 2, 7, 50)] piece: usize,
 ) {
-    let log = Log::default();
-    let node = http_node(0, &[Does::Serve], &log).await;
-    let rig = rig(&[member("s0", node, 0, "in_service", 0)], None).await;
+    let OneNode { rig, log, .. } = one_node(&[Does::Serve]).await;
     let mut other = TcpStream::connect(rig.front).await.unwrap();
     let mut client = TcpStream::connect(rig.front).await.unwrap();
     client.set_nodelay(true).unwrap();
@@ -47,7 +45,7 @@
     for part in text.as_bytes().chunks(piece) {
         assert_eq!(log.all().len(), 0, "sent on before its end");
         client.write_all(part).await.unwrap();
-        other.write_all(HEALTH.as_bytes()).await.unwrap();
+        other.write_all(HEALTH_CHECK.as_bytes()).await.unwrap();
         assert_eq!(answer(&mut other).await.0, 200);
     }
     assert_eq!(answer(&mut client).await.0, 200);
--- a/crates/scheduler/tests/net/handover.rs
+++ b/crates/scheduler/tests/net/handover.rs
@@ -15,6 +15,8 @@
 
 use heathward_fakes::*;
 
+use crate::support::{status_of_read, HEALTH_CHECK};
+
 #[test]
 fn the_handover_state_round_trips() {
     let state = HandoverState {
@@ -49,15 +51,16 @@
     assert!(decode(line.as_bytes()).is_err());
 }
 
-/// A scheduler's place: an address that the system has chosen and nobody else is given, and a folder.
-struct Place {
+/// What the processes of one scheduler share: an address that the system has chosen and gives to nobody else,
+/// and a folder.
+struct SchedulerInstance {
     _kept: TcpSocket,
     listen: SocketAddr,
     folder: PathBuf,
     config: PathBuf,
 }
 
-impl Place {
+impl SchedulerInstance {
     fn new(members: &str) -> Self {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
@@ -82,7 +85,7 @@
     }
 }
 
-impl Drop for Place {
+impl Drop for SchedulerInstance {
     fn drop(&mut self) {
         // Only a folder of this test's own.
         let _ = std::fs::remove_dir_all(&self.folder);
@@ -99,10 +102,6 @@
     (status, head)
 }
 
-async fn ask_anew(at: SocketAddr, call: u32, shard: i32) -> u16 {
-    ask(&mut TcpStream::connect(at).await.unwrap(), call, shard).await.0
-}
-
 /// The whole of it: state passes, the old one leaves and turns nobody back, commands hold in both, and the
 /// old one goes on when the new one dies.
 #[tokio::test]
@@ -110,19 +109,23 @@
     let log = Log::default();
     let node = http_node(0, &[Does::Serve], &log).await;
     let members = [member("s0", node, 0, "in_service", 0), member("s1", node, 1, "in_service", 0)].join(",");
-    let place = Place::new(&members);
-    let mut old = place.start();
+    let instance = SchedulerInstance::new(&members);
+    let mut old = instance.start();
     assert_eq!(old.call("SUSPEND s1").await, "OK\n");
-    let mut kept = TcpStream::connect(place.listen).await.unwrap();
+    let mut kept = TcpStream::connect(instance.listen).await.unwrap();
     assert_eq!(ask(&mut kept, 1, 0).await.0, 200);
-    let new = place.start();
+    let new = instance.start();
     assert_eq!(new.call("STATUS").await, "OK\n");
     old.until("peer process: serving");
     // What is open at the old one is served there, for the last time; what comes goes to the new one.
     let (status, head) = ask(&mut kept, 2, 0).await;
     assert_eq!((status, header(&head, "connection")), (200, Some("close")));
-    assert_eq!(ask_anew(place.listen, 3, 1).await, 503, "out by hand, by a command to the process before");
-    assert_eq!(ask_anew(place.listen, 4, 0).await, 200);
+    assert_eq!(
+        status_of_read(instance.listen, 3, 1).await,
+        503,
+        "out by hand, by a command to the process before"
+    );
+    assert_eq!(status_of_read(instance.listen, 4, 0).await, 200);
     assert!(served(&new).await);
     // A command to either holds in both.
     assert_eq!(new.call("SUSPEND s0").await, "OK\n");
@@ -132,12 +135,12 @@
     // The new one dies: the old one takes clients again, and hands over once more.
     new.kill();
     old.until("peer process: exited");
-    assert_eq!(ask_anew(place.listen, 5, 1).await, 503);
-    let mut third = place.start();
+    assert_eq!(status_of_read(instance.listen, 5, 1).await, 503);
+    let mut third = instance.start();
     old.until("peer process: serving");
     old.end();
     third.until("peer process: exited");
-    assert_eq!(ask_anew(place.listen, 6, 1).await, 503);
+    assert_eq!(status_of_read(instance.listen, 6, 1).await, 503);
     third.end();
 }
 
@@ -156,12 +159,12 @@
 #[case::other_version(Before::Other)]
 #[tokio::test]
 async fn no_fault_of_the_previous_process_prevents_a_start(#[case] before: Before) {
-    let place = Place::new("");
+    let instance = SchedulerInstance::new("");
     let mut other = None;
     match before {
-        Before::File => std::fs::write(place.socket(), "stale").unwrap(),
+        Before::File => std::fs::write(instance.socket(), "stale").unwrap(),
         Before::Silent | Before::Other => {
-            let listener = UnixListener::bind(place.socket()).unwrap();
+            let listener = UnixListener::bind(instance.socket()).unwrap();
             other = Some(tokio::spawn(async move {
                 let mut taken = Vec::new();
                 loop {
@@ -174,10 +177,10 @@
             }));
         }
     }
-    let started = tokio::task::spawn_blocking(move || (place.start(), place));
-    let (process, place) = timeout(PATIENCE, started).await.expect("a start").unwrap();
-    let health = b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
-    let mut stream = TcpStream::connect(place.listen).await.unwrap();
+    let started = tokio::task::spawn_blocking(move || (instance.start(), instance));
+    let (process, instance) = timeout(PATIENCE, started).await.expect("a start").unwrap();
+    let health = HEALTH_CHECK.as_bytes();
+    let mut stream = TcpStream::connect(instance.listen).await.unwrap();
     stream.write_all(health).await.unwrap();
     assert_eq!(answer(&mut stream).await.0, 503, "it listens; it has no list");
     process.kill();
@@ -196,19 +199,19 @@
 async fn a_peer_process_that_dies_at_any_step_changes_nothing(#[case] says: &str) {
     let log = Log::default();
     let node = http_node(0, &[Does::Serve], &log).await;
-    let place = Place::new(&member("s0", node, 0, "in_service", 0));
-    let mut running = place.start();
-    let mut stream = tokio::net::UnixStream::connect(place.socket()).await.unwrap();
+    let instance = SchedulerInstance::new(&member("s0", node, 0, "in_service", 0));
+    let mut running = instance.start();
+    let mut stream = tokio::net::UnixStream::connect(instance.socket()).await.unwrap();
     stream.write_all(says.as_bytes()).await.unwrap();
     sleep(Duration::from_millis(20)).await;
     drop(stream);
     running.until("peer process: exited");
     let by = Instant::now() + PATIENCE;
-    while ask_anew(place.listen, 1, 0).await != 200 {
+    while status_of_read(instance.listen, 1, 0).await != 200 {
         assert!(Instant::now() < by, "it does not serve");
     }
     // And the next one is given all.
-    let next = place.start();
+    let next = instance.start();
     running.until("peer process: serving");
     next.kill();
     running.until("peer process: exited");
--- a/crates/scheduler/tests/net/large_fleet.rs
+++ b/crates/scheduler/tests/net/large_fleet.rs
@@ -6,11 +6,12 @@
 use std::process::Command;
 
 use rstest::rstest;
-use tokio::net::TcpStream;
 use tokio::time::{sleep, Duration, Instant};
 
 use heathward_fakes::*;
 
+use crate::support::status_of_read;
+
 const MANY: u32 = 1024;
 
 /// A list of so many nodes that all are at that address, on one line.
@@ -33,13 +34,6 @@
     path
 }
 
-async fn asked(front: SocketAddr, call: u32, shard: u32) -> u16 {
-    let mut stream = TcpStream::connect(front).await.unwrap();
-    let text = request("consulta", call, shard as i32, 900, "");
-    tokio::io::AsyncWriteExt::write_all(&mut stream, text.as_bytes()).await.unwrap();
-    answer(&mut stream).await.0
-}
-
 /// 1,024 nodes, told as a whole list or as one change, each of them reached; all taken out again by one line.
 #[rstest]
 #[tokio::test]
@@ -53,13 +47,13 @@
     let (mut watch, _) = watched(&discovery).await;
     tell(&mut watch, &list(8, whole, MANY, node, "in_service")).await;
     let by = Instant::now() + PATIENCE;
-    while asked(program.listen, MANY, 0).await != 200 {
+    while status_of_read(program.listen, MANY, 0).await != 200 {
         assert!(Instant::now() < by, "the list is never taken");
         sleep(Duration::from_millis(20)).await;
     }
     let mut most = program.held();
     for shard in 0..MANY {
-        assert_eq!(asked(program.listen, shard, shard).await, 200, "shard {shard}");
+        assert_eq!(status_of_read(program.listen, shard, shard as i32).await, 200, "shard {shard}");
         if shard % 64 == 0 {
             most.descriptors = most.descriptors.max(program.held().descriptors);
         }
@@ -67,13 +61,13 @@
     let held = program.held();
     assert!(held.peak_kb <= 32 << 10 && most.descriptors <= 256, "{held:?}, {most:?}");
     tell(&mut watch, &list(9, false, MANY, node, "terminating")).await;
-    while asked(program.listen, MANY + 1, 0).await != 503 {
+    while status_of_read(program.listen, MANY + 1, 0).await != 503 {
         assert!(Instant::now() < by + PATIENCE, "the drain is never taken");
         sleep(Duration::from_millis(20)).await;
     }
     let served = log.all().len();
     for shard in 0..MANY {
-        assert_eq!(asked(program.listen, shard, shard).await, 503, "shard {shard}");
+        assert_eq!(status_of_read(program.listen, shard, shard as i32).await, 503, "shard {shard}");
     }
     assert_eq!(log.all().len(), served, "nothing more is sent");
 }
--- a/crates/scheduler/tests/net/node_connections.rs
+++ b/crates/scheduler/tests/net/node_connections.rs
@@ -8,7 +8,7 @@
 
 use heathward_fakes::*;
 
-use crate::support::count;
+use crate::support::{count, one_node, OneNode};
 
 /// The node's machine takes no connection and refuses none. Guards against telling the client after half of
 /// its time, and against "it may have run" for what has never left.
@@ -29,9 +29,7 @@
 /// Guards against a request that is still open when the program is killed.
 #[tokio::test]
 async fn no_request_gets_more_time_than_is_left_before_the_shutdown() {
-    let log = Log::default();
-    let node = http_node(0, &[Does::Silent], &log).await;
-    let rig = rig(&[member("s0", node, 0, "in_service", 0)], None).await;
+    let OneNode { rig, log, .. } = one_node(&[Does::Silent]).await;
     rig.core.set_shutdown_deadline(Instant::now() + Duration::from_millis(100)).await;
     assert!(matches!(rig.ask(&request("consulta", 1, 0, 900, "")).await.0, 503 | 504));
     let budget: u32 = header(&log.all()[0].head.to_lowercase(), "x-budget-ms").unwrap().parse().unwrap();
@@ -42,9 +40,7 @@
 /// held for cold, and starve.
 #[tokio::test]
 async fn a_connection_closed_while_idle_costs_no_attempt() {
-    let log = Log::default();
-    let node = http_node(0, &[Does::ServeThenClose], &log).await;
-    let rig = rig(&[member("s0", node, 0, "in_service", 0)], None).await;
+    let OneNode { rig, .. } = one_node(&[Does::ServeThenClose]).await;
     for call in 0..20 {
         assert_eq!(rig.ask(&request("consulta", call, 0, 900, "")).await.0, 200);
         sleep(Duration::from_millis(call.into())).await;
@@ -59,9 +55,7 @@
 
 #[tokio::test]
 async fn an_unresponsive_node_times_out_and_the_answer_comes_by_the_deadline() {
-    let log = Log::default();
-    let node = http_node(0, &[Does::Silent], &log).await;
-    let rig = rig(&[member("s0", node, 0, "in_service", 0)], None).await;
+    let OneNode { rig, log, .. } = one_node(&[Does::Silent]).await;
     let asked = Instant::now();
     let (status, ..) = rig.ask(&request("pedido", 2, 0, 300, "w")).await;
     // A write that may have run is never called refused.
--- a/crates/scheduler/tests/net/node_states.rs
+++ b/crates/scheduler/tests/net/node_states.rs
@@ -10,11 +10,11 @@
 
 use heathward_fakes::*;
 
+use crate::support::{one_node, OneNode};
+
 #[tokio::test]
 async fn a_draining_node_gets_no_new_requests() {
-    let log = Log::default();
-    let node = http_node(0, &[Does::Serve], &log).await;
-    let rig = rig(&[member("s0", node, 0, "in_service", 0)], None).await;
+    let OneNode { rig, log, node } = one_node(&[Does::Serve]).await;
     assert_eq!(rig.ask(&request("consulta", 1, 0, 900, "")).await.0, 200);
     let entry = member("s0", node, 0, "terminating", 0);
     let change = format!(r#"{{"revision":8,"complete":false,"members":[{entry}]}}"#);
--- a/crates/scheduler/tests/net/process.rs
+++ b/crates/scheduler/tests/net/process.rs
@@ -3,7 +3,7 @@
 use std::io::{BufRead, BufReader, Read};
 use std::net::SocketAddr;
 use std::path::PathBuf;
-use std::process::{Child, ChildStderr, Command, Stdio};
+use std::process::Command;
 use std::time::Duration;
 
 use heathward_transport::nvme::{Pdu, Wire};
@@ -14,42 +14,19 @@
 
 use heathward_fakes::*;
 
-pub fn file(name: &str, text: &str) -> PathBuf {
-    let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}-{}.json", std::process::id()));
-    std::fs::write(&path, text).unwrap();
-    path
-}
-
-pub fn start(config: &PathBuf, arguments: &[&str]) -> Child {
-    let mut command = Command::new(env!("CARGO_BIN_EXE_heathward"));
-    command.env("GW_CONFIG", config).args(arguments).stderr(Stdio::piped()).stdout(Stdio::null());
-    command.spawn().unwrap()
-}
-
-/// Waits for the line that says where it listens.
-pub fn listening(mut child: Child) -> (Child, BufReader<ChildStderr>, SocketAddr) {
-    let mut lines = BufReader::new(child.stderr.take().unwrap());
-    let address = told(&mut lines, " listening on ");
-    (child, lines, address)
-}
-
-fn told(lines: &mut impl BufRead, what: &str) -> SocketAddr {
-    let mut line = String::new();
-    lines.read_line(&mut line).unwrap();
-    line.trim().split_once(what).expect(&line).1.parse().unwrap()
-}
+use crate::support::{address_in_next_line, send_signal, start_program, wait_until_listening, write_config};
 
 /// The NVMe front is off unless the program is pointed at its file.
 #[tokio::test]
 async fn the_nvme_front_listens_where_its_map_says() {
-    let config = file("nvme-config", &config_text("127.0.0.1:0", "127.0.0.1:1", ""));
-    let (mut off, ..) = listening(start(&config, &[]));
+    let config = write_config("nvme-config", &config_text("127.0.0.1:0", "127.0.0.1:1", ""));
+    let (mut off, ..) = wait_until_listening(start_program(&config, &[]));
     off.kill().unwrap();
     let map = include_str!("../../../../deploy/nvme.json").replace("127.0.0.1:4420", "127.0.0.1:0");
-    let map = file("nvme-map", &map);
-    let mut child = start(&config, &["--nvme", map.to_str().unwrap()]);
+    let map = write_config("nvme-map", &map);
+    let mut child = start_program(&config, &["--nvme", map.to_str().unwrap()]);
     let mut lines = BufReader::new(child.stderr.take().unwrap());
-    let address = told(&mut lines, "NVMe front listening on ");
+    let address = address_in_next_line(&mut lines, "NVMe front listening on ");
     let mut wire = Wire::new(TcpStream::connect(address).await.unwrap()).unwrap();
     wire.send(&[Pdu::IcReq { pfv: 0, hpda: 0, digests: 3, max_r2t: 0 }]).await.unwrap();
     let answer = timeout(PATIENCE, wire.next()).await.expect("in time").unwrap();
@@ -76,8 +53,8 @@
 ) {
     let sound = config_text("127.0.0.1:1", "127.0.0.1:2", "");
     let text = if from == "{" { "{".to_owned() } else { sound.replacen(from, to, 1) };
-    let path = file(&format!("wrong-{field}"), &text);
-    let output = start(&path, &[]).wait_with_output().unwrap();
+    let path = write_config(&format!("wrong-{field}"), &text);
+    let output = start_program(&path, &[]).wait_with_output().unwrap();
     let said = String::from_utf8(output.stderr).unwrap();
     assert_eq!(output.status.code(), Some(2), "{said}");
     assert!(said.lines().count() == 1 && said.contains(field), "{said}");
@@ -90,8 +67,8 @@
     let slow = http_node(0, &[Does::Silent], &log).await;
     let quick = http_node(1, &[Does::Serve], &log).await;
     let members = [member("s0", slow, 0, "in_service", 0), member("s1", quick, 1, "in_service", 0)];
-    let path = file("ends", &config_text("127.0.0.1:0", "127.0.0.1:1", &members.join(",")));
-    let (mut child, mut log_lines, address) = listening(start(&path, &[]));
+    let path = write_config("ends", &config_text("127.0.0.1:0", "127.0.0.1:1", &members.join(",")));
+    let (mut child, mut log_lines, address) = wait_until_listening(start_program(&path, &[]));
     let by = Instant::now() + PATIENCE;
     let mut open = TcpStream::connect(address).await.unwrap();
     let mut idle = TcpStream::connect(address).await.unwrap();
@@ -102,8 +79,7 @@
         assert!(Instant::now() < by, "it never sends");
         sleep(Duration::from_millis(5)).await;
     }
-    let kill = Command::new("kill").args(["-TERM", &child.id().to_string()]).status().unwrap();
-    assert!(kill.success());
+    send_signal(&child, "-TERM");
     // Old and new connections are served, the open request is answered; then they are closed.
     let mut new = TcpStream::connect(address).await.unwrap();
     for (stream, call) in [(&mut idle, 3), (&mut new, 4)] {
@@ -130,7 +106,7 @@
     let members = member("s0", node, 0, "in_service", 0);
     let text = config_text("127.0.0.1:0", "127.0.0.1:1", &members);
     let text = text.replace("\"aimMs\":150,\"deadlineMs\":1000", "\"aimMs\":8000,\"deadlineMs\":9000");
-    let (mut child, _lines, address) = listening(start(&file("long", &text), &[]));
+    let (mut child, _lines, address) = wait_until_listening(start_program(&write_config("long", &text), &[]));
     let mut open = TcpStream::connect(address).await.unwrap();
     open.write_all(request("consulta", 1, 0, 9_000, "").as_bytes()).await.unwrap();
     let by = Instant::now() + PATIENCE;
@@ -138,7 +114,7 @@
         assert!(Instant::now() < by, "it never sends");
         sleep(Duration::from_millis(5)).await;
     }
-    signal(&child, "-TERM");
+    send_signal(&child, "-TERM");
     let told = Instant::now();
     let answered = timeout(PATIENCE, read_message(&mut open)).await.expect("an answer or an end");
     let (head, ..) = answered.expect("an answer before the end");
@@ -147,11 +123,6 @@
     assert!(child.wait().unwrap().success());
 }
 
-pub fn signal(child: &Child, name: &str) {
-    let status = Command::new("kill").args([name, &child.id().to_string()]).status().unwrap();
-    assert!(status.success());
-}
-
 fn line(lines: &mut impl BufRead) -> String {
     let mut line = String::new();
     lines.read_line(&mut line).unwrap();
@@ -167,8 +138,8 @@
     let members = member("s0", node, 0, "in_service", 0).replace('\n', "");
     let ((old, first), (new, second)) = (listen().await, listen().await);
     let text = |discovery: SocketAddr| config_text("127.0.0.1:0", &discovery.to_string(), &members);
-    let path = file("again", &text(first));
-    let (mut child, mut lines, address) = listening(start(&path, &[]));
+    let path = write_config("again", &text(first));
+    let (mut child, mut lines, address) = wait_until_listening(start_program(&path, &[]));
     let (mut watch, head) = watched(&old).await;
     assert!(head.contains("after=7 "), "{head}");
     let mut open = TcpStream::connect(address).await.unwrap();
@@ -178,13 +149,13 @@
         ("\"aimMs\":150", "\"aimMs\":0", "settings: "),
         ("\"consulta\"", "\"lectura\"", "settings.lanes"),
     ] {
-        file("again", &text(second).replace(from, to));
-        signal(&child, "-HUP");
+        write_config("again", &text(second).replace(from, to));
+        send_signal(&child, "-HUP");
         let said = line(&mut lines);
         assert!(said.contains("configuration rejected: ") && said.contains(field), "{said}");
     }
-    file("again", &text(second).replace("\"maxRetryAfterMs\":2000", "\"maxRetryAfterMs\":1500"));
-    signal(&child, "-HUP");
+    write_config("again", &text(second).replace("\"maxRetryAfterMs\":2000", "\"maxRetryAfterMs\":1500"));
+    send_signal(&child, "-HUP");
     assert!(line(&mut lines).contains("configuration reloaded"));
     let (_watch, head) = watched(&new).await;
     assert!(head.contains("after=7 "), "{head}");
@@ -217,9 +188,9 @@
 /// The counters come on SIGUSR1, while it runs.
 #[tokio::test]
 async fn sigusr1_writes_the_counters_to_the_log() {
-    let path = file("counts", &config_text("127.0.0.1:0", "127.0.0.1:1", ""));
-    let (mut child, mut log_lines, _) = listening(start(&path, &[]));
-    Command::new("kill").args(["-USR1", &child.id().to_string()]).status().unwrap();
+    let path = write_config("counts", &config_text("127.0.0.1:0", "127.0.0.1:1", ""));
+    let (mut child, mut log_lines, _) = wait_until_listening(start_program(&path, &[]));
+    send_signal(&child, "-USR1");
     let mut line = String::new();
     log_lines.read_line(&mut line).unwrap();
     child.kill().unwrap();
@@ -250,9 +221,9 @@
 
 #[test]
 fn check_reports_of_each_file_whether_it_is_accepted() {
-    let config = file("check-sound", &config_text("127.0.0.1:1", "127.0.0.1:2", ""));
-    let nvme = file("check-nvme", include_str!("../../../../deploy/nvme.json"));
-    let rules = file("check-rules", include_str!("../../../../examples/rules.json"));
+    let config = write_config("check-sound", &config_text("127.0.0.1:1", "127.0.0.1:2", ""));
+    let nvme = write_config("check-nvme", include_str!("../../../../deploy/nvme.json"));
+    let rules = write_config("check-rules", include_str!("../../../../examples/rules.json"));
     let (code, out, err) = check(&[&nvme, &config, &rules]);
     assert_eq!(code, Some(0), "{err}");
     assert!(out.lines().count() == 3 && err.is_empty(), "{out}{err}");
@@ -263,7 +234,7 @@
 #[case::cut_off("\"seed\"", "\"seed", "not JSON")]
 fn check_names_the_field_at_fault(#[case] from: &str, #[case] to: &str, #[case] field: &str) {
     let sound = config_text("127.0.0.1:1", "127.0.0.1:2", "");
-    let path = file(&format!("check-{}", field.len()), &sound.replacen(from, to, 1));
+    let path = write_config(&format!("check-{}", field.len()), &sound.replacen(from, to, 1));
     let (code, out, err) = check(&[&path]);
     assert_eq!(code, Some(2), "{out}{err}");
     assert!(out.is_empty() && err.contains(field), "{out}{err}");
@@ -272,10 +243,10 @@
 #[test]
 fn check_validates_an_nvme_map_against_its_configuration() {
     let map = include_str!("../../../../deploy/nvme.json");
-    let config = file("check-held", &config_text("127.0.0.1:1", "127.0.0.1:2", ""));
-    let alone = check(&[&file("check-alone", map)]);
+    let config = write_config("check-held", &config_text("127.0.0.1:1", "127.0.0.1:2", ""));
+    let alone = check(&[&write_config("check-alone", map)]);
     assert!(alone.0 == Some(2) && alone.2.contains("a configuration"), "{alone:?}");
-    let wrong = file("check-plan", &map.replacen("basico", "nobody", 1));
+    let wrong = write_config("check-plan", &map.replacen("basico", "nobody", 1));
     let held = check(&[&config, &wrong]);
     assert!(held.0 == Some(2) && held.2.contains("namespaces.1.plan"), "{held:?}");
 }
@@ -304,7 +275,7 @@
 
 #[test]
 fn the_shipped_operator_file_is_accepted() {
-    let config = file("check-operator", &config_text("127.0.0.1:1", "127.0.0.1:2", ""));
+    let config = write_config("check-operator", &config_text("127.0.0.1:1", "127.0.0.1:2", ""));
     let shipped = PathBuf::from(concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/heathward.jsonnet"));
     let (code, out, err) = check(&[&config, &shipped]);
     assert!(code == Some(0) && out.contains("operator file, would be taken"), "{out}{err}");
@@ -313,10 +284,10 @@
 /// On SIGHUP the file acts whole or not at all: its log's level changes, and a wrong one leaves the old.
 #[test]
 fn sighup_reloads_the_operator_file() {
-    let config = file("reread-config", &config_text("127.0.0.1:0", "127.0.0.1:1", ""));
+    let config = write_config("reread-config", &config_text("127.0.0.1:0", "127.0.0.1:1", ""));
     let operator = config.with_extension("jsonnet");
     std::fs::write(&operator, "{ log: { format: 'json', filter: 'info' } }").unwrap();
-    let mut child = start(&config, &["--operator", operator.to_str().unwrap()]);
+    let mut child = start_program(&config, &["--operator", operator.to_str().unwrap()]);
     let mut lines = BufReader::new(child.stderr.take().unwrap());
     let mut until = |what: &str| loop {
         let mut line = String::new();
@@ -326,17 +297,14 @@
         }
     };
     assert!(until("listening on").starts_with('{'));
-    let signal = |name: &str| {
-        assert!(Command::new("kill").args([name, &child.id().to_string()]).status().unwrap().success());
-    };
     for wrong in ["{ log: { filter: 'loud' } }", "local f(x) = 1 + f(x); f(0)", "{ log:"] {
         std::fs::write(&operator, wrong).unwrap();
-        signal("-HUP");
+        send_signal(&child, "-HUP");
         let said = until("configuration rejected");
         assert!(said.starts_with('{') && said.contains("\"level\":\"ERROR\""), "{said}");
     }
     std::fs::write(&operator, "{ log: { filter: 'info' } }").unwrap();
-    signal("-HUP");
+    send_signal(&child, "-HUP");
     assert!(!until("configuration reloaded").starts_with('{'), "text from now on");
     child.kill().unwrap();
     child.wait().unwrap();
--- a/crates/scheduler/tests/net/rejected_requests.rs
+++ b/crates/scheduler/tests/net/rejected_requests.rs
@@ -7,6 +7,8 @@
 
 use heathward_fakes::*;
 
+use crate::support::{one_node, OneNode};
+
 #[rstest]
 #[case::class(("X-Call-Class: consulta", "X-Call-Class: nada"))]
 #[case::class_in_path(("/consulta/", "/pedido/"))]
@@ -34,9 +36,7 @@
 #[case::line(("GET /consulta", "GET  /consulta"))]
 #[tokio::test]
 async fn a_malformed_request_is_rejected_at_once_and_counted(#[case] (from, to): (&str, &str)) {
-    let log = Log::default();
-    let node = http_node(0, &[Does::Serve], &log).await;
-    let rig = rig(&[member("s0", node, 0, "in_service", 0)], None).await;
+    let OneNode { rig, log, .. } = one_node(&[Does::Serve]).await;
     let text = request("consulta", 1, 0, 900, "");
     assert!(text.contains(from));
     let (status, head, _) = rig.ask(&(text.replacen(from, to, 1) + "xy")).await;
@@ -52,9 +52,7 @@
 #[case::chunked_first("Transfer-Encoding: chunked\r\nContent-Length: 5")]
 #[tokio::test]
 async fn a_body_with_two_lengths_is_rejected(#[case] lengths: &str) {
-    let log = Log::default();
-    let node = http_node(0, &[Does::Serve], &log).await;
-    let rig = rig(&[member("s0", node, 0, "in_service", 0)], None).await;
+    let OneNode { rig, log, .. } = one_node(&[Does::Serve]).await;
     let text = request("pedido", 1, 0, 900, "0\r\n\r\n").replace("Content-Length: 5", lengths);
     let hidden = request("consulta", 2, 0, 900, "");
     let mut stream = TcpStream::connect(rig.front).await.unwrap();
@@ -68,9 +66,7 @@
 /// Guards against two attempts at once for what a node takes for one request.
 #[tokio::test]
 async fn the_id_of_an_open_request_is_rejected() {
-    let log = Log::default();
-    let node = http_node(0, &[Does::Silent, Does::Serve], &log).await;
-    let rig = rig(&[member("s0", node, 0, "in_service", 0)], None).await;
+    let OneNode { rig, log, .. } = one_node(&[Does::Silent, Does::Serve]).await;
     let mut first = TcpStream::connect(rig.front).await.unwrap();
     first.write_all(request("consulta", 1, 0, 900, "").as_bytes()).await.unwrap();
     rig.until(|c| c.attempts_sent == 1).await;
--- a/crates/scheduler/tests/net/shutdown.rs
+++ b/crates/scheduler/tests/net/shutdown.rs
@@ -8,7 +8,7 @@
 use tokio::task::JoinSet;
 use tokio::time::{timeout, Duration, Instant};
 
-use super::process::{file, listening, signal, start};
+use crate::support::{send_signal, start_program, wait_until_listening, write_config, HEALTH_CHECK};
 use heathward_fakes::*;
 
 /// What came of a request that was written whole.
@@ -74,7 +74,8 @@
     let node = http_node(0, &[Does::Serve], &log).await;
     let members = member("s0", node, 0, "in_service", 0);
     let text = config_text("127.0.0.1:0", "127.0.0.1:1", &members);
-    let (mut child, _lines, address) = listening(start(&file(&format!("storm{times}"), &text), &[]));
+    let (mut child, _lines, address) =
+        wait_until_listening(start_program(&write_config(&format!("storm{times}"), &text), &[]));
     let mut clients = Vec::new();
     for client in 0..CLIENTS {
         clients.push(rested(address, client * SPACE + SPACE / 2).await);
@@ -84,7 +85,7 @@
         halves.push(rested(address, client * SPACE + SPACE / 2).await);
     }
     let mut resting = rested(address, (CLIENTS + 3) * SPACE).await;
-    signal(&child, "-STOP");
+    send_signal(&child, "-STOP");
     let mut insisting = JoinSet::new();
     for (client, stream) in (0..).zip(clients) {
         insisting.spawn(insist(stream, client * SPACE));
@@ -93,9 +94,9 @@
         stream.write_all(b"GET /consulta/0000").await.unwrap();
     }
     for _ in 0..times {
-        signal(&child, "-TERM");
+        send_signal(&child, "-TERM");
     }
-    signal(&child, "-CONT");
+    send_signal(&child, "-CONT");
     let ended = Instant::now();
     let mut asked = insisting.join_all().await.concat();
     asked.sort_by_key(|(call, _)| *call);
@@ -133,7 +134,7 @@
     let members = [member("s0", node, 0, "in_service", 0), member("s1", hangs, 1, "in_service", 0)].join(",");
     let text = config_text("127.0.0.1:0", "127.0.0.1:1", &members);
     let name = format!("accept{heeded}");
-    let (mut child, _lines, address) = listening(start(&file(&name, &text), &[]));
+    let (mut child, _lines, address) = wait_until_listening(start_program(&write_config(&name, &text), &[]));
     let mut resting = rested(address, SPACE).await;
     // Until this has its answer the process has not ended.
     let mut open = TcpStream::connect(address).await.unwrap();
@@ -142,10 +143,10 @@
         tokio::task::yield_now().await;
     }
     if heeded {
-        signal(&child, "-TERM");
+        send_signal(&child, "-TERM");
         assert_eq!(came(&mut resting).await, Came::Nothing);
     }
-    signal(&child, "-STOP");
+    send_signal(&child, "-STOP");
     let (mut whole, mut others) = (Vec::new(), Vec::new());
     for client in 0..CLIENTS {
         let text = request("consulta", client, 0, 900, "");
@@ -156,9 +157,9 @@
         }
     }
     if !heeded {
-        signal(&child, "-TERM");
+        send_signal(&child, "-TERM");
     }
-    signal(&child, "-CONT");
+    send_signal(&child, "-CONT");
     for stream in &mut whole {
         assert_eq!(came(stream).await, Came::Answer(200));
     }
@@ -183,7 +184,8 @@
     let members = member("s0", node, 0, "in_service", 0);
     let text = config_text("127.0.0.1:0", "127.0.0.1:1", &members)
         .replace("\"aimMs\":150,\"deadlineMs\":1000", "\"aimMs\":9000,\"deadlineMs\":10000");
-    let (mut child, _lines, address) = listening(start(&file(&format!("hangs{budget}"), &text), &[]));
+    let (mut child, _lines, address) =
+        wait_until_listening(start_program(&write_config(&format!("hangs{budget}"), &text), &[]));
     let mut open = Vec::new();
     for call in 0..8 {
         let mut stream = TcpStream::connect(address).await.unwrap();
@@ -196,7 +198,7 @@
         assert!(Instant::now() < by, "it never sends");
         tokio::task::yield_now().await;
     }
-    signal(&child, "-TERM");
+    send_signal(&child, "-TERM");
     for stream in &mut open {
         assert!(matches!(came(stream).await, Came::Answer(503 | 504)));
         let mut rest = Vec::new();
@@ -235,9 +237,9 @@
         1,
     );
     let (begun, name) = (Instant::now(), format!("start{agent:?}{ends_at_once}"));
-    let (mut child, _lines, address) = listening(start(&file(&name, &text), &[]));
+    let (mut child, _lines, address) = wait_until_listening(start_program(&write_config(&name, &text), &[]));
     if !ends_at_once {
-        let health = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
+        let health = HEALTH_CHECK;
         let mut stream = TcpStream::connect(address).await.unwrap();
         loop {
             stream.write_all(health.as_bytes()).await.unwrap();
@@ -248,7 +250,7 @@
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
-    signal(&child, "-TERM");
+    send_signal(&child, "-TERM");
     let status = tokio::task::spawn_blocking(move || child.wait().unwrap()).await.unwrap();
     assert!(status.success());
     drop(listener);
