--- a/crates/core/src/actor/endpoint_updates.rs
+++ b/crates/core/src/actor/endpoint_updates.rs
@@ -42,8 +42,8 @@
         self.check_all_node_treatments(TreatmentCause::EndpointUpdate(self.nodes.revision()));
     }
 
-    /// Applies an update of the endpoint list. The cost of changes depends on their own number only; a snapshot
-    /// walks all nodes once.
+    /// Applies an update of the endpoint list. The cost of changes depends on their own number only; a
+    /// snapshot walks all nodes once.
     pub(super) fn apply_endpoint_update(&mut self, update: EndpointUpdate) {
         let EndpointUpdate { revision, kind, endpoints } = update;
         if kind == EndpointUpdateKind::Cached && revision < self.nodes.revision() {
--- a/crates/core/src/actor/mod.rs
+++ b/crates/core/src/actor/mod.rs
@@ -2,8 +2,8 @@
 //! exactly one answer.
 //!
 //! This file has the actor's state and its loop. The types that own parts of the state are in [`policy`],
-//! [`open_requests`], [`nodes`], [`shared_lease`], [`peer_process`], [`observer_slot`] and [`published`]. What the
-//! actor does is in the other submodules, one for each concern.
+//! [`open_requests`], [`nodes`], [`shared_lease`], [`peer_process`], [`observer_slot`] and [`published`].
+//! What the actor does is in the other submodules, one for each concern.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::Arc;
@@ -159,8 +159,8 @@
         }
     }
 
-    /// Waits for the reason of the next turn. Control messages come first, then messages from discovery, which
-    /// are handled at once. Returns `None` when nobody can send requests any more.
+    /// Waits for the reason of the next turn. Control messages come first, then messages from discovery,
+    /// which are handled at once. Returns `None` when nobody can send requests any more.
     async fn wait_for_turn(&mut self, inbox: &mut Inbox) -> Option<TurnWork> {
         let timer = self.next_timer();
         tokio::select! {
--- a/crates/core/src/actor/nodes.rs
+++ b/crates/core/src/actor/nodes.rs
@@ -1,7 +1,7 @@
 //! The table of storage nodes: those in the endpoint list, and those that were in it until recently.
 //!
-//! The cost of a change depends on the nodes that it names and on the logarithm of the size of the table. Only
-//! the functions whose comment says so walk all nodes.
+//! The cost of a change depends on the nodes that it names and on the logarithm of the size of the table.
+//! Only the functions whose comment says so walk all nodes.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
@@ -15,15 +15,15 @@
 use crate::{Attempt, CommandError, Endpoint, SendGate};
 use heathward_policy::{EndpointEntry, Micros, NodeId, NodeState};
 
-/// How long a node that left the endpoint list keeps its number. If it returns within this time it is the same
-/// node for the policy, which drops a node after the same time.
+/// How long a node that left the endpoint list keeps its number. If it returns within this time it is the
+/// same node for the policy, which drops a node after the same time.
 pub(super) const UNLISTED_NODE_RETENTION: Duration = Duration::from_secs(60);
 
 /// The largest number of suspended nodes, whether listed or not.
 const MAX_SUSPENDED_NODES: usize = 1024;
 
-/// Starts tasks that serve the connections of nodes. The tasks are owned by the function that starts them; each
-/// ends once the channel for its attempts is closed and its attempts have ended.
+/// Starts tasks that serve the connections of nodes. The tasks are owned by the function that starts them;
+/// each ends once the channel for its attempts is closed and its attempts have ended.
 pub(super) struct NodeConnections {
     connect_node: NodeConnector,
     /// Where the ends of attempts are reported. It is weak, so that the actor does not keep itself alive.
@@ -95,8 +95,8 @@
     }
 
     /// Decides whether an update with `revision` may replace what is known. While two watches are open, the
-    /// slower one may deliver an older list: changes in it are ignored, and it never revokes a drain. The state
-    /// in `endpoint` is corrected accordingly.
+    /// slower one may deliver an older list: changes in it are ignored, and it never revokes a drain. The
+    /// state in `endpoint` is corrected accordingly.
     pub(super) fn accept_update(
         &mut self,
         endpoint: &mut Endpoint,
@@ -118,8 +118,8 @@
         true
     }
 
-    /// Its entry for the policy. It drains if the endpoint list says so, if it is suspended, or if the lease on
-    /// the list has expired; its send gate is closed accordingly.
+    /// Its entry for the policy. It drains if the endpoint list says so, if it is suspended, or if the lease
+    /// on the list has expired; its send gate is closed accordingly.
     fn entry(&self, id: NodeId, suspended: bool, lease_expired: bool) -> EndpointEntry {
         let listed = self.endpoint.state;
         let out_of_service = listed == NodeState::Ready && (lease_expired || suspended);
@@ -237,8 +237,8 @@
         self.listed_count -= 1;
     }
 
-    /// Unlists the nodes that are missing from a complete list, and returns them. A node that is missing counts
-    /// as removed: an older list does not bring it back. This walks all nodes.
+    /// Unlists the nodes that are missing from a complete list, and returns them. A node that is missing
+    /// counts as removed: an older list does not bring it back. This walks all nodes.
     pub(super) fn unlist_all_except(
         &mut self,
         named: &BTreeSet<NodeId>,
@@ -303,8 +303,8 @@
         self.suspended.extend(names);
     }
 
-    /// Ends the suspension of the node with that name. It is in slow start from `now` at the latest, because it
-    /// was restarted meanwhile. Returns the node if it is known and was suspended.
+    /// Ends the suspension of the node with that name. It is in slow start from `now` at the latest, because
+    /// it was restarted meanwhile. Returns the node if it is known and was suspended.
     ///
     /// # Errors
     ///
@@ -323,7 +323,8 @@
         Ok(Some(id))
     }
 
-    /// Records that a node was in slow start in another process, since that time in microseconds of Unix time.
+    /// Records that a node was in slow start in another process, since that time in microseconds of Unix
+    /// time.
     pub(super) fn record_slow_start(&mut self, id: NodeId, since: Micros) {
         if let Some(node) = self.by_id.get_mut(&id) {
             node.slow_start_since = node.slow_start_since.max(Some(since));
--- a/crates/core/src/actor/observation.rs
+++ b/crates/core/src/actor/observation.rs
@@ -9,8 +9,8 @@
 use crate::{CoreMetrics, Counters, Endpoint};
 use heathward_policy::{EndpointUpdateKind, Micros, NodeId};
 
-/// The policy drops a node that has had no new requests for a minute, at a time that it does not announce. This
-/// is how often the core checks whether it has.
+/// The policy drops a node that has had no new requests for a minute, at a time that it does not announce.
+/// This is how often the core checks whether it has.
 const UNUSED_NODE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 impl Actor {
--- a/crates/core/src/actor/open_requests.rs
+++ b/crates/core/src/actor/open_requests.rs
@@ -121,8 +121,8 @@
         }
     }
 
-    /// Whether an attempt may be sent now: there is no answer yet, no other attempt is in flight, there is time
-    /// left, and no part of a streamed body was sent before.
+    /// Whether an attempt may be sent now: there is no answer yet, no other attempt is in flight, there is
+    /// time left, and no part of a streamed body was sent before.
     pub(super) fn may_send(&self, now: Instant, attempt_deadline: Instant) -> bool {
         let is_resendable = self.request.node_request.upload.as_ref().is_none_or(Upload::is_unsent);
         !self.is_answered() && self.in_flight.is_none() && now < attempt_deadline && is_resendable
@@ -254,8 +254,8 @@
         Some(id)
     }
 
-    /// Limits the deadlines of all requests, now and from now on: clients may wait for longer than the platform
-    /// lets the program run, and the end of their connection is no answer.
+    /// Limits the deadlines of all requests, now and from now on: clients may wait for longer than the
+    /// platform lets the program run, and the end of their connection is no answer.
     pub(super) fn set_shutdown_deadline(&mut self, deadline: Instant) {
         self.shutdown_deadline = Some(deadline);
         let first_later = (deadline + OVERDUE_GRACE, RequestId(0));
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,8 +1,8 @@
 //! Drives the decision module for real requests. This crate knows requests, attempts and answers, but no wire
 //! format.
 //!
-//! One actor task owns the [`Scheduler`](heathward_policy::Scheduler), the clock, the timers of the policy, the
-//! open requests and the counters:
+//! One actor task owns the [`Scheduler`](heathward_policy::Scheduler), the clock, the timers of the policy,
+//! the open requests and the counters:
 //!
 //! * A front end submits a [`ClientRequest`] through [`CoreHandle`], a tower service, and gets exactly one
 //!   [`Answer`].
--- a/crates/core/src/observe.rs
+++ b/crates/core/src/observe.rs
@@ -127,8 +127,8 @@
 }
 
 impl NodeTreatment {
-    /// The treatment of a node with state `listed` in the endpoint list and `status` in the policy, at `now` in
-    /// microseconds of Unix time. Slow start takes `slow_start_duration` microseconds.
+    /// The treatment of a node with state `listed` in the endpoint list and `status` in the policy, at `now`
+    /// in microseconds of Unix time. Slow start takes `slow_start_duration` microseconds.
     pub fn from_state(
         listed: NodeState,
         suspended: bool,
--- a/crates/discovery-pacing/src/call_pacer.rs
+++ b/crates/discovery-pacing/src/call_pacer.rs
@@ -1,11 +1,11 @@
 //! When one of many schedulers may call a service that all of them share.
 //!
-//! The service serves a limited number of calls per second, and does not say how many. A call that exceeds this
-//! waits, fails, and still uses up some of the service's time, so the fleet must not call faster than it is
-//! served. Each scheduler estimates what one call costs the service from its own calls: an answer that comes
-//! at once shows the cost, a late one is an upper bound, and a failure shows that the cost is higher than
-//! estimated. A round, in which every scheduler calls once, then takes the estimated cost times the number of
-//! schedulers. Each scheduler calls in its own slot of the round, so that calls are spread evenly.
+//! The service serves a limited number of calls per second, and does not say how many. A call that exceeds
+//! this waits, fails, and still uses up some of the service's time, so the fleet must not call faster than it
+//! is served. Each scheduler estimates what one call costs the service from its own calls: an answer that
+//! comes at once shows the cost, a late one is an upper bound, and a failure shows that the cost is higher
+//! than estimated. A round, in which every scheduler calls once, then takes the estimated cost times the
+//! number of schedulers. Each scheduler calls in its own slot of the round, so that calls are spread evenly.
 
 use std::time::Duration;
 
@@ -21,8 +21,8 @@
 const MAX_COST_RAISE_FACTOR: f64 = 1.6;
 /// An answer lowers the estimate to no less than this fraction of it.
 const MAX_COST_DROP_FACTOR: f64 = 0.5;
-/// The fastest answer so far counts as slower by this factor with each further answer, so that it is forgotten
-/// when the service becomes slower.
+/// The fastest answer so far counts as slower by this factor with each further answer, so that it is
+/// forgotten when the service becomes slower.
 const FASTEST_ANSWER_AGING_FACTOR: f64 = 1.1;
 /// The shortest round, so that a small fleet does not call without a pause.
 const MIN_ROUND: Duration = Duration::from_millis(100);
@@ -95,8 +95,8 @@
         self.estimated_cost.mul_f64(cost_factor).clamp(MIN_ROUND, MAX_ROUND)
     }
 
-    /// The delay before the first call: until this scheduler's slot in a round, as all schedulers may start at
-    /// the same time.
+    /// The delay before the first call: until this scheduler's slot in a round, as all schedulers may start
+    /// at the same time.
     pub fn first_delay(&mut self) -> Duration {
         self.offset_in_round()
     }
@@ -105,8 +105,8 @@
     /// watch end.
     pub fn on_answer(&mut self, elapsed: Duration) -> Duration {
         self.failures = 0;
-        // Waiting for other schedulers' calls makes an answer later and never sooner, so the fastest answer is
-        // the closest to the real cost.
+        // Waiting for other schedulers' calls makes an answer later and never sooner, so the fastest answer
+        // is the closest to the real cost.
         let aged = |fastest: Duration| fastest.mul_f64(FASTEST_ANSWER_AGING_FACTOR);
         let fastest = self.fastest_answer.map_or(elapsed, |fastest| elapsed.min(aged(fastest)));
         self.fastest_answer = Some(fastest);
@@ -116,9 +116,9 @@
         self.offset_in_round()
     }
 
-    /// Records that a call failed, `elapsed` after it was made. Returns the delay before the next call: the rest
-    /// of this round, and the way to this scheduler's slot in the next one. Without the rest of this round,
-    /// schedulers with an early slot would call again and again within it.
+    /// Records that a call failed, `elapsed` after it was made. Returns the delay before the next call: the
+    /// rest of this round, and the way to this scheduler's slot in the next one. Without the rest of this
+    /// round, schedulers with an early slot would call again and again within it.
     pub fn on_failure(&mut self, failure: CallFailure, elapsed: Duration) -> Duration {
         let is_first_failure = self.failures == 0;
         let round_before = self.round_duration();
--- /dev/null
+++ b/crates/scheduler/src/recording.rs
@@ -0,0 +1,85 @@
+//! Runs the event recorder as the operator file says: starts it, replaces it after a reload, and stops it.
+
+use std::collections::hash_map::RandomState;
+use std::hash::{BuildHasher, Hasher};
+use std::time::Duration;
+
+use heathward_core::CoreHandle;
+use heathward_event_log::Writer;
+use heathward_event_recorder::{Recorder, Settings, LAST_WRITES};
+use tokio::time::{sleep_until, Instant};
+
+/// How often the end of the writer thread is polled.
+const WRITER_POLL_INTERVAL: Duration = Duration::from_millis(2);
+
+/// The event recorder, if the operator file turns it on.
+#[derive(Default)]
+pub struct EventRecording {
+    active: Option<ActiveRecording>,
+}
+
+/// A recorder that runs.
+struct ActiveRecording {
+    settings: Settings,
+    writer: Writer,
+    /// The faults that the log has told already.
+    reported: DiskFaults,
+}
+
+/// What went wrong with the disk since the recorder was started.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+struct DiskFaults {
+    /// Writes that failed.
+    failures: u64,
+    /// Events that were dropped.
+    lost: u64,
+}
+
+impl EventRecording {
+    /// Records events as the settings say, or not at all without settings. A recorder that runs with the
+    /// same settings goes on. One that cannot start is logged, and the scheduler serves without it.
+    pub async fn apply(&mut self, settings: Option<Settings>, scheduler_name: &str, core: &CoreHandle) {
+        if self.active.as_ref().map(|active| &active.settings) == settings.as_ref() {
+            return;
+        }
+        self.stop(core).await;
+        let Some(settings) = settings else { return };
+        // A random number from the system tells this run from all others of the scheduler.
+        let boot_id = RandomState::new().build_hasher().finish();
+        match Recorder::start(&settings, scheduler_name, boot_id, &core.deployment()) {
+            Ok((recorder, writer)) => {
+                core.set_observer(Some(Box::new(recorder))).await;
+                tracing::info!(folder = %settings.folder.display(), "event recorder started");
+                self.active = Some(ActiveRecording { settings, writer, reported: DiskFaults::default() });
+            }
+            Err(error) => tracing::error!("event recorder not started: {error}"),
+        }
+    }
+
+    /// Stops recording and waits for the last events to be written, at most [`LAST_WRITES`]: a disk that
+    /// does not respond must not hold up the shutdown.
+    pub async fn stop(&mut self, core: &CoreHandle) {
+        let Some(ActiveRecording { writer, .. }) = self.active.take() else { return };
+        core.set_observer(None).await;
+        let deadline = Instant::now() + LAST_WRITES;
+        while !writer.is_finished() && Instant::now() < deadline {
+            sleep_until(Instant::now() + WRITER_POLL_INTERVAL).await;
+        }
+        if !writer.is_finished() {
+            tracing::warn!("the last events are not recorded: the disk does not respond");
+        }
+    }
+
+    /// Logs disk faults since the last call.
+    pub fn report_disk_faults(&mut self) {
+        let Some(ActiveRecording { settings, writer, reported }) = &mut self.active else { return };
+        let statistics = writer.statistics();
+        let DiskFaults { failures, lost } =
+            DiskFaults { failures: statistics.failures(), lost: statistics.lost() };
+        if failures > reported.failures || lost > reported.lost {
+            let folder = settings.folder.display();
+            tracing::warn!(%folder, failures, lost, "events cannot be recorded; requests are still served");
+        }
+        *reported = DiskFaults { failures, lost };
+    }
+}
--- /dev/null
+++ b/crates/scheduler/tests/net/drain_during_reload.rs
@@ -0,0 +1,75 @@
+//! A reload that a drain crosses: the process stands still while both come, and meets them at one moment.
+
+use std::time::Duration;
+
+use rstest::rstest;
+use tokio::time::{sleep, Instant};
+
+use crate::support::{send_signal, start_program, status_of_read, wait_until_listening, write_config};
+use heathward_fakes::*;
+
+/// Who tells of the drain, and when.
+#[derive(Clone, Copy, Debug, PartialEq)]
+enum Tells {
+    /// The agent before the reload, in the moment of the signal.
+    OldAgent,
+    /// The one before it, once the new one has been called.
+    OldAgentLater,
+    /// The new one, with its first line.
+    NewAgent,
+    /// The new one, whose first line is a whole list on several lines.
+    NewAgentWhole,
+}
+
+/// News has to be heeded so long after it was told at the latest.
+const GRACE: Duration = Duration::from_millis(250);
+
+/// Guards against a drain that is lost between two agents, or that an older word of the other takes back.
+#[rstest]
+#[tokio::test]
+async fn a_drain_that_arrives_during_a_reload_is_applied(
+    #[values(Tells::OldAgent, Tells::OldAgentLater, Tells::NewAgent, Tells::NewAgentWhole)] tells: Tells,
+) {
+    let log = Log::default();
+    let node = http_node(0, &[Does::Serve], &log).await;
+    let members = member("s0", node, 0, "in_service", 0).replace('\n', "");
+    let ((old, first), (new, second)) = (listen().await, listen().await);
+    let name = format!("crossed{tells:?}");
+    let path = write_config(&name, &config_text("127.0.0.1:0", &first.to_string(), &members));
+    let (mut child, _lines, address) = wait_until_listening(start_program(&path, &[]));
+    let (mut old, _) = watched(&old).await;
+    tell(&mut old, "\n").await;
+    assert_eq!(status_of_read(address, 1, 0).await, 200);
+    let drained = members.replace("in_service", "terminating");
+    let change = format!("{{\"revision\":9,\"complete\":false,\"members\":[{drained}]}}\n");
+    let whole = format!("{{\n \"revision\": 9,\n \"complete\": true,\n \"members\": [\n{drained}\n]}}\n");
+    send_signal(&child, "-STOP");
+    write_config(&name, &config_text("127.0.0.1:0", &second.to_string(), &members));
+    if tells == Tells::OldAgent {
+        tell(&mut old, &change).await;
+    }
+    send_signal(&child, "-HUP");
+    send_signal(&child, "-CONT");
+    let (mut new, head) = watched(&new).await;
+    match tells {
+        Tells::OldAgent => {}
+        Tells::OldAgentLater => tell(&mut old, &change).await,
+        Tells::NewAgent => tell(&mut new, &change).await,
+        Tells::NewAgentWhole => tell(&mut new, &whole).await,
+    }
+    let by = Instant::now() + PATIENCE;
+    let mut call = 2;
+    while status_of_read(address, call, 0).await == 200 {
+        assert!(Instant::now() < by, "the drain is not heeded: {head}");
+        call += 1;
+    }
+    // An older word of the other agent does not take it back.
+    let stale = format!("{{\"revision\":8,\"complete\":true,\"members\":[{members}]}}\n");
+    tell(if tells == Tells::OldAgent { &mut new } else { &mut old }, &stale).await;
+    sleep(GRACE).await;
+    let before = log.all().len();
+    assert_eq!(status_of_read(address, call + 1, 0).await, 503);
+    assert_eq!(log.all().len(), before, "sent to a node that drains");
+    child.kill().unwrap();
+    child.wait().unwrap();
+}
--- a/crates/scheduler/tests/net/main.rs
+++ b/crates/scheduler/tests/net/main.rs
@@ -2,20 +2,26 @@
 //! are on loopback with ports that the system chooses; no case hangs on a short time being kept.
 #![cfg(test)]
 
-mod admin;
-mod closing;
-mod crowd;
-mod departure;
-mod fleet;
+mod admin_interface;
+mod client_connections;
+mod client_disconnect;
+mod connection_close;
+mod descriptor_exhaustion;
+mod disconnect_while_connecting;
+mod discovery_watch;
+mod drain_during_reload;
+mod endpoint_lease;
+mod forwarding;
+mod fragmented_requests;
 mod handover;
-mod http;
-mod lease_expiry;
-mod leaving;
+mod large_bodies;
+mod large_fleet;
+mod node_connections;
+mod node_states;
 mod nvme;
 mod parsers;
-mod pieces;
 mod process;
-mod reload;
+mod rejected_requests;
+mod request_writer;
 mod shutdown;
-mod size;
-mod writer;
+mod support;
--- a/crates/scheduler/tests/net/process.rs
+++ b/crates/scheduler/tests/net/process.rs
@@ -3,7 +3,7 @@
 use std::io::{BufRead, BufReader, Read};
 use std::net::SocketAddr;
 use std::path::PathBuf;
-use std::process::{Child, ChildStderr, Command, Stdio};
+use std::process::Command;
 use std::time::Duration;
 
 use heathward_transport::nvme::{Pdu, Wire};
@@ -14,42 +14,19 @@
 
 use heathward_fakes::*;
 
-pub fn file(name: &str, text: &str) -> PathBuf {
-    let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}-{}.json", std::process::id()));
-    std::fs::write(&path, text).unwrap();
-    path
-}
-
-pub fn start(config: &PathBuf, arguments: &[&str]) -> Child {
-    let mut command = Command::new(env!("CARGO_BIN_EXE_heathward"));
-    command.env("GW_CONFIG", config).args(arguments).stderr(Stdio::piped()).stdout(Stdio::null());
-    command.spawn().unwrap()
-}
-
-/// Waits for the line that says where it listens.
-pub fn listening(mut child: Child) -> (Child, BufReader<ChildStderr>, SocketAddr) {
-    let mut lines = BufReader::new(child.stderr.take().unwrap());
-    let address = told(&mut lines, " listening on ");
-    (child, lines, address)
-}
-
-fn told(lines: &mut impl BufRead, what: &str) -> SocketAddr {
-    let mut line = String::new();
-    lines.read_line(&mut line).unwrap();
-    line.trim().split_once(what).expect(&line).1.parse().unwrap()
-}
+use crate::support::{address_in_next_line, send_signal, start_program, wait_until_listening, write_config};
 
 /// The NVMe front is off unless the program is pointed at its file.
 #[tokio::test]
-async fn the_second_front_listens_where_its_file_says() {
-    let config = file("nvme-config", &config_text("127.0.0.1:0", "127.0.0.1:1", ""));
-    let (mut off, ..) = listening(start(&config, &[]));
+async fn the_nvme_front_listens_where_its_map_says() {
+    let config = write_config("nvme-config", &config_text("127.0.0.1:0", "127.0.0.1:1", ""));
+    let (mut off, ..) = wait_until_listening(start_program(&config, &[]));
     off.kill().unwrap();
     let map = include_str!("../../../../deploy/nvme.json").replace("127.0.0.1:4420", "127.0.0.1:0");
-    let map = file("nvme-map", &map);
-    let mut child = start(&config, &["--nvme", map.to_str().unwrap()]);
+    let map = write_config("nvme-map", &map);
+    let mut child = start_program(&config, &["--nvme", map.to_str().unwrap()]);
     let mut lines = BufReader::new(child.stderr.take().unwrap());
-    let address = told(&mut lines, "NVMe front listening on ");
+    let address = address_in_next_line(&mut lines, "NVMe front listening on ");
     let mut wire = Wire::new(TcpStream::connect(address).await.unwrap()).unwrap();
     wire.send(&[Pdu::IcReq { pfv: 0, hpda: 0, digests: 3, max_r2t: 0 }]).await.unwrap();
     let answer = timeout(PATIENCE, wire.next()).await.expect("in time").unwrap();
@@ -69,15 +46,15 @@
 #[case::repeat("guarded", "sometimes", "settings.lanes.1.repeat")]
 #[case::aim("\"aimMs\":150", "\"aimMs\":-150", "settings.lanes.0.aimMs")]
 #[case::hosts("\"balancers\":1", "\"balancers\":0", "hosts")]
-fn a_wrong_configuration_ends_it_with_one_line_that_names_the_field(
+fn an_invalid_configuration_ends_the_program_with_one_line_that_names_the_field(
     #[case] from: &str,
     #[case] to: &str,
     #[case] field: &str,
 ) {
     let sound = config_text("127.0.0.1:1", "127.0.0.1:2", "");
     let text = if from == "{" { "{".to_owned() } else { sound.replacen(from, to, 1) };
-    let path = file(&format!("wrong-{field}"), &text);
-    let output = start(&path, &[]).wait_with_output().unwrap();
+    let path = write_config(&format!("wrong-{field}"), &text);
+    let output = start_program(&path, &[]).wait_with_output().unwrap();
     let said = String::from_utf8(output.stderr).unwrap();
     assert_eq!(output.status.code(), Some(2), "{said}");
     assert!(said.lines().count() == 1 && said.contains(field), "{said}");
@@ -85,13 +62,13 @@
 
 /// Guards against losing what is open at a planned restart, and against refusing those who still come.
 #[tokio::test]
-async fn after_sigterm_it_answers_what_it_has_and_what_still_comes_then_ends() {
+async fn after_sigterm_open_and_new_requests_are_answered_before_the_exit() {
     let log = Log::default();
     let slow = http_node(0, &[Does::Silent], &log).await;
     let quick = http_node(1, &[Does::Serve], &log).await;
     let members = [member("s0", slow, 0, "in_service", 0), member("s1", quick, 1, "in_service", 0)];
-    let path = file("ends", &config_text("127.0.0.1:0", "127.0.0.1:1", &members.join(",")));
-    let (mut child, mut log_lines, address) = listening(start(&path, &[]));
+    let path = write_config("ends", &config_text("127.0.0.1:0", "127.0.0.1:1", &members.join(",")));
+    let (mut child, mut log_lines, address) = wait_until_listening(start_program(&path, &[]));
     let by = Instant::now() + PATIENCE;
     let mut open = TcpStream::connect(address).await.unwrap();
     let mut idle = TcpStream::connect(address).await.unwrap();
@@ -102,8 +79,7 @@
         assert!(Instant::now() < by, "it never sends");
         sleep(Duration::from_millis(5)).await;
     }
-    let kill = Command::new("kill").args(["-TERM", &child.id().to_string()]).status().unwrap();
-    assert!(kill.success());
+    send_signal(&child, "-TERM");
     // Old and new connections are served, the open request is answered; then they are closed.
     let mut new = TcpStream::connect(address).await.unwrap();
     for (stream, call) in [(&mut idle, 3), (&mut new, 4)] {
@@ -124,13 +100,13 @@
 /// Clients may wait for longer than the platform lets it run on after SIGTERM. Guards against an end of their
 /// connections in place of an answer: what is out then has failed, and comes with a status.
 #[tokio::test]
-async fn what_is_open_past_the_end_is_answered_before_it() {
+async fn requests_open_past_the_shutdown_deadline_are_answered_before_it() {
     let log = Log::default();
     let node = http_node(0, &[Does::Silent], &log).await;
     let members = member("s0", node, 0, "in_service", 0);
     let text = config_text("127.0.0.1:0", "127.0.0.1:1", &members);
     let text = text.replace("\"aimMs\":150,\"deadlineMs\":1000", "\"aimMs\":8000,\"deadlineMs\":9000");
-    let (mut child, _lines, address) = listening(start(&file("long", &text), &[]));
+    let (mut child, _lines, address) = wait_until_listening(start_program(&write_config("long", &text), &[]));
     let mut open = TcpStream::connect(address).await.unwrap();
     open.write_all(request("consulta", 1, 0, 9_000, "").as_bytes()).await.unwrap();
     let by = Instant::now() + PATIENCE;
@@ -138,7 +114,7 @@
         assert!(Instant::now() < by, "it never sends");
         sleep(Duration::from_millis(5)).await;
     }
-    signal(&child, "-TERM");
+    send_signal(&child, "-TERM");
     let told = Instant::now();
     let answered = timeout(PATIENCE, read_message(&mut open)).await.expect("an answer or an end");
     let (head, ..) = answered.expect("an answer before the end");
@@ -147,11 +123,6 @@
     assert!(child.wait().unwrap().success());
 }
 
-pub fn signal(child: &Child, name: &str) {
-    let status = Command::new("kill").args([name, &child.id().to_string()]).status().unwrap();
-    assert!(status.success());
-}
-
 fn line(lines: &mut impl BufRead) -> String {
     let mut line = String::new();
     lines.read_line(&mut line).unwrap();
@@ -161,14 +132,14 @@
 /// SIGHUP ended the program once. A file that makes no sense is named and leaves all as it was; a good one is
 /// gone by as a whole, with what is open going on, also when they come in a row.
 #[tokio::test]
-async fn on_sighup_it_reads_its_configuration_again() {
+async fn sighup_reloads_the_configuration() {
     let log = Log::default();
     let node = http_node(0, &[Does::Silent, Does::Serve], &log).await;
     let members = member("s0", node, 0, "in_service", 0).replace('\n', "");
     let ((old, first), (new, second)) = (listen().await, listen().await);
     let text = |discovery: SocketAddr| config_text("127.0.0.1:0", &discovery.to_string(), &members);
-    let path = file("again", &text(first));
-    let (mut child, mut lines, address) = listening(start(&path, &[]));
+    let path = write_config("again", &text(first));
+    let (mut child, mut lines, address) = wait_until_listening(start_program(&path, &[]));
     let (mut watch, head) = watched(&old).await;
     assert!(head.contains("after=7 "), "{head}");
     let mut open = TcpStream::connect(address).await.unwrap();
@@ -178,14 +149,14 @@
         ("\"aimMs\":150", "\"aimMs\":0", "settings: "),
         ("\"consulta\"", "\"lectura\"", "settings.lanes"),
     ] {
-        file("again", &text(second).replace(from, to));
-        signal(&child, "-HUP");
+        write_config("again", &text(second).replace(from, to));
+        send_signal(&child, "-HUP");
         let said = line(&mut lines);
-        assert!(said.contains("not taken: ") && said.contains(field), "{said}");
+        assert!(said.contains("configuration rejected: ") && said.contains(field), "{said}");
     }
-    file("again", &text(second).replace("\"maxRetryAfterMs\":2000", "\"maxRetryAfterMs\":1500"));
-    signal(&child, "-HUP");
-    assert!(line(&mut lines).contains("read again"));
+    write_config("again", &text(second).replace("\"maxRetryAfterMs\":2000", "\"maxRetryAfterMs\":1500"));
+    send_signal(&child, "-HUP");
+    assert!(line(&mut lines).contains("configuration reloaded"));
     let (_watch, head) = watched(&new).await;
     assert!(head.contains("after=7 "), "{head}");
     // The old watch still counts: it tells of a drain.
@@ -216,10 +187,10 @@
 
 /// The counters come on SIGUSR1, while it runs.
 #[tokio::test]
-async fn the_counters_come_on_request() {
-    let path = file("counts", &config_text("127.0.0.1:0", "127.0.0.1:1", ""));
-    let (mut child, mut log_lines, _) = listening(start(&path, &[]));
-    Command::new("kill").args(["-USR1", &child.id().to_string()]).status().unwrap();
+async fn sigusr1_writes_the_counters_to_the_log() {
+    let path = write_config("counts", &config_text("127.0.0.1:0", "127.0.0.1:1", ""));
+    let (mut child, mut log_lines, _) = wait_until_listening(start_program(&path, &[]));
+    send_signal(&child, "-USR1");
     let mut line = String::new();
     log_lines.read_line(&mut line).unwrap();
     child.kill().unwrap();
@@ -228,7 +199,7 @@
 }
 
 #[test]
-fn a_source_of_load_is_listed_and_what_was_skipped_is_said() {
+fn a_load_source_is_listed_and_skipped_entries_are_reported() {
     let examples = concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples");
     let config = PathBuf::from(examples).join("config.json");
     let (log, rules) = (format!("{examples}/access.log"), format!("{examples}/rules.json"));
@@ -249,10 +220,10 @@
 }
 
 #[test]
-fn check_says_of_each_file_whether_it_would_be_taken() {
-    let config = file("check-sound", &config_text("127.0.0.1:1", "127.0.0.1:2", ""));
-    let nvme = file("check-nvme", include_str!("../../../../deploy/nvme.json"));
-    let rules = file("check-rules", include_str!("../../../../examples/rules.json"));
+fn check_reports_of_each_file_whether_it_is_accepted() {
+    let config = write_config("check-sound", &config_text("127.0.0.1:1", "127.0.0.1:2", ""));
+    let nvme = write_config("check-nvme", include_str!("../../../../deploy/nvme.json"));
+    let rules = write_config("check-rules", include_str!("../../../../examples/rules.json"));
     let (code, out, err) = check(&[&nvme, &config, &rules]);
     assert_eq!(code, Some(0), "{err}");
     assert!(out.lines().count() == 3 && err.is_empty(), "{out}{err}");
@@ -263,19 +234,19 @@
 #[case::cut_off("\"seed\"", "\"seed", "not JSON")]
 fn check_names_the_field_at_fault(#[case] from: &str, #[case] to: &str, #[case] field: &str) {
     let sound = config_text("127.0.0.1:1", "127.0.0.1:2", "");
-    let path = file(&format!("check-{}", field.len()), &sound.replacen(from, to, 1));
+    let path = write_config(&format!("check-{}", field.len()), &sound.replacen(from, to, 1));
     let (code, out, err) = check(&[&path]);
     assert_eq!(code, Some(2), "{out}{err}");
     assert!(out.is_empty() && err.contains(field), "{out}{err}");
 }
 
 #[test]
-fn check_holds_an_nvme_map_against_its_configuration() {
+fn check_validates_an_nvme_map_against_its_configuration() {
     let map = include_str!("../../../../deploy/nvme.json");
-    let config = file("check-held", &config_text("127.0.0.1:1", "127.0.0.1:2", ""));
-    let alone = check(&[&file("check-alone", map)]);
+    let config = write_config("check-held", &config_text("127.0.0.1:1", "127.0.0.1:2", ""));
+    let alone = check(&[&write_config("check-alone", map)]);
     assert!(alone.0 == Some(2) && alone.2.contains("a configuration"), "{alone:?}");
-    let wrong = file("check-plan", &map.replacen("basico", "nobody", 1));
+    let wrong = write_config("check-plan", &map.replacen("basico", "nobody", 1));
     let held = check(&[&config, &wrong]);
     assert!(held.0 == Some(2) && held.2.contains("namespaces.1.plan"), "{held:?}");
 }
@@ -293,7 +264,7 @@
 #[case::outside("import '../secret.json'", "own folder")]
 #[case::absolute("importstr '/etc/hostname'", "own folder")]
 #[case::missing("import 'nowhere.json'", "nowhere.json")]
-fn a_hostile_operator_file_is_refused(#[case] text: &str, #[case] why: &str) {
+fn a_hostile_operator_file_is_rejected(#[case] text: &str, #[case] why: &str) {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
     let path = path.join(format!("operator-{:x}-{}.jsonnet", text.len(), std::process::id()));
     std::fs::write(&path, text).unwrap();
@@ -303,8 +274,8 @@
 }
 
 #[test]
-fn the_operator_file_that_ships_would_be_taken() {
-    let config = file("check-operator", &config_text("127.0.0.1:1", "127.0.0.1:2", ""));
+fn the_shipped_operator_file_is_accepted() {
+    let config = write_config("check-operator", &config_text("127.0.0.1:1", "127.0.0.1:2", ""));
     let shipped = PathBuf::from(concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/heathward.jsonnet"));
     let (code, out, err) = check(&[&config, &shipped]);
     assert!(code == Some(0) && out.contains("operator file, would be taken"), "{out}{err}");
@@ -312,11 +283,11 @@
 
 /// On SIGHUP the file acts whole or not at all: its log's level changes, and a wrong one leaves the old.
 #[test]
-fn the_operator_file_is_read_again() {
-    let config = file("reread-config", &config_text("127.0.0.1:0", "127.0.0.1:1", ""));
+fn sighup_reloads_the_operator_file() {
+    let config = write_config("reread-config", &config_text("127.0.0.1:0", "127.0.0.1:1", ""));
     let operator = config.with_extension("jsonnet");
     std::fs::write(&operator, "{ log: { format: 'json', filter: 'info' } }").unwrap();
-    let mut child = start(&config, &["--operator", operator.to_str().unwrap()]);
+    let mut child = start_program(&config, &["--operator", operator.to_str().unwrap()]);
     let mut lines = BufReader::new(child.stderr.take().unwrap());
     let mut until = |what: &str| loop {
         let mut line = String::new();
@@ -326,18 +297,15 @@
         }
     };
     assert!(until("listening on").starts_with('{'));
-    let signal = |name: &str| {
-        assert!(Command::new("kill").args([name, &child.id().to_string()]).status().unwrap().success());
-    };
     for wrong in ["{ log: { filter: 'loud' } }", "local f(x) = 1 + f(x); f(0)", "{ log:"] {
         std::fs::write(&operator, wrong).unwrap();
-        signal("-HUP");
-        let said = until("configuration not taken");
+        send_signal(&child, "-HUP");
+        let said = until("configuration rejected");
         assert!(said.starts_with('{') && said.contains("\"level\":\"ERROR\""), "{said}");
     }
     std::fs::write(&operator, "{ log: { filter: 'info' } }").unwrap();
-    signal("-HUP");
-    assert!(!until("configuration read again").starts_with('{'), "text from now on");
+    send_signal(&child, "-HUP");
+    assert!(!until("configuration reloaded").starts_with('{'), "text from now on");
     child.kill().unwrap();
     child.wait().unwrap();
 }
--- a/crates/transport/src/admin/codec.rs
+++ b/crates/transport/src/admin/codec.rs
@@ -1,5 +1,5 @@
-//! Requests and replies of the admin interface, and their text. The names on the wire become this program's terms
-//! here.
+//! Requests and replies of the admin interface, and their text. The names on the wire become this program's
+//! terms here.
 
 use std::fmt;
 
--- a/crates/transport/src/admin/server.rs
+++ b/crates/transport/src/admin/server.rs
@@ -20,8 +20,8 @@
 /// The delay after a connection could not be accepted.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// Serves callers on at most `max_connections` connections at a time. When all are in use, the oldest is closed for
-/// a new one, so that callers that send nothing keep nobody out.
+/// Serves callers on at most `max_connections` connections at a time. When all are in use, the oldest is
+/// closed for a new one, so that callers that send nothing keep nobody out.
 ///
 /// Runs until it is dropped, which closes all connections.
 pub async fn serve(listener: TcpListener, core: CoreHandle, max_connections: usize) {
@@ -54,8 +54,8 @@
     let _ = timeout(CALLER_TIMEOUT, sending).await;
 }
 
-/// The line of a request without its end. What the caller sends before it closes its side counts as a line, too;
-/// `None` if that is nothing.
+/// The line of a request without its end. What the caller sends before it closes its side counts as a line,
+/// too; `None` if that is nothing.
 async fn read_request_line(stream: &mut TcpStream) -> Option<Vec<u8>> {
     let mut line = Vec::with_capacity(USUAL_REQUEST_BYTES);
     let mut buffer = [0; MAX_REQUEST_BYTES];
--- a/crates/transport/src/backoff.rs
+++ b/crates/transport/src/backoff.rs
@@ -1,5 +1,5 @@
-//! How long to wait between two calls to discovery: exponential backoff with jitter at an agent on this machine,
-//! paced calls at a service that all schedulers share. No I/O, no clock.
+//! How long to wait between two calls to discovery: exponential backoff with jitter at an agent on this
+//! machine, paced calls at a service that all schedulers share. No I/O, no clock.
 
 use std::time::Duration;
 
@@ -10,8 +10,8 @@
 const INITIAL_FAILURE_DELAY: Duration = Duration::from_millis(50);
 /// No delay after a failure is longer.
 const MAX_FAILURE_DELAY: Duration = Duration::from_millis(1000);
-/// A delay after a failure is at least this fraction of the longest possible one, so that calls never follow each
-/// other without a pause.
+/// A delay after a failure is at least this fraction of the longest possible one, so that calls never follow
+/// each other without a pause.
 const MIN_DELAY_FRACTION: f64 = 0.1;
 /// The longest delay after a healthy watch has ended. It is short because changes that the agent already has
 /// count as delivered, whether they were asked for or not.
@@ -19,8 +19,8 @@
 /// Doublings of the delay are counted up to this.
 const MAX_DOUBLINGS: u32 = 20;
 
-/// Exponential backoff with jitter, for calls to the agent on this machine: it serves this scheduler alone, so the
-/// size of the fleet plays no part.
+/// Exponential backoff with jitter, for calls to the agent on this machine: it serves this scheduler alone,
+/// so the size of the fleet plays no part.
 #[derive(Clone, Debug)]
 pub struct AgentBackoff {
     rng: fastrand::Rng,
@@ -74,8 +74,8 @@
 }
 
 impl ReconnectPolicy {
-    /// The policy for one scheduler of a fleet: streamed lists come from an agent on its machine, polled lists
-    /// from a shared service. All randomness comes from `seed`.
+    /// The policy for one scheduler of a fleet: streamed lists come from an agent on its machine, polled
+    /// lists from a shared service. All randomness comes from `seed`.
     pub fn new(mode: EndpointListMode, position: FleetPosition, seed: u64) -> Self {
         match mode {
             EndpointListMode::Streamed => Self::LocalAgent(AgentBackoff::new(seed)),
--- a/crates/transport/src/discovery.rs
+++ b/crates/transport/src/discovery.rs
@@ -1,10 +1,10 @@
-//! Follows discovery, which lists the storage nodes. The list comes from a discovery agent on this machine, which
-//! streams it and each change of it, or from a service that all schedulers share and poll.
+//! Follows discovery, which lists the storage nodes. The list comes from a discovery agent on this machine,
+//! which streams it and each change of it, or from a service that all schedulers share and poll.
 //!
-//! [`watch_endpoints`] runs one task (`watch_task`) for each address that discovery has had. The state machine in
-//! `supervisor` decides on calls and reports; its inputs and outputs are in `events`. `call` is one HTTP call,
-//! `stream_splitter` cuts its body into lists and lines, `wire` decodes them, and `report` passes updates and the
-//! state of the watches to the core.
+//! [`watch_endpoints`] runs one task (`watch_task`) for each address that discovery has had. The state
+//! machine in `supervisor` decides on calls and reports; its inputs and outputs are in `events`. `call` is
+//! one HTTP call, `stream_splitter` cuts its body into lists and lines, `wire` decodes them, and `report`
+//! passes updates and the state of the watches to the core.
 
 mod call;
 mod events;
@@ -35,11 +35,11 @@
 
 pub(crate) use wire::WireList;
 
-/// Watches the endpoint list from revision `known_revision` on, and reports to the core, until that has stopped or
-/// the sender of `addresses` is dropped. Every task that it starts ends with it.
+/// Watches the endpoint list from revision `known_revision` on, and reports to the core, until that has
+/// stopped or the sender of `addresses` is dropped. Every task that it starts ends with it.
 ///
-/// `addresses` holds discovery's current address. After a change, the watch at the new address opens while the
-/// one at the old address stays open, for 5 s at most; updates from either count.
+/// `addresses` holds discovery's current address. After a change, the watch at the new address opens while
+/// the one at the old address stays open, for 5 s at most; updates from either count.
 ///
 /// `policy` says how long to wait between calls at one address.
 pub async fn watch_endpoints(
--- a/crates/transport/src/discovery/call.rs
+++ b/crates/transport/src/discovery/call.rs
@@ -112,8 +112,8 @@
     }
 }
 
-/// Connects and asks. Returns the response's body and the future that drives the connection; `None` when the call
-/// failed or was rejected, which `milestones` tells.
+/// Connects and asks. Returns the response's body and the future that drives the connection; `None` when the
+/// call failed or was rejected, which `milestones` tells.
 async fn send_request(
     address: SocketAddr,
     request: ListRequest,
--- a/crates/transport/src/discovery/report.rs
+++ b/crates/transport/src/discovery/report.rs
@@ -14,8 +14,8 @@
     Contact(Instant),
     /// Discovery was asked, had time to answer, and has not by then.
     Unanswered(Instant),
-    /// No watch is open, as none was opened yet or as one that brought lines has ended. Only for lists that are
-    /// polled.
+    /// No watch is open, as none was opened yet or as one that brought lines has ended. Only for lists that
+    /// are polled.
     WatchClosed,
     /// A call was rejected, ended before its first line, or was not answered in time. Only for lists that are
     /// polled.
--- a/crates/transport/src/discovery/stream_splitter.rs
+++ b/crates/transport/src/discovery/stream_splitter.rs
@@ -3,8 +3,8 @@
 /// Cuts a stream of bytes into JSON objects and lines that hold none. An object may stand on one line or on
 /// several, indented or not, and arrive in any number of pieces.
 ///
-/// An object that breaks off is returned as it is, once an empty line or the next object shows that it has. It
-/// cannot be decoded; what follows it is read as usual.
+/// An object that breaks off is returned as it is, once an empty line or the next object shows that it has.
+/// It cannot be decoded; what follows it is read as usual.
 #[derive(Debug, Default)]
 pub struct StreamSplitter {
     /// What has arrived after the last item.
@@ -59,8 +59,8 @@
     }
 
     /// Whether the open object has broken off before this byte. No line within an object is empty, no string
-    /// goes on over the end of a line, and a line that begins with a brace is a new list unless an entry of the
-    /// open one is due.
+    /// goes on over the end of a line, and a line that begins with a brace is a new list unless an entry of
+    /// the open one is due.
     fn object_breaks_off_before(&self, byte: u8) -> bool {
         let scanned = &self.buffer[..self.scanned];
         if self.depth == 0 || !scanned.ends_with(b"\n") {
--- a/crates/transport/src/discovery/supervisor.rs
+++ b/crates/transport/src/discovery/supervisor.rs
@@ -1,28 +1,30 @@
-//! Decides when to open, keep and give up calls for the endpoint list at one address, and what to report to the
-//! scheduler core. There is no I/O and no clock here: [`WatchSupervisor::handle`] takes an event and the time at
-//! which it is handled, and returns the actions to carry out, in order.
+//! Decides when to open, keep and give up calls for the endpoint list at one address, and what to report to
+//! the scheduler core. There is no I/O and no clock here: [`WatchSupervisor::handle`] takes an event and the
+//! time at which it is handled, and returns the actions to carry out, in order.
 //!
 //! At most three calls are open at a time, one in each [`CallSlot`]:
 //!
 //! * the **current** watch is the one that was opened last, or that sent the last line;
-//! * the **timed-out** watch is the first one that has sent no line in time. It stays open while another one is
-//!   tried: an agent sends nothing while discovery is down, and a shared service answers its callers in turn, so
-//!   that closing a call would lose its turn. The first line from either watch closes the other one;
-//! * the **confirmation** is a call for the complete list, made beside a current watch that the agent has accepted
-//!   and has not answered. Only when it gets no answer either is the agent taken to have nothing new.
+//! * the **timed-out** watch is the first one that has sent no line in time. It stays open while another one
+//!   is tried: an agent sends nothing while discovery is down, and a shared service answers its callers in
+//!   turn, so that closing a call would lose its turn. The first line from either watch closes the other one;
+//! * the **confirmation** is a call for the complete list, made beside a current watch that the agent has
+//!   accepted and has not answered. Only when it gets no answer either is the agent taken to have nothing
+//!   new.
 //!
 //! The states of the current watch, and what leads from one to the other:
 //!
 //! ```text
 //! Waiting --reconnect time------------> Open     a watch is opened
 //! Open ----line-----------------------> Open     its timeout starts anew; the other calls are closed
-//! Open ----no line in time------------> Waiting  it becomes the timed-out watch, or is closed if there is one
+//! Open ----no line in time------------> Waiting  it becomes the timed-out watch, or closes if there is one
 //! Open ----end------------------------> Waiting
 //! either --line of timed-out watch----> Open     that watch becomes the current one
 //! ```
 //!
-//! The address is active until another one is the current address. Watches at a superseded address are not opened
-//! again, and end by themselves or after [`SUPERSEDED_WATCH_LIFETIME`]. Then the supervisor is finished.
+//! The address is active until another one is the current address. Watches at a superseded address are not
+//! opened again, and end by themselves or after [`SUPERSEDED_WATCH_LIFETIME`]. Then the supervisor is
+//! finished.
 
 use std::time::Duration;
 
@@ -245,8 +247,8 @@
         self.report_first_unanswered(now, actions);
     }
 
-    /// Judges that the agent has nothing to send, once neither the current watch nor a confirmation was answered
-    /// in time.
+    /// Judges that the agent has nothing to send, once neither the current watch nor a confirmation was
+    /// answered in time.
     fn on_answer_timeout(
         &mut self,
         current: Option<CallProgress>,
--- a/crates/transport/src/discovery/watch_task.rs
+++ b/crates/transport/src/discovery/watch_task.rs
@@ -1,5 +1,5 @@
-//! The task that carries out what a [`WatchSupervisor`] decides: it opens and closes calls, reads their lines,
-//! waits for deadlines, and sends reports to the core.
+//! The task that carries out what a [`WatchSupervisor`] decides: it opens and closes calls, reads their
+//! lines, waits for deadlines, and sends reports to the core.
 
 use std::future::pending;
 use std::net::SocketAddr;
--- a/crates/transport/src/discovery/wire.rs
+++ b/crates/transport/src/discovery/wire.rs
@@ -34,8 +34,8 @@
 /// Decodes a list or a change of it from JSON.
 ///
 /// # Errors
-/// [`InvalidEndpointList`] if the text is no list, or if one of its endpoints makes no sense; then none of it is
-/// used.
+/// [`InvalidEndpointList`] if the text is no list, or if one of its endpoints makes no sense; then none of it
+/// is used.
 pub fn parse_update(text: &str) -> Result<EndpointUpdate, InvalidEndpointList> {
     let list: WireList = json::from_str(text).map_err(|_| InvalidEndpointList::NotAList)?;
     list.try_into()
--- a/crates/transport/src/handover/codec.rs
+++ b/crates/transport/src/handover/codec.rs
@@ -1,5 +1,5 @@
-//! The state that a handover passes on, as one line of JSON. Its names on the wire become this program's terms
-//! here.
+//! The state that a handover passes on, as one line of JSON. Its names on the wire become this program's
+//! terms here.
 
 use miniserde::{json, Deserialize, Serialize};
 use thiserror::Error;
--- a/crates/transport/src/handover/link.rs
+++ b/crates/transport/src/handover/link.rs
@@ -1,5 +1,5 @@
-//! The connection between two processes of one scheduler: lines of text, and once the listening sockets that one
-//! hands to the other.
+//! The connection between two processes of one scheduler: lines of text, and once the listening sockets that
+//! one hands to the other.
 
 use std::io::{self, IoSlice, IoSliceMut};
 use std::mem::MaybeUninit;
@@ -37,8 +37,8 @@
         self.stream.write_all(format!("{line}\n").as_bytes()).await
     }
 
-    /// The next line without its end; `None` once the other side has closed the connection or has sent too long a
-    /// line. Cancel safe: what has arrived of a line stays.
+    /// The next line without its end; `None` once the other side has closed the connection or has sent too
+    /// long a line. Cancel safe: what has arrived of a line stays.
     pub(super) async fn next_line(&mut self) -> Option<Vec<u8>> {
         let mut searched = 0;
         loop {
--- a/crates/transport/src/handover/mod.rs
+++ b/crates/transport/src/handover/mod.rs
@@ -1,10 +1,10 @@
-//! Handover between two processes of one scheduler: the running process passes its listening sockets and its state
-//! to the one that starts beside it. While both run, each carries out the operators' commands that the other one
-//! gets.
+//! Handover between two processes of one scheduler: the running process passes its listening sockets and its
+//! state to the one that starts beside it. While both run, each carries out the operators' commands that the
+//! other one gets.
 //!
 //! The running process listens on a Unix socket in `$TMPDIR` whose name contains the address for clients. The
-//! starting process sends a greeting, the running one answers with the sockets and the state, and the starting
-//! one says when it serves. Whatever is wrong with the peer process, a start goes on without it.
+//! starting process sends a greeting, the running one answers with the sockets and the state, and the
+//! starting one says when it serves. Whatever is wrong with the peer process, a start goes on without it.
 
 mod codec;
 mod link;
@@ -77,8 +77,8 @@
     CoreStopped,
 }
 
-/// The path at which the processes of the scheduler with that client address meet; `None` if the system chooses
-/// the port.
+/// The path at which the processes of the scheduler with that client address meet; `None` if the system
+/// chooses the port.
 pub fn socket_path(listen: SocketAddr) -> Option<PathBuf> {
     (listen.port() != 0).then(|| std::env::temp_dir().join(format!("heathward-{listen}.sock")))
 }
@@ -106,8 +106,8 @@
     link: Link,
 }
 
-/// Asks the running process for its sockets and its state. `None` if there is no such process, or if it does not
-/// answer in time and in a form that can be read.
+/// Asks the running process for its sockets and its state. `None` if there is no such process, or if it does
+/// not answer in time and in a form that can be read.
 pub async fn receive(path: &Path) -> Option<ReceivedHandover> {
     // Without a handover the start goes on, whatever the reason.
     timeout(STEP_TIMEOUT, request_state(path)).await.ok()?.ok()
@@ -140,8 +140,8 @@
     }
 }
 
-/// Serves a process that has connected: passes it everything if its greeting is understood, and exchanges commands
-/// with it until it exits. Each of its phases is sent to `phases`, and [`PeerPhase::Exited`] last.
+/// Serves a process that has connected: passes it everything if its greeting is understood, and exchanges
+/// commands with it until it exits. Each of its phases is sent to `phases`, and [`PeerPhase::Exited`] last.
 pub async fn send(
     stream: UnixStream,
     core: CoreHandle,
--- a/crates/transport/src/handover/peer_process.rs
+++ b/crates/transport/src/handover/peer_process.rs
@@ -1,5 +1,5 @@
-//! Passes operators' commands between two processes of one scheduler while both run, in the lines of the admin
-//! interface: a command that one has carried out, the other one carries out too and answers.
+//! Passes operators' commands between two processes of one scheduler while both run, in the lines of the
+//! admin interface: a command that one has carried out, the other one carries out too and answers.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -104,8 +104,8 @@
     async fn on_line(&mut self, line: &[u8]) -> Option<String> {
         if line.starts_with(b"OK") || line.starts_with(b"ERR") {
             if let Some(mut answered) = self.pending.pop_front() {
-                // An error says that the peer process does not know the node. It sends nothing there, which is
-                // what the command was to achieve.
+                // An error says that the peer process does not know the node. It sends nothing there, which
+                // is what the command was to achieve.
                 answered.answer(Ok(()));
             }
             return None;
