--- a/crates/core/src/endpoint_lease.rs
+++ b/crates/core/src/endpoint_lease.rs
@@ -99,8 +99,8 @@
     }
 
     /// A call has failed, was rejected, or was given up. Discovery may have had an update right after the last
-    /// contact, and may have been reachable a moment before the call; such an update counts as delivered after
-    /// [`VALIDITY_AFTER_CONTACT`]. So the extension by [`EndpointLease::record_watch_closed`] is taken back.
+    /// contact, and may have been reachable a moment before the call; such an update counts as delivered 6 s
+    /// after discovery had it. So the extension by [`EndpointLease::record_watch_closed`] is taken back.
     pub fn record_failed_call(&mut self) {
         self.call_failed_since_contact = true;
         self.valid_until = self.valid_until.min(self.last_contact + VALIDITY_AFTER_CONTACT);
