--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -151,7 +151,8 @@
     };
     let inside = |error: ConfigError| ConfigError { field: format!("settings.{}", error.field), ..error };
     let known = discovery::parse_update(&json::to_string(section("known")?));
-    let known = known.map_err(|why| ConfigError { field: "known".to_owned(), reason: why })?;
+    let known =
+        known.map_err(|error| ConfigError { field: "known".to_owned(), reason: error.to_string() })?;
     let deployment = Deployment::read(&JsonSource(section("settings")?)).map_err(inside)?;
     let checked = deployment.settings.validate();
     checked.map_err(|e| ConfigError { field: "settings".to_owned(), reason: e.to_string() })?;
--- /dev/null
+++ b/crates/transport/src/discovery/call.rs
@@ -0,0 +1,163 @@
+//! One HTTP call for the endpoint list. A task of its own reads the response's body for as long as the
+//! [`ListCall`] exists.
+
+use std::future::Future;
+use std::net::SocketAddr;
+use std::pin::pin;
+use std::sync::{Arc, OnceLock};
+use std::time::Duration;
+
+use bytes::Bytes;
+use http_body_util::{BodyExt, Empty};
+use hyper::body::Incoming;
+use hyper::client::conn::http1;
+use hyper::header::{HOST, RETRY_AFTER};
+use hyper::{Request, Response, StatusCode};
+use hyper_util::rt::TokioIo;
+use tokio::net::TcpStream;
+use tokio::sync::mpsc;
+use tokio::task::JoinHandle;
+use tokio::time::Instant;
+
+use super::events::{CallProgress, ListRequest, ResponseHead, ResponseStatus};
+use super::stream_splitter::StreamSplitter;
+
+/// The path of the endpoint list.
+const LIST_PATH: &str = "/v1/servers";
+/// A call whose list is longer than this, on one line or on several, is broken off.
+const MAX_LIST_BYTES: usize = 4 << 20;
+/// Lines that were read and are not handled yet.
+const LINE_CHANNEL_CAPACITY: usize = 1;
+
+/// An open call. Dropping it closes its connection.
+#[derive(Debug)]
+pub(super) struct ListCall {
+    lines: mpsc::Receiver<Vec<u8>>,
+    reader: JoinHandle<()>,
+    opened_at: Instant,
+    milestones: Arc<Milestones>,
+}
+
+/// What the reading task has reached so far.
+#[derive(Debug, Default)]
+struct Milestones {
+    accepted_at: OnceLock<Instant>,
+    response: OnceLock<ResponseHead>,
+}
+
+impl ListCall {
+    /// Opens a call and returns at once; connecting goes on in the reading task.
+    pub(super) fn open(address: SocketAddr, request: ListRequest) -> Self {
+        let (sender, lines) = mpsc::channel(LINE_CHANNEL_CAPACITY);
+        let milestones = Arc::new(Milestones::default());
+        let reader = tokio::spawn(read_call(address, request, Arc::clone(&milestones), sender));
+        Self { lines, reader, opened_at: Instant::now(), milestones }
+    }
+
+    /// The next line without its end; `None` once the call has ended. Cancel safe.
+    pub(super) async fn next_line(&mut self) -> Option<Vec<u8>> {
+        self.lines.recv().await
+    }
+
+    /// A line has arrived and waits to be taken.
+    pub(super) fn has_line(&self) -> bool {
+        !self.lines.is_empty()
+    }
+
+    /// How far it has come.
+    pub(super) fn progress(&self) -> CallProgress {
+        CallProgress {
+            opened_at: self.opened_at,
+            accepted_at: self.milestones.accepted_at.get().copied(),
+            response: self.milestones.response.get().copied(),
+        }
+    }
+}
+
+impl Drop for ListCall {
+    fn drop(&mut self) {
+        self.reader.abort();
+    }
+}
+
+/// Makes a call and passes on its lines, until it ends or nobody takes them any more.
+async fn read_call(
+    address: SocketAddr,
+    request: ListRequest,
+    milestones: Arc<Milestones>,
+    lines: mpsc::Sender<Vec<u8>>,
+) {
+    let Some((body, connection)) = send_request(address, request, &milestones).await else { return };
+    let mut reading = pin!(read_lines(body, lines));
+    tokio::select! {
+        () = reading.as_mut() => {}
+        // What arrived before the connection ended is still read.
+        () = connection => reading.await,
+    }
+}
+
+async fn read_lines(mut body: Incoming, lines: mpsc::Sender<Vec<u8>>) {
+    let mut splitter = StreamSplitter::default();
+    while let Some(Ok(frame)) = body.frame().await {
+        splitter.extend(frame.data_ref().unwrap_or(&Bytes::new()));
+        while let Some(line) = splitter.next_item() {
+            if lines.send(line).await.is_err() {
+                return;
+            }
+        }
+        if splitter.buffered() > MAX_LIST_BYTES {
+            tracing::warn!("discovery: watch closed: a line of over {MAX_LIST_BYTES} bytes");
+            return;
+        }
+    }
+}
+
+/// Connects and asks. Returns the response's body and the future that drives the connection; `None` when the call
+/// failed or was rejected, which `milestones` tells.
+async fn send_request(
+    address: SocketAddr,
+    request: ListRequest,
+    milestones: &Milestones,
+) -> Option<(Incoming, impl Future<Output = ()> + Send + 'static)> {
+    let stream = TcpStream::connect(address).await.ok()?;
+    stream.set_nodelay(true).ok()?;
+    let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
+    let mut connection = Box::pin(connection);
+    let request = Request::get(path_and_query(request)).header(HOST, address.to_string());
+    let response = sender.send_request(request.body(Empty::<Bytes>::new()).ok()?);
+    // The request is written when the connection is polled for the first time, which is right now.
+    let _ = milestones.accepted_at.set(Instant::now());
+    let response = tokio::select! {
+        response = response => response.ok()?,
+        _ = connection.as_mut() => return None,
+    };
+    let status = response_status(&response);
+    let _ = milestones.response.set(ResponseHead { received_at: Instant::now(), status });
+    let body = (status == ResponseStatus::Ok).then(|| response.into_body())?;
+    Some((body, async move {
+        // The connection would shut down without its sender.
+        let _sender = sender;
+        // How it ended shows in the body.
+        let _ = connection.await;
+    }))
+}
+
+fn path_and_query(request: ListRequest) -> String {
+    match request {
+        ListRequest::Watch { after } => format!("{LIST_PATH}?watch=1&after={after}"),
+        ListRequest::Snapshot => LIST_PATH.to_owned(),
+    }
+}
+
+fn response_status(response: &Response<Incoming>) -> ResponseStatus {
+    if response.status() == StatusCode::OK {
+        return ResponseStatus::Ok;
+    }
+    ResponseStatus::Rejected { retry_after: retry_after(response) }
+}
+
+/// The Retry-After hint in seconds, which may have decimals.
+fn retry_after(response: &Response<Incoming>) -> Option<Duration> {
+    let seconds = response.headers().get(RETRY_AFTER)?.to_str().ok()?.trim().parse().ok()?;
+    Duration::try_from_secs_f64(seconds).ok()
+}
--- a/crates/transport/src/discovery/stream_splitter.rs
+++ b/crates/transport/src/discovery/stream_splitter.rs
@@ -1,51 +1,56 @@
-//! What a watch brings, cut into lists and empty lines. No I/O.
+//! Cuts the body of a discovery response into lists and lines. No I/O.
 
-/// Cuts a stream into JSON objects and lines that hold none. An object may stand on one line or over several,
-/// indented or not ("lists may come indented"), and in any number of pieces. One that breaks off is given
-/// back as it is, once an empty line or the next object tells so; nobody can read it, and what follows
-/// counts.
+/// Cuts a stream of bytes into JSON objects and lines that hold none. An object may stand on one line or on
+/// several, indented or not, and arrive in any number of pieces.
+///
+/// An object that breaks off is returned as it is, once an empty line or the next object shows that it has. It
+/// cannot be decoded; what follows it is read as usual.
 #[derive(Debug, Default)]
 pub struct StreamSplitter {
-    text: Vec<u8>,
-    /// Looked at so far.
-    at: usize,
+    /// What has arrived after the last item.
+    buffer: Vec<u8>,
+    /// How much of the buffer has been scanned.
+    scanned: usize,
+    /// Objects that are open at that point.
     depth: u32,
-    quoted: bool,
-    escaped: bool,
-    /// The rest of the line on which an object ended is not a line of its own.
-    ended: bool,
+    /// That point is within a JSON string.
+    in_string: bool,
+    /// That point follows a backslash within a JSON string.
+    after_backslash: bool,
+    /// An object has ended, and the rest of its line is no line of its own.
+    after_object: bool,
 }
 
 impl StreamSplitter {
-    /// More has come.
+    /// Adds bytes that have arrived.
     pub fn extend(&mut self, bytes: &[u8]) {
-        self.text.extend_from_slice(bytes);
+        self.buffer.extend_from_slice(bytes);
     }
 
-    /// Bytes that are held, of which nothing can be told yet.
+    /// The number of bytes that belong to no complete item yet.
     pub fn buffered(&self) -> usize {
-        self.text.len()
+        self.buffer.len()
     }
 
-    /// The next object or line, once it is whole.
+    /// The next object, or line with its end, once it is complete.
     pub fn next_item(&mut self) -> Option<Vec<u8>> {
-        while let Some(&byte) = self.text.get(self.at) {
-            if self.breaks_off(byte) {
-                return Some(self.take(self.at));
+        while let Some(&byte) = self.buffer.get(self.scanned) {
+            if self.object_breaks_off_before(byte) {
+                return Some(self.take_scanned());
             }
-            self.at += 1;
+            self.scanned += 1;
             match byte {
-                b'\n' if self.ended => {
-                    self.ended = false;
-                    drop(self.take(self.at));
+                b'\n' if self.after_object => {
+                    self.after_object = false;
+                    drop(self.take_scanned());
                 }
-                b'\n' if self.depth == 0 => return Some(self.take(self.at)),
-                b' ' | b'\t' | b'\r' if self.ended => {}
+                b'\n' if self.depth == 0 => return Some(self.take_scanned()),
+                b' ' | b'\t' | b'\r' if self.after_object => {}
                 _ => {
-                    self.ended = false;
+                    self.after_object = false;
                     if self.ends_object(byte) {
-                        self.ended = true;
-                        return Some(self.take(self.at));
+                        self.after_object = true;
+                        return Some(self.take_scanned());
                     }
                 }
             }
@@ -53,26 +58,28 @@
         None
     }
 
-    /// The object at hand has broken off before that byte. No line within an object is empty; and one that
-    /// begins with a brace is a new list, where no entry is due.
-    fn breaks_off(&self, byte: u8) -> bool {
-        let (before, begins) = (&self.text[..self.at], self.text[..self.at].ends_with(b"\n"));
-        if self.depth == 0 || !begins {
+    /// Whether the open object has broken off before this byte. No line within an object is empty, no string
+    /// goes on over the end of a line, and a line that begins with a brace is a new list unless an entry of the
+    /// open one is due.
+    fn object_breaks_off_before(&self, byte: u8) -> bool {
+        let scanned = &self.buffer[..self.scanned];
+        if self.depth == 0 || !scanned.ends_with(b"\n") {
             return false;
         }
-        let last = before.iter().rfind(|byte| !byte.is_ascii_whitespace());
-        let due = last.is_some_and(|last| matches!(last, b'[' | b',' | b':'));
-        matches!(byte, b'\n' | b'\r') || self.quoted || (byte == b'{' && !due)
+        let last = scanned.iter().rfind(|byte| !byte.is_ascii_whitespace());
+        let entry_due = last.is_some_and(|last| matches!(last, b'[' | b',' | b':'));
+        let is_empty_line = matches!(byte, b'\n' | b'\r');
+        is_empty_line || self.in_string || (byte == b'{' && !entry_due)
     }
 
-    /// Whether that byte is the last of an object.
+    /// Takes a byte into account. Returns whether it is the last one of an object.
     fn ends_object(&mut self, byte: u8) -> bool {
         match byte {
-            _ if std::mem::take(&mut self.escaped) => {}
-            b'\\' if self.quoted => self.escaped = true,
-            b'"' => self.quoted = self.depth > 0 && !self.quoted,
-            b'{' if !self.quoted => self.depth += 1,
-            b'}' if !self.quoted && self.depth > 0 => {
+            _ if std::mem::take(&mut self.after_backslash) => {}
+            b'\\' if self.in_string => self.after_backslash = true,
+            b'"' => self.in_string = self.depth > 0 && !self.in_string,
+            b'{' if !self.in_string => self.depth += 1,
+            b'}' if !self.in_string && self.depth > 0 => {
                 self.depth -= 1;
                 return self.depth == 0;
             }
@@ -81,8 +88,11 @@
         false
     }
 
-    fn take(&mut self, size: usize) -> Vec<u8> {
-        (self.at, self.depth, self.quoted, self.escaped) = (0, 0, false, false);
-        self.text.drain(..size).collect()
+    /// Removes what has been scanned from the buffer, and starts anew after it.
+    fn take_scanned(&mut self) -> Vec<u8> {
+        self.depth = 0;
+        self.in_string = false;
+        self.after_backslash = false;
+        self.buffer.drain(..std::mem::take(&mut self.scanned)).collect()
     }
 }
--- /dev/null
+++ b/crates/transport/src/discovery/supervisor.rs
@@ -0,0 +1,376 @@
+//! Decides when to open, keep and give up calls for the endpoint list at one address, and what to report to the
+//! scheduler core. There is no I/O and no clock here: [`WatchSupervisor::handle`] takes an event and the time at
+//! which it is handled, and returns the actions to carry out, in order.
+//!
+//! At most three calls are open at a time, one in each [`CallSlot`]:
+//!
+//! * the **current** watch is the one that was opened last, or that sent the last line;
+//! * the **timed-out** watch is the first one that has sent no line in time. It stays open while another one is
+//!   tried: an agent sends nothing while discovery is down, and a shared service answers its callers in turn, so
+//!   that closing a call would lose its turn. The first line from either watch closes the other one;
+//! * the **confirmation** is a call for the complete list, made beside a current watch that the agent has accepted
+//!   and has not answered. Only when it gets no answer either is the agent taken to have nothing new.
+//!
+//! The states of the current watch, and what leads from one to the other:
+//!
+//! ```text
+//! Waiting --reconnect time------------> Open     a watch is opened
+//! Open ----line-----------------------> Open     its timeout starts anew; the other calls are closed
+//! Open ----no line in time------------> Waiting  it becomes the timed-out watch, or is closed if there is one
+//! Open ----end------------------------> Waiting
+//! either --line of timed-out watch----> Open     that watch becomes the current one
+//! ```
+//!
+//! The address is active until another one is the current address. Watches at a superseded address are not opened
+//! again, and end by themselves or after [`SUPERSEDED_WATCH_LIFETIME`]. Then the supervisor is finished.
+
+use std::time::Duration;
+
+use tokio::time::Instant;
+
+use heathward_discovery_pacing::CallFailure;
+use heathward_policy::EndpointListMode;
+
+use super::events::{Action, CallProgress, CallSlot, Event, Line, ListRequest, ResponseHead, ResponseStatus};
+use super::report::Report;
+use crate::backoff::{ReconnectPolicy, WatchEnd};
+
+/// An empty line arrives every 2 s. A watch without any line for this long has timed out.
+const LINE_TIMEOUT: Duration = Duration::from_millis(2750);
+/// An agent that has something to send has begun its answer within this time after accepting a call.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(250);
+/// A watch that was open for longer than this counts as healthy even if it brought no update.
+const HEALTHY_WATCH_AGE: Duration = Duration::from_millis(5500);
+/// A call that ends sooner than this after it was opened was never taken up by the server.
+const IMMEDIATE_END: Duration = Duration::from_millis(5);
+/// Watches at a superseded address are closed after this time.
+const SUPERSEDED_WATCH_LIFETIME: Duration = Duration::from_secs(5);
+
+/// Whether the supervised address is the current one.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum AddressPhase {
+    /// It is.
+    Active,
+    /// Another one is; watches that are open stay until then.
+    Superseded { until: Instant },
+    /// All watches have ended.
+    Finished,
+}
+
+/// An open watch.
+#[derive(Clone, Copy, Debug)]
+struct Watch {
+    /// The revision after which it was asked for changes.
+    after: u64,
+    /// It has brought a readable line, if only an empty one.
+    received_line: bool,
+}
+
+/// The state of the current watch.
+#[derive(Clone, Copy, Debug)]
+enum CurrentWatch {
+    /// There is none; the next one is opened then.
+    Waiting { open_at: Instant },
+    /// It is open, and times out then unless it sends a line.
+    Open { watch: Watch, times_out_at: Instant },
+}
+
+/// The supervisor of all calls at one address.
+#[derive(Debug)]
+pub(super) struct WatchSupervisor {
+    mode: EndpointListMode,
+    policy: ReconnectPolicy,
+    address: AddressPhase,
+    current: CurrentWatch,
+    timed_out: Option<Watch>,
+    confirmation_open: bool,
+    /// The last known revision.
+    revision: u64,
+    /// When to judge that the agent has not answered. `None` once it has, or once that was judged.
+    answer_deadline: Option<Instant>,
+    /// The core has not been told anything yet: neither that a line came, nor that none did.
+    awaits_first_report: bool,
+}
+
+impl WatchSupervisor {
+    /// Starts with a known revision, and opens the first watch after the policy's first delay.
+    pub(super) fn start(
+        mode: EndpointListMode,
+        revision: u64,
+        mut policy: ReconnectPolicy,
+        now: Instant,
+    ) -> (Self, Vec<Action>) {
+        let open_at = now + policy.first_delay();
+        let supervisor = Self {
+            mode,
+            policy,
+            address: AddressPhase::Active,
+            current: CurrentWatch::Waiting { open_at },
+            timed_out: None,
+            confirmation_open: false,
+            revision,
+            answer_deadline: None,
+            awaits_first_report: true,
+        };
+        let actions = match supervisor.is_streamed() {
+            true => Vec::new(),
+            // No watch is open until the first call has had its turn.
+            false => vec![Action::Report(Report::WatchClosed)],
+        };
+        (supervisor, actions)
+    }
+
+    /// The address is the current one.
+    pub(super) fn is_active(&self) -> bool {
+        self.address == AddressPhase::Active
+    }
+
+    /// The address is superseded, and all its watches have ended.
+    pub(super) fn is_finished(&self) -> bool {
+        let watch_open = matches!(self.current, CurrentWatch::Open { .. }) || self.timed_out.is_some();
+        match self.address {
+            AddressPhase::Active => false,
+            AddressPhase::Superseded { .. } => !watch_open,
+            AddressPhase::Finished => true,
+        }
+    }
+
+    /// When [`Event::AnswerTimeout`] is due, if it is.
+    pub(super) fn answer_deadline(&self) -> Option<Instant> {
+        self.answer_deadline
+    }
+
+    /// When [`Event::Timeout`] is due.
+    pub(super) fn deadline(&self) -> Instant {
+        match (self.address, self.current) {
+            (AddressPhase::Superseded { until }, _) => until,
+            (_, CurrentWatch::Waiting { open_at }) => open_at,
+            (_, CurrentWatch::Open { times_out_at, .. }) => times_out_at,
+        }
+    }
+
+    /// Handles an event at that time.
+    pub(super) fn handle(&mut self, event: Event, now: Instant) -> Vec<Action> {
+        let mut actions = Vec::new();
+        match event {
+            Event::Superseded => {
+                self.address = AddressPhase::Superseded { until: now + SUPERSEDED_WATCH_LIFETIME };
+            }
+            Event::Line { slot, line } => {
+                self.on_line_from(slot, now, &mut actions);
+                self.on_line(line, now, &mut actions);
+            }
+            Event::Ended { slot: CallSlot::Current, progress } => {
+                self.on_current_ended(&progress, now, &mut actions);
+            }
+            Event::Ended { slot: CallSlot::Confirmation, .. } => {
+                self.on_confirmation_ended(now, &mut actions);
+            }
+            Event::Ended { slot: CallSlot::TimedOut, .. } => {
+                self.close(CallSlot::TimedOut, &mut actions);
+            }
+            Event::AnswerTimeout { line_waiting, current, confirmation } => {
+                self.answer_deadline = None;
+                if !line_waiting {
+                    self.on_answer_timeout(current, confirmation, now, &mut actions);
+                }
+            }
+            Event::Timeout { current } => self.on_timeout(current, now, &mut actions),
+        }
+        actions
+    }
+
+    fn is_streamed(&self) -> bool {
+        self.mode == EndpointListMode::Streamed
+    }
+
+    /// A line makes its watch the only one, with its full time for the next line.
+    fn on_line_from(&mut self, slot: CallSlot, now: Instant, actions: &mut Vec<Action>) {
+        let next_timeout = now + LINE_TIMEOUT;
+        match slot {
+            CallSlot::Current => {
+                self.close(CallSlot::Confirmation, actions);
+                if let CurrentWatch::Open { times_out_at, .. } = &mut self.current {
+                    *times_out_at = next_timeout;
+                }
+                self.close(CallSlot::TimedOut, actions);
+            }
+            CallSlot::TimedOut => {
+                if let Some(watch) = self.timed_out.take() {
+                    self.current = CurrentWatch::Open { watch, times_out_at: next_timeout };
+                    actions.push(Action::MakeTimedOutCurrent);
+                }
+            }
+            CallSlot::Confirmation => self.close(CallSlot::Confirmation, actions),
+        }
+    }
+
+    fn on_line(&mut self, line: Line, now: Instant, actions: &mut Vec<Action>) {
+        self.answer_deadline = None;
+        self.awaits_first_report = false;
+        if line == Line::Malformed {
+            return;
+        }
+        if let Line::Update(update) = line {
+            self.revision = update.revision;
+            actions.push(Action::Report(Report::Update(update)));
+        }
+        if let CurrentWatch::Open { watch, .. } = &mut self.current {
+            watch.received_line = true;
+        }
+        // Only updates count from a superseded address: it may have nothing to say about what the current
+        // address already knows.
+        if self.is_active() {
+            actions.push(Action::Report(Report::Contact(now)));
+        }
+    }
+
+    fn on_current_ended(&mut self, progress: &CallProgress, now: Instant, actions: &mut Vec<Action>) {
+        self.close(CallSlot::Confirmation, actions);
+        self.close(CallSlot::Current, actions);
+        let CurrentWatch::Open { watch, .. } = self.current else { return };
+        self.reconnect_after(watch, progress, now);
+        if !self.is_streamed() {
+            // A watch that brought lines was the only one: its first line has closed the timed-out one.
+            let report = if watch.received_line { Report::WatchClosed } else { Report::CallFailed };
+            actions.push(Action::Report(report));
+        }
+        self.answer_deadline = self.awaits_first_report.then_some(now);
+    }
+
+    /// The confirmation gives no list, and does not stay open either.
+    fn on_confirmation_ended(&mut self, now: Instant, actions: &mut Vec<Action>) {
+        self.close(CallSlot::Confirmation, actions);
+        self.answer_deadline = None;
+        self.report_first_unanswered(now, actions);
+    }
+
+    /// Judges that the agent has nothing to send, once neither the current watch nor a confirmation was answered
+    /// in time.
+    fn on_answer_timeout(
+        &mut self,
+        current: Option<CallProgress>,
+        confirmation: Option<CallProgress>,
+        now: Instant,
+        actions: &mut Vec<Action>,
+    ) {
+        // A shared service that has not answered may just not have come to this call yet.
+        let current = current.filter(|_| self.is_streamed() && self.is_active());
+        let current = current.map(|call| call.accepted_at);
+        let confirmation = confirmation.map(|call| call.accepted_at);
+        match (current, confirmation) {
+            (Some(Some(accepted_at)), None) if accepted_at + ANSWER_TIMEOUT <= now => {
+                // A watch whose connection was broken from the beginning would look the same.
+                self.open_confirmation(now, actions);
+                return;
+            }
+            (Some(Some(accepted_at)), Some(Some(asked_at))) if asked_at + ANSWER_TIMEOUT <= now => {
+                self.close(CallSlot::Confirmation, actions);
+                actions.push(Action::Report(Report::Contact(accepted_at)));
+            }
+            (Some(Some(_)), Some(asked_at)) => {
+                self.answer_deadline = Some(asked_at.unwrap_or(now) + ANSWER_TIMEOUT);
+                return;
+            }
+            (Some(accepted_at), None) => {
+                self.answer_deadline = Some(accepted_at.unwrap_or(now) + ANSWER_TIMEOUT);
+            }
+            _ => {}
+        }
+        self.report_first_unanswered(now, actions);
+    }
+
+    fn on_timeout(&mut self, progress: Option<CallProgress>, now: Instant, actions: &mut Vec<Action>) {
+        match (self.address, self.current, progress) {
+            (AddressPhase::Superseded { .. } | AddressPhase::Finished, _, _) => {
+                self.address = AddressPhase::Finished;
+            }
+            (AddressPhase::Active, CurrentWatch::Open { watch, .. }, Some(progress)) => {
+                self.on_current_timed_out(watch, &progress, now, actions);
+            }
+            (AddressPhase::Active, _, _) => self.open_watch(now, actions),
+        }
+    }
+
+    /// The current watch is kept as the timed-out one, unless there is one already.
+    fn on_current_timed_out(
+        &mut self,
+        watch: Watch,
+        progress: &CallProgress,
+        now: Instant,
+        actions: &mut Vec<Action>,
+    ) {
+        self.reconnect_after(watch, progress, now);
+        // For how long the list may be used after a watch that brought lines is known from its last line.
+        if !self.is_streamed() && !watch.received_line {
+            actions.push(Action::Report(Report::CallFailed));
+        }
+        if self.timed_out.is_none() {
+            self.timed_out = Some(watch);
+            actions.push(Action::KeepTimedOut);
+        } else {
+            actions.push(Action::Close(CallSlot::Current));
+        }
+    }
+
+    fn open_watch(&mut self, now: Instant, actions: &mut Vec<Action>) {
+        self.close(CallSlot::Confirmation, actions);
+        let watch = Watch { after: self.revision, received_line: false };
+        self.current = CurrentWatch::Open { watch, times_out_at: now + LINE_TIMEOUT };
+        let awaits_answer = self.awaits_first_report || self.is_streamed();
+        self.answer_deadline = awaits_answer.then(|| now + ANSWER_TIMEOUT);
+        let request = ListRequest::Watch { after: self.revision };
+        actions.push(Action::Open { slot: CallSlot::Current, request });
+    }
+
+    fn open_confirmation(&mut self, now: Instant, actions: &mut Vec<Action>) {
+        self.confirmation_open = true;
+        self.answer_deadline = Some(now + ANSWER_TIMEOUT);
+        actions.push(Action::Open { slot: CallSlot::Confirmation, request: ListRequest::Snapshot });
+    }
+
+    /// Closes a call if it is open. The state of the current watch is left to the caller.
+    fn close(&mut self, slot: CallSlot, actions: &mut Vec<Action>) {
+        let was_open = match slot {
+            CallSlot::Current => matches!(self.current, CurrentWatch::Open { .. }),
+            CallSlot::TimedOut => self.timed_out.take().is_some(),
+            CallSlot::Confirmation => std::mem::take(&mut self.confirmation_open),
+        };
+        if was_open {
+            actions.push(Action::Close(slot));
+        }
+    }
+
+    /// The next watch is opened after a delay that depends on how this one ended.
+    fn reconnect_after(&mut self, watch: Watch, progress: &CallProgress, now: Instant) {
+        let end = classify_end(watch, progress, self.revision, now);
+        self.current = CurrentWatch::Waiting { open_at: now + self.policy.next_delay(end) };
+    }
+
+    fn report_first_unanswered(&mut self, now: Instant, actions: &mut Vec<Action>) {
+        if std::mem::take(&mut self.awaits_first_report) {
+            actions.push(Action::Report(Report::Unanswered(now)));
+        }
+    }
+}
+
+/// How a watch counts now that another one is to follow it; `revision` is the one known by now.
+fn classify_end(watch: Watch, progress: &CallProgress, revision: u64, now: Instant) -> WatchEnd {
+    let elapsed = now.saturating_duration_since(progress.opened_at);
+    let brought_update = revision != watch.after;
+    if let Some(accepted_at) = progress.accepted_at {
+        if brought_update || elapsed > HEALTHY_WATCH_AGE {
+            let answer_time = |head: ResponseHead| head.received_at.saturating_duration_since(accepted_at);
+            return WatchEnd::Healthy { answered_in: progress.response.map_or(elapsed, answer_time) };
+        }
+    }
+    let failure = match progress.response.map(|head| head.status) {
+        Some(ResponseStatus::Rejected { retry_after }) => CallFailure::Rejected { retry_after },
+        _ if progress.accepted_at.is_some() && elapsed > IMMEDIATE_END => CallFailure::TimedOut,
+        _ => CallFailure::Unreachable,
+    };
+    WatchEnd::Failed { failure, elapsed }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/transport/src/discovery/supervisor/tests.rs
@@ -0,0 +1,339 @@
+use heathward_core::EndpointUpdate;
+use heathward_discovery_pacing::FleetPosition;
+use heathward_policy::EndpointUpdateKind;
+use rstest::rstest;
+
+use super::*;
+
+const STREAMED: EndpointListMode = EndpointListMode::Streamed;
+const POLLED: EndpointListMode = EndpointListMode::Polled { max_interval: 10_000_000 };
+const MS: Duration = Duration::from_millis(1);
+const KNOWN_REVISION: u64 = 7;
+
+const WATCH: ListRequest = ListRequest::Watch { after: KNOWN_REVISION };
+const OPEN_WATCH: Action = Action::Open { slot: CallSlot::Current, request: WATCH };
+const OPEN_CONFIRMATION: Action =
+    Action::Open { slot: CallSlot::Confirmation, request: ListRequest::Snapshot };
+
+/// A supervisor with a clock that moves only by hand. It is the only scheduler.
+struct Scenario {
+    supervisor: WatchSupervisor,
+    now: Instant,
+    /// When the current watch was opened.
+    opened_at: Instant,
+}
+
+impl Scenario {
+    /// Before its first watch.
+    fn new(mode: EndpointListMode) -> (Self, Vec<Action>) {
+        let position = FleetPosition { scheduler_index: 0, schedulers: 1 };
+        let now = Instant::now();
+        let policy = ReconnectPolicy::new(mode, position, 1);
+        let (supervisor, actions) = WatchSupervisor::start(mode, KNOWN_REVISION, policy, now);
+        (Self { supervisor, now, opened_at: now }, actions)
+    }
+
+    /// With an open watch.
+    fn watching(mode: EndpointListMode) -> Self {
+        let (mut scenario, _) = Self::new(mode);
+        assert_eq!(scenario.time_out(), [OPEN_WATCH]);
+        scenario
+    }
+
+    fn handle(&mut self, event: Event) -> Vec<Action> {
+        let actions = self.supervisor.handle(event, self.now);
+        if actions.iter().any(|action| matches!(action, Action::Open { slot: CallSlot::Current, .. })) {
+            self.opened_at = self.now;
+        }
+        actions
+    }
+
+    fn line(&mut self, slot: CallSlot, line: Line) -> Vec<Action> {
+        self.handle(Event::Line { slot, line })
+    }
+
+    /// The progress of a call that was accepted at once and has no response.
+    fn accepted(&self) -> CallProgress {
+        CallProgress { opened_at: self.opened_at, accepted_at: Some(self.opened_at), response: None }
+    }
+
+    fn end(&mut self, slot: CallSlot) -> Vec<Action> {
+        let progress = self.accepted();
+        self.handle(Event::Ended { slot, progress })
+    }
+
+    /// Goes on to the deadline of the current watch or of the reconnect.
+    fn time_out(&mut self) -> Vec<Action> {
+        self.now = self.supervisor.deadline();
+        let current = matches!(self.supervisor.current, CurrentWatch::Open { .. }).then(|| self.accepted());
+        self.handle(Event::Timeout { current })
+    }
+
+    /// Goes on to the answer deadline.
+    fn miss_answer(
+        &mut self,
+        current: Option<CallProgress>,
+        confirmation: Option<CallProgress>,
+    ) -> Vec<Action> {
+        self.now = self.supervisor.answer_deadline().expect("an answer is due");
+        self.handle(Event::AnswerTimeout { line_waiting: false, current, confirmation })
+    }
+}
+
+fn update(revision: u64) -> EndpointUpdate {
+    EndpointUpdate { revision, kind: EndpointUpdateKind::Changes, endpoints: Vec::new() }
+}
+
+#[test]
+fn a_streamed_list_is_watched_at_once() {
+    let (mut scenario, actions) = Scenario::new(STREAMED);
+    assert_eq!(actions, []);
+    assert_eq!(scenario.supervisor.deadline(), scenario.now);
+    assert_eq!(scenario.time_out(), [OPEN_WATCH]);
+}
+
+#[test]
+fn no_watch_is_open_at_a_polled_list_before_its_first_turn() {
+    let (mut scenario, actions) = Scenario::new(POLLED);
+    assert_eq!(actions, [Action::Report(Report::WatchClosed)]);
+    assert!(scenario.supervisor.deadline() > scenario.now);
+    assert_eq!(scenario.time_out(), [OPEN_WATCH]);
+}
+
+#[test]
+fn an_empty_line_is_reported_as_contact() {
+    let mut scenario = Scenario::watching(STREAMED);
+    scenario.now += 10 * MS;
+    let contact = Action::Report(Report::Contact(scenario.now));
+    assert_eq!(scenario.line(CallSlot::Current, Line::KeepAlive), [contact]);
+    assert_eq!(scenario.supervisor.answer_deadline(), None);
+    assert_eq!(scenario.supervisor.deadline(), scenario.now + LINE_TIMEOUT);
+}
+
+#[test]
+fn an_update_is_reported_before_its_contact_and_the_next_watch_asks_for_what_follows_it() {
+    let mut scenario = Scenario::watching(STREAMED);
+    let actions = scenario.line(CallSlot::Current, Line::Update(update(9)));
+    let contact = Action::Report(Report::Contact(scenario.now));
+    assert_eq!(actions, [Action::Report(Report::Update(update(9))), contact]);
+    scenario.end(CallSlot::Current);
+    let request = ListRequest::Watch { after: 9 };
+    assert_eq!(scenario.time_out(), [Action::Open { slot: CallSlot::Current, request }]);
+}
+
+#[test]
+fn a_malformed_line_is_not_reported_and_counts_as_an_answer() {
+    let mut scenario = Scenario::watching(STREAMED);
+    assert_eq!(scenario.line(CallSlot::Current, Line::Malformed), []);
+    assert_eq!(scenario.supervisor.answer_deadline(), None);
+}
+
+#[test]
+fn an_unanswered_streamed_watch_counts_as_idle_only_once_a_confirmation_is_unanswered_too() {
+    let mut scenario = Scenario::watching(STREAMED);
+    let current = scenario.accepted();
+    assert_eq!(scenario.miss_answer(Some(current), None), [OPEN_CONFIRMATION]);
+    let confirmation = CallProgress { accepted_at: Some(scenario.now), ..current };
+    let actions = scenario.miss_answer(Some(current), Some(confirmation));
+    let expected = [
+        Action::Close(CallSlot::Confirmation),
+        Action::Report(Report::Contact(scenario.opened_at)),
+        Action::Report(Report::Unanswered(scenario.now)),
+    ];
+    assert_eq!(actions, expected);
+    assert_eq!(scenario.supervisor.answer_deadline(), None);
+}
+
+#[test]
+fn a_confirmation_has_its_full_time_from_when_it_was_accepted() {
+    let mut scenario = Scenario::watching(STREAMED);
+    let current = scenario.accepted();
+    scenario.miss_answer(Some(current), None);
+    let accepted_at = scenario.now + 100 * MS;
+    let late = CallProgress { accepted_at: Some(accepted_at), ..current };
+    assert_eq!(scenario.miss_answer(Some(current), Some(late)), []);
+    assert_eq!(scenario.supervisor.answer_deadline(), Some(accepted_at + ANSWER_TIMEOUT));
+}
+
+#[test]
+fn a_watch_that_is_not_accepted_yet_is_reported_unanswered_and_checked_later() {
+    let mut scenario = Scenario::watching(STREAMED);
+    let connecting = CallProgress { accepted_at: None, ..scenario.accepted() };
+    let actions = scenario.miss_answer(Some(connecting), None);
+    assert_eq!(actions, [Action::Report(Report::Unanswered(scenario.now))]);
+    assert_eq!(scenario.supervisor.answer_deadline(), Some(scenario.now + ANSWER_TIMEOUT));
+}
+
+#[test]
+fn an_unanswered_polled_watch_is_reported_once_without_a_confirmation() {
+    let mut scenario = Scenario::watching(POLLED);
+    let current = scenario.accepted();
+    let actions = scenario.miss_answer(Some(current), None);
+    assert_eq!(actions, [Action::Report(Report::Unanswered(scenario.now))]);
+    assert_eq!(scenario.supervisor.answer_deadline(), None);
+}
+
+#[test]
+fn a_line_that_has_arrived_by_the_answer_deadline_is_an_answer() {
+    let mut scenario = Scenario::watching(STREAMED);
+    let current = Some(scenario.accepted());
+    scenario.now += ANSWER_TIMEOUT;
+    let event = Event::AnswerTimeout { line_waiting: true, current, confirmation: None };
+    assert_eq!(scenario.handle(event), []);
+    assert_eq!(scenario.supervisor.answer_deadline(), None);
+}
+
+#[test]
+fn a_confirmation_that_ends_without_a_list_is_reported_as_unanswered() {
+    let mut scenario = Scenario::watching(STREAMED);
+    let current = scenario.accepted();
+    scenario.miss_answer(Some(current), None);
+    let expected = [Action::Close(CallSlot::Confirmation), Action::Report(Report::Unanswered(scenario.now))];
+    assert_eq!(scenario.end(CallSlot::Confirmation), expected);
+    assert_eq!(scenario.supervisor.answer_deadline(), None);
+}
+
+#[test]
+fn a_line_of_the_current_watch_closes_its_confirmation() {
+    let mut scenario = Scenario::watching(STREAMED);
+    let current = scenario.accepted();
+    scenario.miss_answer(Some(current), None);
+    let contact = Action::Report(Report::Contact(scenario.now));
+    let expected = [Action::Close(CallSlot::Confirmation), contact];
+    assert_eq!(scenario.line(CallSlot::Current, Line::KeepAlive), expected);
+}
+
+#[test]
+fn a_timed_out_watch_stays_open_until_the_next_one_sends_a_line() {
+    let mut scenario = Scenario::watching(STREAMED);
+    assert_eq!(scenario.time_out(), [Action::KeepTimedOut]);
+    assert_eq!(scenario.time_out(), [OPEN_WATCH]);
+    let contact = Action::Report(Report::Contact(scenario.now));
+    let expected = [Action::Close(CallSlot::TimedOut), contact];
+    assert_eq!(scenario.line(CallSlot::Current, Line::KeepAlive), expected);
+}
+
+#[test]
+fn a_line_of_the_timed_out_watch_makes_it_the_current_one() {
+    let mut scenario = Scenario::watching(STREAMED);
+    scenario.time_out();
+    scenario.time_out();
+    let contact = Action::Report(Report::Contact(scenario.now));
+    assert_eq!(scenario.line(CallSlot::TimedOut, Line::KeepAlive), [Action::MakeTimedOutCurrent, contact]);
+    assert_eq!(scenario.supervisor.deadline(), scenario.now + LINE_TIMEOUT);
+    assert!(scenario.supervisor.timed_out.is_none());
+}
+
+#[test]
+fn only_the_first_timed_out_watch_stays_open() {
+    let mut scenario = Scenario::watching(STREAMED);
+    scenario.time_out();
+    scenario.time_out();
+    assert_eq!(scenario.time_out(), [Action::Close(CallSlot::Current)]);
+    assert!(scenario.supervisor.timed_out.is_some());
+}
+
+#[rstest]
+#[case::without_a_line(POLLED, false, &[Report::CallFailed])]
+#[case::after_a_line(POLLED, true, &[Report::WatchClosed])]
+#[case::streamed_without_a_line(STREAMED, false, &[])]
+#[case::streamed_after_a_line(STREAMED, true, &[])]
+fn the_end_of_a_watch_is_reported_where_lists_are_polled(
+    #[case] mode: EndpointListMode,
+    #[case] received_line: bool,
+    #[case] reports: &[Report],
+) {
+    let mut scenario = Scenario::watching(mode);
+    if received_line {
+        scenario.line(CallSlot::Current, Line::KeepAlive);
+    }
+    let reports = reports.iter().cloned().map(Action::Report);
+    let expected: Vec<_> = [Action::Close(CallSlot::Current)].into_iter().chain(reports).collect();
+    assert_eq!(scenario.end(CallSlot::Current), expected);
+}
+
+#[test]
+fn a_polled_call_that_is_not_answered_in_time_has_failed() {
+    let mut scenario = Scenario::watching(POLLED);
+    let expected = [Action::Report(Report::CallFailed), Action::KeepTimedOut];
+    assert_eq!(scenario.time_out(), expected);
+}
+
+#[test]
+fn a_first_watch_that_ends_is_reported_as_unanswered_at_once() {
+    let mut scenario = Scenario::watching(STREAMED);
+    scenario.now += 10 * MS;
+    assert_eq!(scenario.end(CallSlot::Current), [Action::Close(CallSlot::Current)]);
+    assert_eq!(scenario.supervisor.answer_deadline(), Some(scenario.now));
+    assert_eq!(scenario.miss_answer(None, None), [Action::Report(Report::Unanswered(scenario.now))]);
+}
+
+#[test]
+fn a_superseded_address_brings_updates_until_its_watch_ends() {
+    let mut scenario = Scenario::watching(STREAMED);
+    assert_eq!(scenario.handle(Event::Superseded), []);
+    assert!(!scenario.supervisor.is_active() && !scenario.supervisor.is_finished());
+    assert_eq!(scenario.line(CallSlot::Current, Line::KeepAlive), [], "no contact");
+    let actions = scenario.line(CallSlot::Current, Line::Update(update(9)));
+    assert_eq!(actions, [Action::Report(Report::Update(update(9)))]);
+    scenario.end(CallSlot::Current);
+    assert!(scenario.supervisor.is_finished());
+}
+
+#[test]
+fn watches_at_a_superseded_address_end_after_their_lifetime() {
+    let mut scenario = Scenario::watching(STREAMED);
+    scenario.handle(Event::Superseded);
+    assert_eq!(scenario.supervisor.deadline(), scenario.now + SUPERSEDED_WATCH_LIFETIME);
+    assert_eq!(scenario.time_out(), []);
+    assert!(scenario.supervisor.is_finished());
+}
+
+#[test]
+fn an_address_that_is_superseded_between_two_watches_is_finished_at_once() {
+    let (mut scenario, _) = Scenario::new(POLLED);
+    scenario.handle(Event::Superseded);
+    assert!(scenario.supervisor.is_finished());
+}
+
+const NONE: Option<u64> = None;
+const REJECTED: ResponseStatus = ResponseStatus::Rejected { retry_after: Some(Duration::from_secs(3)) };
+
+/// Times are milliseconds after the call was opened.
+#[rstest]
+#[case::never_connected(NONE, None, false, 90, failed(CallFailure::Unreachable, 90))]
+#[case::broken_off_at_once(Some(1), None, false, 5, failed(CallFailure::Unreachable, 5))]
+#[case::no_answer(Some(1), None, false, 6, failed(CallFailure::TimedOut, 6))]
+#[case::rejected(Some(1), Some((4, REJECTED)), false, 4, failed(REJECTED_CALL, 4))]
+#[case::nothing_new(Some(1), Some((4, ResponseStatus::Ok)), false, 5500, failed(CallFailure::TimedOut, 5500))]
+#[case::open_for_long(Some(1), Some((4, ResponseStatus::Ok)), false, 5501, healthy(3))]
+#[case::open_for_long_without_answer(Some(1), None, false, 5501, healthy(5501))]
+#[case::brought_an_update(Some(1), Some((4, ResponseStatus::Ok)), true, 5, healthy(3))]
+fn the_end_of_a_call_is_classified_by_how_far_it_came(
+    #[case] accepted: Option<u64>,
+    #[case] response: Option<(u64, ResponseStatus)>,
+    #[case] brought_update: bool,
+    #[case] ended: u64,
+    #[case] expected: WatchEnd,
+) {
+    let opened_at = Instant::now();
+    let after = |ms| opened_at + Duration::from_millis(ms);
+    let progress = CallProgress {
+        opened_at,
+        accepted_at: accepted.map(after),
+        response: response.map(|(ms, status)| ResponseHead { received_at: after(ms), status }),
+    };
+    let watch = Watch { after: KNOWN_REVISION, received_line: false };
+    let revision = KNOWN_REVISION + u64::from(brought_update);
+    assert_eq!(classify_end(watch, &progress, revision, after(ended)), expected);
+}
+
+const REJECTED_CALL: CallFailure = CallFailure::Rejected { retry_after: Some(Duration::from_secs(3)) };
+
+fn failed(failure: CallFailure, ms: u64) -> WatchEnd {
+    WatchEnd::Failed { failure, elapsed: Duration::from_millis(ms) }
+}
+
+fn healthy(ms: u64) -> WatchEnd {
+    WatchEnd::Healthy { answered_in: Duration::from_millis(ms) }
+}
--- a/crates/transport/src/handover/codec.rs
+++ b/crates/transport/src/handover/codec.rs
@@ -1,48 +1,72 @@
-//! The state as one line of JSON.
+//! The state that a handover passes on, as one line of JSON. Its names on the wire become this program's terms
+//! here.
 
 use miniserde::{json, Deserialize, Serialize};
+use thiserror::Error;
 
-use crate::discovery::List;
+use crate::discovery::{InvalidEndpointList, WireList};
 use heathward_core::HandoverState;
 
+/// Why a line is no handover state.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum InvalidHandoverState {
+    /// It is not UTF-8.
+    #[error("not text")]
+    NotUtf8,
+    /// It is not JSON, or a field is missing or of another type.
+    #[error("not a state")]
+    NotAState,
+    /// The endpoint list in it cannot be used.
+    #[error(transparent)]
+    EndpointList(#[from] InvalidEndpointList),
+}
+
 #[derive(Deserialize, Serialize)]
-struct Line {
+struct WireState {
     #[serde(rename = "list")]
-    list: List,
+    endpoint_list: WireList,
     #[serde(rename = "suspended")]
     suspended: Vec<String>,
     #[serde(rename = "cold")]
-    cold: Vec<Cold>,
+    slow_start: Vec<WireSlowStart>,
     #[serde(rename = "paused")]
     paused: bool,
 }
 
+/// A node in slow start.
 #[derive(Deserialize, Serialize)]
-struct Cold {
+struct WireSlowStart {
     #[serde(rename = "id")]
-    id: String,
+    node: String,
+    /// Microseconds since 1970.
     #[serde(rename = "since_us")]
-    since_us: u64,
+    since: u64,
 }
 
-/// Encodes the state.
+/// Encodes the state, without an end of line.
 pub fn encode(state: HandoverState) -> String {
-    let HandoverState { endpoint_list: list, suspended, slow_start: cold, paused } = state;
-    json::to_string(&Line {
-        list: list.into(),
+    let HandoverState { endpoint_list, suspended, slow_start, paused } = state;
+    let slow_start = slow_start.into_iter().map(|(node, since)| WireSlowStart { node: node.into(), since });
+    json::to_string(&WireState {
+        endpoint_list: endpoint_list.into(),
         suspended: suspended.into_iter().map(Into::into).collect(),
-        cold: cold.into_iter().map(|(id, since_us)| Cold { id: id.into(), since_us }).collect(),
+        slow_start: slow_start.collect(),
         paused,
     })
 }
 
-/// Decodes the state; says what is wrong with it otherwise.
-pub fn decode(line: &[u8]) -> Result<HandoverState, String> {
-    let text = std::str::from_utf8(line).map_err(|_| "not text".to_owned())?;
-    let Line { list, suspended, cold, paused } =
-        json::from_str(text).map_err(|_| "not a state".to_owned())?;
-    let list = list.update()?;
-    let suspended = suspended.into_iter().map(Into::into).collect();
-    let cold = cold.into_iter().map(|Cold { id, since_us }| (id.into(), since_us)).collect();
-    Ok(HandoverState { endpoint_list: list, suspended, slow_start: cold, paused })
+/// Decodes a line without its end.
+///
+/// # Errors
+/// [`InvalidHandoverState`] if the line is no state, or if an endpoint in it makes no sense.
+pub fn decode(line: &[u8]) -> Result<HandoverState, InvalidHandoverState> {
+    let text = std::str::from_utf8(line).map_err(|_| InvalidHandoverState::NotUtf8)?;
+    let WireState { endpoint_list, suspended, slow_start, paused } =
+        json::from_str(text).map_err(|_| InvalidHandoverState::NotAState)?;
+    Ok(HandoverState {
+        endpoint_list: endpoint_list.try_into()?,
+        suspended: suspended.into_iter().map(Into::into).collect(),
+        slow_start: slow_start.into_iter().map(|node| (node.node.into(), node.since)).collect(),
+        paused,
+    })
 }
