--- a/crates/scheduler/src/takeover.rs
+++ b/crates/scheduler/src/takeover.rs
@@ -64,7 +64,7 @@
 
 /// Does what the other process's coming and going asks for.
 pub fn follow(phase: PeerPhase, service: &mut Service, meeting: &mut Meeting) -> io::Result<()> {
-    tracing::info!("the process beside this one: {phase}");
+    tracing::info!("peer process: {phase}");
     service.share(phase != PeerPhase::Exited);
     match phase {
         PeerPhase::Starting => {}
--- a/crates/scheduler/tests/incident.rs
+++ b/crates/scheduler/tests/incident.rs
@@ -205,7 +205,7 @@
     let mut old = place.start();
     assert!(served(old.listen, 1).await);
     let new = place.start();
-    old.until("Serves");
+    old.until("peer process: serving");
     assert!(served(new.listen, 2).await);
     tokio::task::spawn_blocking(|| old.end()).await.unwrap();
     assert!(served(new.listen, 3).await);
--- a/crates/scheduler/tests/net/handover.rs
+++ b/crates/scheduler/tests/net/handover.rs
@@ -16,7 +16,7 @@
 use heathward_fakes::*;
 
 #[test]
-fn the_state_comes_back_as_it_was() {
+fn a_handover_state_survives_encoding_and_decoding() {
     let state = HandoverState {
         endpoint_list: EndpointUpdate {
             revision: 7,
@@ -45,19 +45,20 @@
     r#"{"list":{"revision":1,"complete":true,"members":[{"id":"a","host_port":"b","cell":1,"phase":"x"}]},
     "suspended":[],"cold":[],"paused":false}"#
 )]
-fn a_state_that_makes_no_sense_is_none(#[case] line: &str) {
+fn an_invalid_handover_state_is_rejected(#[case] line: &str) {
     assert!(decode(line.as_bytes()).is_err());
 }
 
-/// A scheduler's place: an address that the system has chosen and nobody else is given, and a folder.
-struct Place {
+/// Where the processes of one scheduler run: an address that the system has chosen and gives to nobody else, and a
+/// folder for the configuration and the socket.
+struct Installation {
     _kept: TcpSocket,
     listen: SocketAddr,
     folder: PathBuf,
     config: PathBuf,
 }
 
-impl Place {
+impl Installation {
     fn new(members: &str) -> Self {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
@@ -82,7 +83,7 @@
     }
 }
 
-impl Drop for Place {
+impl Drop for Installation {
     fn drop(&mut self) {
         // Only a folder of this test's own.
         let _ = std::fs::remove_dir_all(&self.folder);
@@ -103,26 +104,30 @@
     ask(&mut TcpStream::connect(at).await.unwrap(), call, shard).await.0
 }
 
-/// The whole of it: state passes, the old one leaves and turns nobody back, commands hold in both, and the
-/// old one goes on when the new one dies.
+/// The state is passed on, the old process closes its connections with their answers, commands hold in both
+/// processes, and the old one serves again when the new one dies.
 #[tokio::test]
-async fn a_new_version_takes_over_under_load() {
+async fn a_new_process_takes_over_and_the_old_one_takes_back() {
     let log = Log::default();
     let node = http_node(0, &[Does::Serve], &log).await;
     let members = [member("s0", node, 0, "in_service", 0), member("s1", node, 1, "in_service", 0)].join(",");
-    let place = Place::new(&members);
-    let mut old = place.start();
+    let installation = Installation::new(&members);
+    let mut old = installation.start();
     assert_eq!(old.call("SUSPEND s1").await, "OK\n");
-    let mut kept = TcpStream::connect(place.listen).await.unwrap();
+    let mut kept = TcpStream::connect(installation.listen).await.unwrap();
     assert_eq!(ask(&mut kept, 1, 0).await.0, 200);
-    let new = place.start();
+    let new = installation.start();
     assert_eq!(new.call("STATUS").await, "OK\n");
-    old.until("Serves");
+    old.until("peer process: serving");
     // What is open at the old one is served there, for the last time; what comes goes to the new one.
     let (status, head) = ask(&mut kept, 2, 0).await;
     assert_eq!((status, header(&head, "connection")), (200, Some("close")));
-    assert_eq!(ask_anew(place.listen, 3, 1).await, 503, "out by hand, by a command to the process before");
-    assert_eq!(ask_anew(place.listen, 4, 0).await, 200);
+    assert_eq!(
+        ask_anew(installation.listen, 3, 1).await,
+        503,
+        "out by hand, by a command to the process before"
+    );
+    assert_eq!(ask_anew(installation.listen, 4, 0).await, 200);
     assert!(served(&new).await);
     // A command to either holds in both.
     assert_eq!(new.call("SUSPEND s0").await, "OK\n");
@@ -131,17 +136,17 @@
     assert!(new.call("METRICS").await.contains("pool_ejected=1\n"));
     // The new one dies: the old one takes clients again, and hands over once more.
     new.kill();
-    old.until("Gone");
-    assert_eq!(ask_anew(place.listen, 5, 1).await, 503);
-    let mut third = place.start();
-    old.until("Serves");
+    old.until("peer process: exited");
+    assert_eq!(ask_anew(installation.listen, 5, 1).await, 503);
+    let mut third = installation.start();
+    old.until("peer process: serving");
     old.end();
-    third.until("Gone");
-    assert_eq!(ask_anew(place.listen, 6, 1).await, 503);
+    third.until("peer process: exited");
+    assert_eq!(ask_anew(installation.listen, 6, 1).await, 503);
     third.end();
 }
 
-/// What may stand where the process before should be.
+/// What may be found where the running process should be.
 #[derive(Clone, Copy, Debug)]
 enum Before {
     File,
@@ -149,19 +154,19 @@
     Other,
 }
 
-/// A stale file, a process that says nothing and one of another version stop no start.
+/// A stale file, a process that sends nothing and one of another version do not stop a start.
 #[rstest]
 #[case::stale_file(Before::File)]
 #[case::silent(Before::Silent)]
 #[case::other_version(Before::Other)]
 #[tokio::test]
-async fn nothing_there_stops_a_start(#[case] before: Before) {
-    let place = Place::new("");
+async fn an_unresponsive_peer_process_does_not_stop_a_start(#[case] before: Before) {
+    let installation = Installation::new("");
     let mut other = None;
     match before {
-        Before::File => std::fs::write(place.socket(), "stale").unwrap(),
+        Before::File => std::fs::write(installation.socket(), "stale").unwrap(),
         Before::Silent | Before::Other => {
-            let listener = UnixListener::bind(place.socket()).unwrap();
+            let listener = UnixListener::bind(installation.socket()).unwrap();
             other = Some(tokio::spawn(async move {
                 let mut taken = Vec::new();
                 loop {
@@ -174,10 +179,10 @@
             }));
         }
     }
-    let started = tokio::task::spawn_blocking(move || (place.start(), place));
-    let (process, place) = timeout(PATIENCE, started).await.expect("a start").unwrap();
+    let started = tokio::task::spawn_blocking(move || (installation.start(), installation));
+    let (process, installation) = timeout(PATIENCE, started).await.expect("a start").unwrap();
     let health = b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
-    let mut stream = TcpStream::connect(place.listen).await.unwrap();
+    let mut stream = TcpStream::connect(installation.listen).await.unwrap();
     stream.write_all(health).await.unwrap();
     assert_eq!(answer(&mut stream).await.0, 503, "it listens; it has no list");
     process.kill();
@@ -193,24 +198,24 @@
 #[case::other_version("HEATHWARD 9\n")]
 #[case::serves_and_dies("HEATHWARD 1\nREADY\n")]
 #[tokio::test]
-async fn a_process_that_dies_at_any_step_changes_nothing(#[case] says: &str) {
+async fn a_peer_process_that_exits_early_changes_nothing(#[case] says: &str) {
     let log = Log::default();
     let node = http_node(0, &[Does::Serve], &log).await;
-    let place = Place::new(&member("s0", node, 0, "in_service", 0));
-    let mut running = place.start();
-    let mut stream = tokio::net::UnixStream::connect(place.socket()).await.unwrap();
+    let installation = Installation::new(&member("s0", node, 0, "in_service", 0));
+    let mut running = installation.start();
+    let mut stream = tokio::net::UnixStream::connect(installation.socket()).await.unwrap();
     stream.write_all(says.as_bytes()).await.unwrap();
     sleep(Duration::from_millis(20)).await;
     drop(stream);
-    running.until("Gone");
+    running.until("peer process: exited");
     let by = Instant::now() + PATIENCE;
-    while ask_anew(place.listen, 1, 0).await != 200 {
+    while ask_anew(installation.listen, 1, 0).await != 200 {
         assert!(Instant::now() < by, "it does not serve");
     }
     // And the next one is given all.
-    let next = place.start();
-    running.until("Serves");
+    let next = installation.start();
+    running.until("peer process: serving");
     next.kill();
-    running.until("Gone");
+    running.until("peer process: exited");
     running.end();
 }
--- a/crates/transport/src/handover/link.rs
+++ b/crates/transport/src/handover/link.rs
@@ -1,4 +1,5 @@
-//! The connection between two processes: lines, and once the sockets that one hands to the other.
+//! The connection between two processes of one scheduler: lines of text, and once the listening sockets that one
+//! hands to the other.
 
 use std::io::{self, IoSlice, IoSliceMut};
 use std::mem::MaybeUninit;
@@ -11,74 +12,76 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt, Interest};
 use tokio::net::UnixStream;
 
-/// No line is longer: a list of some ten thousand nodes.
-const LINE: usize = 4 << 20;
-/// Sockets that pass at most: the two fronts' listeners.
-const SOCKETS: usize = 2;
-/// The byte that carries them.
-const CARRIER: &[u8] = b"+";
+/// No line is longer. The longest one holds a list of some ten thousand nodes.
+const MAX_LINE_BYTES: usize = 4 << 20;
+/// The most sockets that are passed: one listener for each front.
+const MAX_SOCKETS: usize = 2;
+/// The byte that the sockets accompany, as a message on a stream needs one.
+const SOCKET_CARRIER: &[u8] = b"+";
 
-/// One end of it.
+/// One end of the connection.
+#[derive(Debug)]
 pub(super) struct Link {
     stream: UnixStream,
-    /// What has come and is not a whole line yet.
-    rest: Vec<u8>,
+    /// What has arrived after the last line that was taken.
+    received: Vec<u8>,
 }
 
 impl Link {
     pub(super) fn new(stream: UnixStream) -> Self {
-        Self { stream, rest: Vec::new() }
+        Self { stream, received: Vec::new() }
     }
 
-    /// Sends a line.
-    pub(super) async fn say(&mut self, line: &str) -> io::Result<()> {
+    /// Sends a line, to which this adds its end.
+    pub(super) async fn send_line(&mut self, line: &str) -> io::Result<()> {
         self.stream.write_all(format!("{line}\n").as_bytes()).await
     }
 
-    /// The next line without its end; `None` once the other side is gone, or has sent what is no line. What
-    /// has come of one stays if this is dropped.
-    pub(super) async fn line(&mut self) -> Option<Vec<u8>> {
-        let mut seen = 0;
+    /// The next line without its end; `None` once the other side has closed the connection or has sent too long a
+    /// line. Cancel safe: what has arrived of a line stays.
+    pub(super) async fn next_line(&mut self) -> Option<Vec<u8>> {
+        let mut searched = 0;
         loop {
-            if let Some(end) = self.rest[seen..].iter().position(|byte| *byte == b'\n') {
-                let after = self.rest.split_off(seen + end + 1);
-                let mut line = std::mem::replace(&mut self.rest, after);
+            if let Some(end) = self.received[searched..].iter().position(|byte| *byte == b'\n') {
+                let rest = self.received.split_off(searched + end + 1);
+                let mut line = std::mem::replace(&mut self.received, rest);
                 line.pop();
                 return Some(line);
             }
-            seen = self.rest.len();
-            if seen > LINE || self.stream.read_buf(&mut self.rest).await.ok()? == 0 {
+            searched = self.received.len();
+            if searched > MAX_LINE_BYTES || self.stream.read_buf(&mut self.received).await.ok()? == 0 {
                 return None;
             }
         }
     }
 
-    /// Hands sockets over; the other side gets its own descriptors of them.
-    pub(super) async fn send(&mut self, sockets: &[OwnedFd]) -> io::Result<()> {
-        let fds: Vec<_> = sockets.iter().map(AsFd::as_fd).collect();
+    /// Sends duplicates of the sockets to the other process.
+    pub(super) async fn send_sockets(&mut self, sockets: &[OwnedFd]) -> io::Result<()> {
+        let descriptors: Vec<_> = sockets.iter().map(AsFd::as_fd).collect();
         let sent = self.stream.async_io(Interest::WRITABLE, || {
-            let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(SOCKETS))];
+            let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_SOCKETS))];
             let mut control = SendAncillaryBuffer::new(&mut space);
-            control.push(SendAncillaryMessage::ScmRights(&fds));
-            let size = sendmsg(&self.stream, &[IoSlice::new(CARRIER)], &mut control, SendFlags::NOSIGNAL)?;
+            control.push(SendAncillaryMessage::ScmRights(&descriptors));
+            let carrier = [IoSlice::new(SOCKET_CARRIER)];
+            let size = sendmsg(&self.stream, &carrier, &mut control, SendFlags::NOSIGNAL)?;
             Ok(size)
         });
         sent.await.map(drop)
     }
 
-    /// Takes sockets that the other side hands over; none where the first byte carries none.
-    pub(super) async fn receive(&mut self) -> io::Result<Vec<OwnedFd>> {
+    /// Receives the sockets that the other process sends; none if its first byte comes without any.
+    pub(super) async fn receive_sockets(&mut self) -> io::Result<Vec<OwnedFd>> {
         let received = self.stream.async_io(Interest::READABLE, || {
-            let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(SOCKETS))];
+            let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_SOCKETS))];
             let mut control = RecvAncillaryBuffer::new(&mut space);
-            let mut carrier = [0; CARRIER.len()];
-            let into = &mut [IoSliceMut::new(&mut carrier)];
-            recvmsg(&self.stream, into, &mut control, RecvFlags::CMSG_CLOEXEC)?;
-            let rights = |message| match message {
+            let mut carrier = [0; SOCKET_CARRIER.len()];
+            let buffers = &mut [IoSliceMut::new(&mut carrier)];
+            recvmsg(&self.stream, buffers, &mut control, RecvFlags::CMSG_CLOEXEC)?;
+            let sockets = |message| match message {
                 RecvAncillaryMessage::ScmRights(sockets) => sockets.collect(),
                 _ => Vec::new(),
             };
-            Ok(control.drain().flat_map(rights).collect())
+            Ok(control.drain().flat_map(sockets).collect())
         });
         received.await
     }
--- a/crates/transport/src/handover/mod.rs
+++ b/crates/transport/src/handover/mod.rs
@@ -1,112 +1,147 @@
-//! Two processes of one scheduler: the running one hands its listening sockets and its state to the one that
-//! starts beside it, and while both run, what staff command to one is carried out by both.
+//! Handover between two processes of one scheduler: the running process passes its listening sockets and its state
+//! to the one that starts beside it. While both run, each carries out the operators' commands that the other one
+//! gets.
 //!
-//! They meet at a Unix socket in `$TMPDIR` that the client address names. Whatever is wrong with the other
-//! side, a start goes on without it.
+//! The running process listens on a Unix socket in `$TMPDIR` whose name contains the address for clients. The
+//! starting process sends a greeting, the running one answers with the sockets and the state, and the starting
+//! one says when it serves. Whatever is wrong with the peer process, a start goes on without it.
 
 mod codec;
 mod link;
 mod peer_process;
 
 use std::fmt;
+use std::io;
 use std::net::SocketAddr;
 use std::os::fd::OwnedFd;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
+use thiserror::Error;
 use tokio::net::{UnixListener, UnixStream};
 use tokio::sync::mpsc;
-use tokio::time::{timeout_at, Instant};
+use tokio::time::{error::Elapsed, timeout};
 
 use heathward_core::{CoreHandle, HandoverState};
 use link::Link;
+use peer_process::PeerProcess;
 
-pub use codec::{decode, encode};
+pub use codec::{decode, encode, InvalidHandoverState};
 
-/// The first line of the process that starts, with the version of what follows.
-const HELLO: &str = "HEATHWARD 1";
-/// Its last before the other leaves.
-const READY: &str = "READY";
-/// A starting process waits so long for the state, and the running one for the greeting.
-const PATIENCE: Duration = Duration::from_millis(1500);
-/// The running one waits so long for the other to serve.
-const STARTING: Duration = Duration::from_secs(10);
+/// The first line of the starting process, with the version of the protocol.
+const GREETING: &str = "HEATHWARD 1";
+/// The line with which the starting process says that it serves.
+const SERVING: &str = "READY";
+/// Each step of a handover but the start itself takes no longer.
+const STEP_TIMEOUT: Duration = Duration::from_millis(1500);
+/// The starting process serves within this time after it was given the state.
+const START_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What the running process hears of the other one, or that one of it.
+/// What the peer process is doing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerPhase {
-    /// It is starting: what two processes share is shared from now on.
+    /// It is starting. From now on the two processes share file descriptors.
     Starting,
-    /// It serves.
+    /// It serves clients.
     Serving,
-    /// It is gone.
+    /// It has exited.
     Exited,
 }
 
 impl fmt::Display for PeerPhase {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::Starting => "Starting",
-            Self::Serving => "Serves",
-            Self::Exited => "Gone",
+            Self::Starting => "starting",
+            Self::Serving => "serving",
+            Self::Exited => "exited",
         })
     }
 }
 
-/// Where the processes of the scheduler at that address meet; nowhere if the system chooses the port.
+/// Why a handover was not completed.
+#[derive(Debug, Error)]
+enum HandoverError {
+    #[error("the peer process did not answer in time")]
+    TimedOut(#[from] Elapsed),
+    #[error("connection to the peer process: {0}")]
+    Io(#[from] io::Error),
+    #[error("the peer process closed the connection")]
+    Closed,
+    #[error("the peer process speaks another protocol")]
+    UnknownLine,
+    #[error("the peer process passed no sockets")]
+    NoSockets,
+    #[error("state of the peer process: {0}")]
+    InvalidState(#[from] InvalidHandoverState),
+    #[error("the core has stopped")]
+    CoreStopped,
+}
+
+/// The path at which the processes of the scheduler with that client address meet; `None` if the system chooses
+/// the port.
 pub fn socket_path(listen: SocketAddr) -> Option<PathBuf> {
     (listen.port() != 0).then(|| std::env::temp_dir().join(format!("heathward-{listen}.sock")))
 }
 
-/// Opens the meeting place in place of whatever is there.
-pub fn bind(path: &Path) -> std::io::Result<UnixListener> {
-    let own = path.with_extension(std::process::id().to_string());
-    // One that was left by a process of the same number.
-    let _ = std::fs::remove_file(&own);
-    let listener = UnixListener::bind(&own)?;
-    std::fs::rename(&own, path)?;
+/// Listens at that path, in place of any other process.
+///
+/// # Errors
+/// The error of the system if the socket cannot be bound or moved to the path.
+pub fn bind(path: &Path) -> io::Result<UnixListener> {
+    let own_path = path.with_extension(std::process::id().to_string());
+    // A process with the same id may have left one.
+    let _ = std::fs::remove_file(&own_path);
+    let listener = UnixListener::bind(&own_path)?;
+    std::fs::rename(&own_path, path)?;
     Ok(listener)
 }
 
-/// What a starting process is given.
+/// What the starting process has received.
+#[derive(Debug)]
 pub struct ReceivedHandover {
-    /// How the scheduler stands.
+    /// The state of the running process.
     pub state: HandoverState,
-    /// Its listening sockets: for clients, then for NVMe hosts where that front is on.
+    /// Its listening sockets: the one for clients, then the one for NVMe hosts if that front is on.
     pub listening_sockets: Vec<OwnedFd>,
     link: Link,
 }
 
-/// Asks the running process for all it has; `None` if there is none, or none that answers in time and in
-/// words that can be understood.
+/// Asks the running process for its sockets and its state. `None` if there is no such process, or if it does not
+/// answer in time and in a form that can be read.
 pub async fn receive(path: &Path) -> Option<ReceivedHandover> {
-    let asked = async {
-        let mut link = Link::new(UnixStream::connect(path).await.ok()?);
-        link.say(HELLO).await.ok()?;
-        let sockets = link.receive().await.ok().filter(|sockets| !sockets.is_empty())?;
-        let state = decode(&link.line().await?).ok()?;
-        Some(ReceivedHandover { state, listening_sockets: sockets, link })
-    };
-    timeout_at(Instant::now() + PATIENCE, asked).await.ok()?
+    // Without a handover the start goes on, whatever the reason.
+    timeout(STEP_TIMEOUT, request_state(path)).await.ok()?.ok()
+}
+
+async fn request_state(path: &Path) -> Result<ReceivedHandover, HandoverError> {
+    let mut link = Link::new(UnixStream::connect(path).await?);
+    link.send_line(GREETING).await?;
+    let listening_sockets = link.receive_sockets().await?;
+    if listening_sockets.is_empty() {
+        return Err(HandoverError::NoSockets);
+    }
+    let line = link.next_line().await.ok_or(HandoverError::Closed)?;
+    Ok(ReceivedHandover { state: decode(&line)?, listening_sockets, link })
 }
 
 impl ReceivedHandover {
-    /// Takes the state in; the other process leaves. To be called once this one accepts. From then on
-    /// commands pass between the two, in a task of its own, until the other is gone.
+    /// Restores the state, and tells the running process that this one serves; to be called once it accepts
+    /// connections. Then spawns a task that exchanges commands with the peer process; the task ends by itself
+    /// when the peer process exits or the core stops, and sends [`PeerPhase::Exited`] to `phases`.
     pub async fn complete(mut self, core: CoreHandle, phases: mpsc::Sender<PeerPhase>) {
         let commands = core.take_over(self.state).await;
-        let said = timeout_at(Instant::now() + PATIENCE, self.link.say(READY)).await;
+        let sent = timeout(STEP_TIMEOUT, self.link.send_line(SERVING)).await;
         tokio::spawn(async move {
-            if let (Some(commands), Ok(Ok(()))) = (commands, said) {
-                peer_process::follow(&mut self.link, &core, commands).await;
+            if let (Some(commands), Ok(Ok(()))) = (commands, sent) {
+                PeerProcess::new(&mut self.link, &core, commands).run().await;
             }
-            // Without a program there is nobody to tell.
-            let _ = phases.send(PeerPhase::Exited).await;
+            report_phase(&phases, PeerPhase::Exited).await;
         });
     }
 }
 
-/// Hands all to a process that has connected, if it is one that understands, and follows it to its end.
+/// Serves a process that has connected: passes it everything if its greeting is understood, and exchanges commands
+/// with it until it exits. Each of its phases is sent to `phases`, and [`PeerPhase::Exited`] last.
 pub async fn send(
     stream: UnixStream,
     core: CoreHandle,
@@ -114,35 +149,40 @@
     phases: mpsc::Sender<PeerPhase>,
 ) {
     let mut link = Link::new(stream);
-    let greeting = timeout_at(Instant::now() + PATIENCE, link.line()).await;
-    if greeting.is_ok_and(|line| line.as_deref() == Some(HELLO.as_bytes())) {
-        // Without a program there is nobody to tell, here and below.
-        let _ = phases.send(PeerPhase::Starting).await;
-        // An end before it serves changes nothing here.
-        let _ = hand(&mut link, &core, sockets, &phases).await;
+    let greeting = timeout(STEP_TIMEOUT, link.next_line()).await;
+    if greeting.is_ok_and(|line| line.as_deref() == Some(GREETING.as_bytes())) {
+        report_phase(&phases, PeerPhase::Starting).await;
+        // A peer process that ends before it serves changes nothing here.
+        let _ = hand_over(&mut link, &core, sockets, &phases).await;
     }
-    let _ = phases.send(PeerPhase::Exited).await;
+    report_phase(&phases, PeerPhase::Exited).await;
 }
 
-async fn hand(
+async fn hand_over(
     link: &mut Link,
     core: &CoreHandle,
     sockets: Vec<OwnedFd>,
     phases: &mpsc::Sender<PeerPhase>,
-) -> Option<()> {
-    let (state, commands) = core.hand_over().await?;
-    let given = async {
-        link.send(&sockets).await.ok()?;
-        drop(sockets);
-        link.say(&encode(state)).await.ok()
-    };
-    timeout_at(Instant::now() + PATIENCE, given).await.ok()??;
-    let ready = timeout_at(Instant::now() + STARTING, link.line()).await.ok()??;
-    if ready != READY.as_bytes() {
-        return None;
+) -> Result<(), HandoverError> {
+    let (state, commands) = core.hand_over().await.ok_or(HandoverError::CoreStopped)?;
+    timeout(STEP_TIMEOUT, send_state(link, sockets, state)).await??;
+    let line = timeout(START_TIMEOUT, link.next_line()).await?.ok_or(HandoverError::Closed)?;
+    if line != SERVING.as_bytes() {
+        return Err(HandoverError::UnknownLine);
     }
-    // Without a program there is nobody to tell.
-    let _ = phases.send(PeerPhase::Serving).await;
-    peer_process::follow(link, core, commands).await;
-    Some(())
+    report_phase(phases, PeerPhase::Serving).await;
+    PeerProcess::new(link, core, commands).run().await;
+    Ok(())
+}
+
+/// Closes this process's duplicates of the sockets before it sends the state.
+async fn send_state(link: &mut Link, sockets: Vec<OwnedFd>, state: HandoverState) -> io::Result<()> {
+    link.send_sockets(&sockets).await?;
+    drop(sockets);
+    link.send_line(&encode(state)).await
+}
+
+async fn report_phase(phases: &mpsc::Sender<PeerPhase>, phase: PeerPhase) {
+    // Nobody receives phases once the program ends.
+    let _ = phases.send(phase).await;
 }
--- a/crates/transport/src/handover/peer_process.rs
+++ b/crates/transport/src/handover/peer_process.rs
@@ -1,82 +1,124 @@
-//! While two processes run: commands pass between them, in the words of the second address.
+//! Passes operators' commands between two processes of one scheduler while both run, in the lines of the admin
+//! interface: a command that one has carried out, the other one carries out too and answers.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use tokio::sync::{mpsc, oneshot};
-use tokio::time::{sleep_until, timeout_at, Instant};
+use tokio::time::{sleep_until, timeout, Instant};
 
 use super::link::Link;
 use crate::admin::{Reply, Request};
 use heathward_core::{CommandError, CoreHandle, ForwardedCommand};
 
-/// The other process has so long to carry a command out: staff are owed an answer within 1 s.
-const PATIENCE: Duration = Duration::from_millis(600);
+/// The peer process has this long to answer a command: the operator expects an answer within 1 s.
+const PEER_ANSWER_TIMEOUT: Duration = Duration::from_millis(600);
+/// A line that cannot be sent within this time ends the exchange.
+const SEND_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// A command that the other process has been told, until when staff wait, and who does.
-type Waiting = (Instant, Option<oneshot::Sender<Result<(), CommandError>>>);
+/// A command that was sent to the peer process and is not answered yet.
+struct PendingCommand {
+    /// When the operator is told that the peer process does not answer.
+    deadline: Instant,
+    /// The way to the operator, until it was answered.
+    reply: Option<oneshot::Sender<Result<(), CommandError>>>,
+}
+
+impl PendingCommand {
+    fn answer(&mut self, result: Result<(), CommandError>) {
+        if let Some(reply) = self.reply.take() {
+            // The operator may have disconnected.
+            let _ = reply.send(result);
+        }
+    }
+}
+
+/// The exchange with the peer process.
+pub(super) struct PeerProcess<'a> {
+    link: &'a mut Link,
+    core: &'a CoreHandle,
+    /// The commands that this process has carried out.
+    commands: mpsc::Receiver<ForwardedCommand>,
+    /// In the order in which they were sent, which is also that of the answers.
+    pending: VecDeque<PendingCommand>,
+}
+
+impl<'a> PeerProcess<'a> {
+    pub(super) fn new(
+        link: &'a mut Link,
+        core: &'a CoreHandle,
+        commands: mpsc::Receiver<ForwardedCommand>,
+    ) -> Self {
+        Self { link, core, commands, pending: VecDeque::new() }
+    }
 
-/// Follows the other process until it is gone.
-pub(super) async fn follow(
-    link: &mut Link,
-    core: &CoreHandle,
-    mut commands: mpsc::Receiver<ForwardedCommand>,
-) {
-    let mut waiting: VecDeque<Waiting> = VecDeque::new();
-    loop {
-        let due = waiting.iter().find(|(_, done)| done.is_some()).map(|(due, _)| *due);
-        let said = tokio::select! {
-            line = link.line() => match line {
-                Some(line) => match answer(&line, core, &mut waiting).await {
-                    Some(said) => said,
-                    None => continue,
+    /// Exchanges commands until the peer process exits, stops reading, or the core of this one stops.
+    pub(super) async fn run(mut self) {
+        loop {
+            let deadline = self.next_deadline();
+            let line_to_send = tokio::select! {
+                line = self.link.next_line() => match line {
+                    Some(line) => self.on_line(&line).await,
+                    None => break,
                 },
-                None => break,
-            },
-            command = commands.recv() => match command {
-                Some(ForwardedCommand { command, reply: done }) => {
-                    waiting.push_back((Instant::now() + PATIENCE, Some(done)));
-                    Request::Command(command).to_string()
-                }
-                None => break,
-            },
-            () = sleep_until(due.unwrap_or_else(Instant::now)), if due.is_some() => {
-                if let Some(done) = waiting.iter_mut().find_map(|(_, done)| done.take()) {
-                    // Whoever asked may have left, here and below.
-                    let _ = done.send(Err(CommandError::PeerUnresponsive));
+                command = self.commands.recv() => match command {
+                    Some(command) => Some(self.on_command(command)),
+                    None => break,
+                },
+                () = sleep_until(deadline.unwrap_or_else(Instant::now)), if deadline.is_some() => {
+                    self.on_deadline();
+                    None
                 }
-                continue;
+            };
+            let Some(line) = line_to_send else { continue };
+            let sent = timeout(SEND_TIMEOUT, self.link.send_line(line.trim_end())).await;
+            if !sent.is_ok_and(|sent| sent.is_ok()) {
+                break;
             }
-        };
-        let said = timeout_at(Instant::now() + PATIENCE, link.say(said.trim_end())).await;
-        if !said.is_ok_and(|said| said.is_ok()) {
-            break;
         }
+        // The peer process has exited and sends nothing to any node, so the commands hold.
+        self.pending.iter_mut().for_each(|pending| pending.answer(Ok(())));
     }
-    // It is gone, and with it all that it might have sent.
-    for done in waiting.into_iter().filter_map(|(_, done)| done) {
-        let _ = done.send(Ok(()));
+
+    /// When the oldest command without an answer to its operator is given up.
+    fn next_deadline(&self) -> Option<Instant> {
+        self.pending.iter().find(|pending| pending.reply.is_some()).map(|pending| pending.deadline)
+    }
+
+    fn on_deadline(&mut self) {
+        let overdue = self.pending.iter_mut().find(|pending| pending.reply.is_some());
+        if let Some(overdue) = overdue {
+            overdue.answer(Err(CommandError::PeerUnresponsive));
+        }
+    }
+
+    /// Notes a command of this process. Returns the line to send.
+    fn on_command(&mut self, forwarded: ForwardedCommand) -> String {
+        let ForwardedCommand { command, reply } = forwarded;
+        let deadline = Instant::now() + PEER_ANSWER_TIMEOUT;
+        self.pending.push_back(PendingCommand { deadline, reply: Some(reply) });
+        Request::Command(command).to_string()
     }
-}
 
-/// What is to be said to a line of the other process, if anything. One that does not know a node sends
-/// nothing there, which is what was to be had.
-async fn answer(line: &[u8], core: &CoreHandle, waiting: &mut VecDeque<Waiting>) -> Option<String> {
-    if line.starts_with(b"OK") || line.starts_with(b"ERR") {
-        if let Some(done) = waiting.pop_front().and_then(|(_, done)| done) {
-            // As above.
-            let _ = done.send(Ok(()));
+    /// Handles an answer or a command of the peer process. Returns the line to send, if any.
+    async fn on_line(&mut self, line: &[u8]) -> Option<String> {
+        if line.starts_with(b"OK") || line.starts_with(b"ERR") {
+            if let Some(mut answered) = self.pending.pop_front() {
+                // An error says that the peer process does not know the node. It sends nothing there, which is
+                // what the command was to achieve.
+                answered.answer(Ok(()));
+            }
+            return None;
         }
-        return None;
+        let reply = match Request::parse(line) {
+            Ok(Request::Command(command)) => match self.core.run_command(command, true).await {
+                Ok(Ok(())) => Reply::Ok,
+                Ok(Err(error)) => Reply::CommandFailed(error),
+                Err(_) => Reply::NotReady,
+            },
+            Ok(Request::Status | Request::Metrics) => Reply::Ok,
+            Err(malformed) => Reply::Malformed(malformed),
+        };
+        Some(reply.to_string())
     }
-    let reply = match Request::parse(line) {
-        Ok(Request::Command(command)) => match core.run_command(command, true).await {
-            Ok(Ok(())) => Reply::Ok,
-            Ok(Err(why)) => Reply::CommandFailed(why),
-            Err(_) => Reply::NotReady,
-        },
-        Ok(_) => Reply::Ok,
-        Err(unreadable) => Reply::Malformed(unreadable),
-    };
-    Some(reply.to_string())
 }
