--- a/crates/ctl/src/calls.rs
+++ b/crates/ctl/src/calls.rs
@@ -27,7 +27,9 @@
     fn from(error: &CallError) -> Self {
         match error {
             CallError::Rejected(_) => Self::Refused,
-            CallError::NoAnswer(_) | CallError::Malformed => Self::Unanswered,
+            CallError::Connection(_) | CallError::TimedOut | CallError::NoReply | CallError::Malformed => {
+                Self::Unanswered
+            }
         }
     }
 }
--- a/crates/scheduler/tests/net/admin.rs
+++ b/crates/scheduler/tests/net/admin.rs
@@ -1,4 +1,4 @@
-//! The second address: one test with real sockets for each rule.
+//! The admin interface: one test with real sockets for each rule.
 
 use heathward_core::{CoreMessage, SendGate};
 use heathward_policy::AttemptEnd;
@@ -12,8 +12,8 @@
 
 use heathward_fakes::*;
 
-/// A scheduler before such nodes, and its second address with room for so many callers.
-async fn attended(members: &[String], most: usize) -> (Rig, std::net::SocketAddr) {
+/// A scheduler with these nodes, and the address of its admin interface, which serves so many callers at a time.
+async fn with_admin_interface(members: &[String], most: usize) -> (Rig, std::net::SocketAddr) {
     let rig = rig(members, None).await;
     let (listener, address) = listen().await;
     tokio::spawn(admin::serve(listener, rig.core.clone(), most));
@@ -51,26 +51,26 @@
 #[case::nothing("\n")]
 #[case::not_text("\u{1}\u{2}\n")]
 #[tokio::test]
-async fn what_makes_no_sense_is_told_so(#[case] line: &str) {
+async fn a_malformed_request_gets_an_error_reply(#[case] line: &str) {
     let (_, nobody) = nobody();
-    let (rig, address) = attended(&[member("s0", nobody, 0, "in_service", 0)], 4).await;
+    let (rig, address) = with_admin_interface(&[member("s0", nobody, 0, "in_service", 0)], 4).await;
     rig.until(|c| c.endpoint_updates == 1).await;
     assert!(call(address, line).await.starts_with("ERR "), "{line:?}");
     assert_eq!(call(address, "STATUS\r\n").await, "OK\n");
 }
 
-/// The metrics say what was answered and sent, class by class.
+/// The metrics count answers by class, and attempts.
 #[tokio::test]
-async fn the_figures_are_those_of_what_was_given_and_sent() {
+async fn metrics_count_answers_and_attempts() {
     let log = Log::default();
     let node = http_node(0, &[Does::Serve, Does::Error], &log).await;
     let members = [member("s0", node, 0, "in_service", 0), member("s1", node, 1, "terminating", 0)];
-    let (rig, address) = attended(&members, 4).await;
+    let (rig, address) = with_admin_interface(&members, 4).await;
     assert_eq!(status(&rig, 1).await, 200);
     assert_eq!(rig.ask(&request("pedido", 2, 0, 900, "w")).await.0, 502);
     assert_eq!(rig.ask(&request("pedido", 3, 1, 900, "w")).await.0, 503);
     let told = call(address, "METRICS\n").await;
-    for figure in [
+    for metric in [
         "responses.consulta.ok=1",
         "responses.consulta.shed=0",
         "responses.consulta.errors=0",
@@ -82,32 +82,33 @@
         "pool_size=2",
         "pool_ejected=1",
     ] {
-        assert!(told.lines().any(|line| line == format!("app.{figure}")), "{figure}: {told}");
+        assert!(told.lines().any(|line| line == format!("app.{metric}")), "{metric}: {told}");
     }
     assert_eq!(told.lines().last(), Some("END"));
     assert_eq!(log.all().len(), 4, "as many as were written");
 }
 
-/// Guards against callers that say nothing, or half a call, keeping others out.
+/// Callers that send nothing, or half a request, must not keep others out.
 #[tokio::test]
-async fn silent_callers_keep_nobody_out() {
-    let (_rig, address) = attended(&[], 4).await;
-    let mut silent = Vec::new();
+async fn idle_callers_do_not_block_others() {
+    let (_rig, address) = with_admin_interface(&[], 4).await;
+    let mut idle = Vec::new();
     for _ in 0..12 {
         let mut stream = TcpStream::connect(address).await.unwrap();
         stream.write_all(b"STAT").await.unwrap();
-        silent.push(stream);
+        idle.push(stream);
     }
     assert!(call(address, "STATUS\n").await.starts_with("ERR "), "no list yet");
 }
 
-/// Out by hand is out: whatever discovery says, however often it was said, until the one call back.
+/// A suspended node stays out of service whatever discovery says and however often it was suspended, until it is
+/// restored.
 #[tokio::test]
 async fn a_suspended_node_gets_nothing_until_it_is_restored() {
     let log = Log::default();
     let node = http_node(0, &[Does::Serve], &log).await;
     let entry = |phase| member("s0", node, 0, phase, 0);
-    let (rig, address) = attended(&[entry("in_service")], 4).await;
+    let (rig, address) = with_admin_interface(&[entry("in_service")], 4).await;
     assert_eq!(status(&rig, 1).await, 200);
     for _ in 0..2 {
         assert_eq!(call(address, "SUSPEND s0\n").await, "OK\n");
@@ -137,12 +138,12 @@
     assert_eq!(status(&rig, 10_000).await, 503);
 }
 
-/// Guards against a send, after `OK`, of what had been waiting for a connection before.
+/// After `OK` nothing is sent that had been waiting for a connection before.
 #[rstest]
 #[case::out(true, AttemptEnd::NotSent, 0)]
 #[case::in_service(false, AttemptEnd::Served, 1)]
 #[tokio::test]
-async fn what_was_on_its_way_to_a_suspended_node_is_not_sent(
+async fn an_attempt_that_waits_for_a_connection_is_not_sent_to_a_suspended_node(
     #[case] out: bool,
     #[case] end: AttemptEnd,
     #[case] seen: usize,
@@ -157,12 +158,12 @@
     assert_eq!((done.end, log.all().len(), tries.total()), (end, seen, seen as u64));
 }
 
-/// A pause says no at once, turns nobody back, and has closed every connection before 4 s are over.
+/// A pause fails the health check at once, still answers every request, and closes every connection within 4 s.
 #[tokio::test]
-async fn a_pause_empties_the_front_and_ends() {
+async fn a_pause_closes_all_connections_until_it_is_resumed() {
     let log = Log::default();
     let node = http_node(0, &[Does::Serve], &log).await;
-    let (rig, address) = attended(&[member("s0", node, 0, "in_service", 0)], 4).await;
+    let (rig, address) = with_admin_interface(&[member("s0", node, 0, "in_service", 0)], 4).await;
     let health = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
     let mut kept = Vec::new();
     for call in 1..4 {
--- a/crates/scheduler/tests/net/lease_expiry.rs
+++ b/crates/scheduler/tests/net/lease_expiry.rs
@@ -52,32 +52,31 @@
     }
 }
 
-/// The last word is followed by a change that this host does not hear of, as its calls bring nothing, though
-/// discovery can be reached. Guards against going by the list any longer because of them.
+/// After the last contact a change follows that this scheduler does not receive, as its calls fail, though discovery
+/// can be reached. The failed calls must not extend the time for which the list is used.
 #[rstest]
 #[case::refused(Call::Refused)]
 #[case::failed(Call::Failed)]
 #[tokio::test]
-async fn a_list_is_not_gone_by_for_longer_after_a_call_that_brought_nothing(#[case] call: Call) {
-    let gone_by = gone_by_for(EndpointListMode::Streamed, call).await;
-    assert!(gone_by < TOLD_BY + LATE, "went by the list for {gone_by:?}");
+async fn failed_calls_do_not_extend_the_lease_on_a_streamed_list(#[case] call: Call) {
+    let time_in_use = time_in_use(EndpointListMode::Streamed, call).await;
+    assert!(time_in_use < TOLD_BY + LATE, "used the list for {time_in_use:?}");
 }
 
-/// The same where lists have to be asked for. Guards against the time that settings allow a host that has not
-/// called.
+/// The same for a list that is polled, where the settings allow a longer time to a scheduler that has not called.
 #[tokio::test]
-async fn neither_is_one_that_is_asked_for() {
-    let gone_by = tokio::join!(
-        gone_by_for(ASKED, Call::Refused),
-        gone_by_for(ASKED, Call::Failed),
-        gone_by_for(ASKED, Call::GivenUp)
+async fn failed_calls_do_not_extend_the_lease_on_a_polled_list() {
+    let time_in_use = tokio::join!(
+        time_in_use(ASKED, Call::Refused),
+        time_in_use(ASKED, Call::Failed),
+        time_in_use(ASKED, Call::GivenUp)
     );
-    let gone_by = [gone_by.0, gone_by.1, gone_by.2];
-    assert!(gone_by.iter().all(|span| *span < TOLD_BY + LATE), "went by the list for {gone_by:?}");
+    let time_in_use = [time_in_use.0, time_in_use.1, time_in_use.2];
+    assert!(time_in_use.iter().all(|span| *span < TOLD_BY + LATE), "used the list for {time_in_use:?}");
 }
 
-/// For how long after the last word.
-async fn gone_by_for(lists: EndpointListMode, call: Call) -> Duration {
+/// For how long after the last contact the list is used.
+async fn time_in_use(lists: EndpointListMode, call: Call) -> Duration {
     let log = Log::default();
     let node = http_node(0, &[Does::Serve], &log).await;
     let member = member("s0", node, 0, "in_service", 0);
@@ -106,10 +105,9 @@
     heard.elapsed()
 }
 
-/// Guards against a broken watch that counts as a failed call, and against a failed call that counts as a
-/// broken watch, where lists are asked for.
+/// A watch that ended must not count as a failed call where lists are polled, nor a failed call as an ended watch.
 #[tokio::test]
-async fn the_core_is_told_whether_a_watch_ended_or_a_call_failed() {
+async fn closed_watches_and_failed_calls_are_reported_separately() {
     let (listener, address) = listen().await;
     let (_keep, addresses) = watch::channel(address);
     let (core, mut messages) = mpsc::channel(16);
--- a/crates/scheduler/tests/net/parsers.rs
+++ b/crates/scheduler/tests/net/parsers.rs
@@ -62,7 +62,7 @@
 #[case::no_zone("\"locality\":\"a\",", "", true)]
 #[case::whole_number("12.5", "12", true)]
 #[case::same("", "", true)]
-fn lines_of_discovery(#[case] from: &str, #[case] to: &str, #[case] sound: bool) {
+fn discovery_updates_are_parsed(#[case] from: &str, #[case] to: &str, #[case] sound: bool) {
     let update = discovery::parse_update(&ENTRY.replacen(from, to, 1));
     assert_eq!(update.is_ok(), sound, "{update:?}");
     if let Ok(update) = update {
@@ -349,7 +349,7 @@
 #[case::broken_off("{\"a\":[{\"b\n{\"a\":1}\n", &["{\"a\":[{\"b", "{\"a\":1}"])]
 #[case::broken_off_then_silence("{\"a\":[{\n\n{\"a\":1}\n", &["{\"a\":[{", "", "{\"a\":1}"])]
 #[case::closed_too_often("{\"a\":1}}\n{\"b\":2}\n", &["{\"a\":1}", "}", "{\"b\":2}"])]
-fn a_watch_is_cut_into_lists_and_lines(
+fn a_discovery_stream_is_split_into_lists_and_lines(
     #[case] text: &str,
     #[case] cut: &[&str],
     #[values(1, 2, 3, 1000)] piece: usize,
--- a/crates/scheduler/tests/net/reload.rs
+++ b/crates/scheduler/tests/net/reload.rs
@@ -1,4 +1,4 @@
-//! A reload that a drain crosses: the process stands still while both come, and meets them at one moment.
+//! A drain that arrives during a reload: the process is stopped while both arrive, and sees them at the same time.
 
 use std::time::Duration;
 
@@ -10,33 +10,39 @@
 use super::process::{file, listening, signal, start};
 use heathward_fakes::*;
 
-/// Who tells of the drain, and when.
+/// Which discovery agent reports the drain, and when.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Tells {
-    /// The agent before the reload, in the moment of the signal.
+enum ReportedBy {
+    /// The agent before the reload, at the time of the signal.
     OldAgent,
-    /// The one before it, once the new one has been called.
+    /// The same, once the new one has been called.
     OldAgentLater,
     /// The new one, with its first line.
     NewAgent,
-    /// The new one, whose first line is a whole list on several lines.
-    NewAgentWhole,
+    /// The new one, whose first list is complete and stands on several lines.
+    NewAgentSnapshot,
 }
 
-/// News has to be heeded so long after it was told at the latest.
+/// An update has to be applied within this time.
 const GRACE: Duration = Duration::from_millis(250);
 
-/// Guards against a drain that is lost between two agents, or that an older word of the other takes back.
+/// The drain must neither be lost between two agents nor be undone by an older list of the other one.
 #[rstest]
 #[tokio::test]
-async fn a_drain_that_crosses_a_reload_is_heeded(
-    #[values(Tells::OldAgent, Tells::OldAgentLater, Tells::NewAgent, Tells::NewAgentWhole)] tells: Tells,
+async fn a_drain_during_a_reload_is_applied(
+    #[values(
+        ReportedBy::OldAgent,
+        ReportedBy::OldAgentLater,
+        ReportedBy::NewAgent,
+        ReportedBy::NewAgentSnapshot
+    )]
+    reported_by: ReportedBy,
 ) {
     let log = Log::default();
     let node = http_node(0, &[Does::Serve], &log).await;
     let members = member("s0", node, 0, "in_service", 0).replace('\n', "");
     let ((old, first), (new, second)) = (listen().await, listen().await);
-    let name = format!("crossed{tells:?}");
+    let name = format!("crossed{reported_by:?}");
     let path = file(&name, &config_text("127.0.0.1:0", &first.to_string(), &members));
     let (mut child, _lines, address) = listening(start(&path, &[]));
     let (mut old, _) = watched(&old).await;
@@ -44,34 +50,34 @@
     assert_eq!(ask(address, 1).await, 200);
     let drained = members.replace("in_service", "terminating");
     let change = format!("{{\"revision\":9,\"complete\":false,\"members\":[{drained}]}}\n");
-    let whole = format!("{{\n \"revision\": 9,\n \"complete\": true,\n \"members\": [\n{drained}\n]}}\n");
+    let snapshot = format!("{{\n \"revision\": 9,\n \"complete\": true,\n \"members\": [\n{drained}\n]}}\n");
     signal(&child, "-STOP");
     file(&name, &config_text("127.0.0.1:0", &second.to_string(), &members));
-    if tells == Tells::OldAgent {
+    if reported_by == ReportedBy::OldAgent {
         tell(&mut old, &change).await;
     }
     signal(&child, "-HUP");
     signal(&child, "-CONT");
     let (mut new, head) = watched(&new).await;
-    match tells {
-        Tells::OldAgent => {}
-        Tells::OldAgentLater => tell(&mut old, &change).await,
-        Tells::NewAgent => tell(&mut new, &change).await,
-        Tells::NewAgentWhole => tell(&mut new, &whole).await,
+    match reported_by {
+        ReportedBy::OldAgent => {}
+        ReportedBy::OldAgentLater => tell(&mut old, &change).await,
+        ReportedBy::NewAgent => tell(&mut new, &change).await,
+        ReportedBy::NewAgentSnapshot => tell(&mut new, &snapshot).await,
     }
     let by = Instant::now() + PATIENCE;
     let mut call = 2;
     while ask(address, call).await == 200 {
-        assert!(Instant::now() < by, "the drain is not heeded: {head}");
+        assert!(Instant::now() < by, "the drain is not applied: {head}");
         call += 1;
     }
-    // An older word of the other agent does not take it back.
+    // An older list of the other agent does not undo it.
     let stale = format!("{{\"revision\":8,\"complete\":true,\"members\":[{members}]}}\n");
-    tell(if tells == Tells::OldAgent { &mut new } else { &mut old }, &stale).await;
+    tell(if reported_by == ReportedBy::OldAgent { &mut new } else { &mut old }, &stale).await;
     sleep(GRACE).await;
     let before = log.all().len();
     assert_eq!(ask(address, call + 1).await, 503);
-    assert_eq!(log.all().len(), before, "sent to a node that drains");
+    assert_eq!(log.all().len(), before, "sent to a draining node");
     child.kill().unwrap();
     child.wait().unwrap();
 }
--- a/crates/transport/src/admin/codec.rs
+++ b/crates/transport/src/admin/codec.rs
@@ -1,83 +1,120 @@
-//! A line to a typed request, and a typed reply to text.
+//! Requests and replies of the admin interface, and their text. The names on the wire become this program's terms
+//! here.
 
 use std::fmt;
 
+use thiserror::Error;
+
 use heathward_core::{CommandError, CoreMetrics, OperatorCommand};
 
 /// The longest id of a storage node.
-const LONGEST_ID: usize = 128;
+const MAX_NODE_ID_BYTES: usize = 128;
 
-/// What staff call.
+/// What an operator asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Request {
-    /// Can this process serve?
+    /// Whether this process can serve.
     Status,
     /// The metrics.
     Metrics,
-    /// Carry that out.
+    /// To carry out a command.
     Command(OperatorCommand),
 }
 
 /// Why a line is no request.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct MalformedRequest(pub &'static str);
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum MalformedRequest {
+    /// It is not UTF-8.
+    #[error("not text")]
+    NotUtf8,
+    /// It has more than two words.
+    #[error("too many words")]
+    TooManyWords,
+    /// It has a node's id that its request does not take.
+    #[error("takes no id")]
+    UnexpectedNodeId,
+    /// It lacks the node's id.
+    #[error("takes the id of a storage node")]
+    MissingNodeId,
+    /// The node's id has more than 128 bytes.
+    #[error("id too long")]
+    NodeIdTooLong,
+    /// Its first word names no request.
+    #[error("unknown call")]
+    UnknownRequest,
+}
 
 impl Request {
     /// Decodes a line without its end.
+    ///
+    /// # Errors
+    /// [`MalformedRequest`] if the line is no request.
     pub fn parse(line: &[u8]) -> Result<Self, MalformedRequest> {
-        let text = std::str::from_utf8(line).map_err(|_| MalformedRequest("not text"))?;
+        let text = std::str::from_utf8(line).map_err(|_| MalformedRequest::NotUtf8)?;
         let mut words = text.split_ascii_whitespace();
-        let (name, id) = (words.next().unwrap_or_default(), words.next());
+        let name = words.next().unwrap_or_default();
+        let node_id = words.next();
         if words.next().is_some() {
-            return Err(MalformedRequest("too many words"));
+            return Err(MalformedRequest::TooManyWords);
         }
-        let plain = |request| match id {
-            None => Ok(request),
-            Some(_) => Err(MalformedRequest("takes no id")),
-        };
-        let node = || match id {
-            None => Err(MalformedRequest("takes the id of a storage node")),
-            Some(id) if id.len() > LONGEST_ID => Err(MalformedRequest("id too long")),
-            Some(id) => Ok(id.into()),
-        };
         match name {
-            "STATUS" => plain(Self::Status),
-            "METRICS" => plain(Self::Metrics),
-            "PAUSE" => plain(Self::Command(OperatorCommand::Pause)),
-            "RESUME" => plain(Self::Command(OperatorCommand::Resume)),
-            "SUSPEND" => Ok(Self::Command(OperatorCommand::Suspend(node()?))),
-            "RESTORE" => Ok(Self::Command(OperatorCommand::Restore(node()?))),
-            _ => Err(MalformedRequest("unknown call")),
+            "STATUS" => without_node_id(Self::Status, node_id),
+            "METRICS" => without_node_id(Self::Metrics, node_id),
+            "PAUSE" => without_node_id(Self::Command(OperatorCommand::Pause), node_id),
+            "RESUME" => without_node_id(Self::Command(OperatorCommand::Resume), node_id),
+            "SUSPEND" => Ok(Self::Command(OperatorCommand::Suspend(required_node_id(node_id)?))),
+            "RESTORE" => Ok(Self::Command(OperatorCommand::Restore(required_node_id(node_id)?))),
+            _ => Err(MalformedRequest::UnknownRequest),
         }
     }
 }
 
+fn without_node_id(request: Request, node_id: Option<&str>) -> Result<Request, MalformedRequest> {
+    match node_id {
+        None => Ok(request),
+        Some(_) => Err(MalformedRequest::UnexpectedNodeId),
+    }
+}
+
+fn required_node_id(node_id: Option<&str>) -> Result<Box<str>, MalformedRequest> {
+    match node_id {
+        None => Err(MalformedRequest::MissingNodeId),
+        Some(id) if id.len() > MAX_NODE_ID_BYTES => Err(MalformedRequest::NodeIdTooLong),
+        Some(id) => Ok(id.into()),
+    }
+}
+
 impl fmt::Display for Request {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Status => f.write_str("STATUS"),
             Self::Metrics => f.write_str("METRICS"),
-            Self::Command(OperatorCommand::Suspend(id)) => write!(f, "SUSPEND {id}"),
-            Self::Command(OperatorCommand::Restore(id)) => write!(f, "RESTORE {id}"),
+            Self::Command(OperatorCommand::Suspend(node_id)) => write!(f, "SUSPEND {node_id}"),
+            Self::Command(OperatorCommand::Restore(node_id)) => write!(f, "RESTORE {node_id}"),
             Self::Command(OperatorCommand::Pause) => f.write_str("PAUSE"),
             Self::Command(OperatorCommand::Resume) => f.write_str("RESUME"),
         }
     }
 }
 
-/// What staff are told.
+/// The reply to a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
     /// Yes, or done.
     Ok,
     /// Not yet: there is no list of storage nodes.
     NotReady,
-    /// The call can't be read.
+    /// The request cannot be read.
     Malformed(MalformedRequest),
-    /// Not done.
+    /// The command was not carried out, or not by both processes.
     CommandFailed(CommandError),
-    /// The metrics, and the names of the classes.
-    Metrics(Box<CoreMetrics>, Vec<String>),
+    /// The metrics.
+    Metrics {
+        /// Their values.
+        metrics: Box<CoreMetrics>,
+        /// The names of the request classes, in the order of their indices.
+        class_names: Vec<String>,
+    },
 }
 
 impl fmt::Display for Reply {
@@ -85,27 +122,27 @@
         match self {
             Self::Ok => f.write_str("OK\n"),
             Self::NotReady => f.write_str("ERR not ready\n"),
-            Self::Malformed(MalformedRequest(why)) => writeln!(f, "ERR {why}"),
-            Self::CommandFailed(why) => writeln!(f, "ERR {why}"),
-            Self::Metrics(metrics, classes) => {
-                let CoreMetrics {
-                    counters,
-                    active_requests: active,
-                    listed_nodes: listed,
-                    avoided_nodes: avoided,
-                } = &**metrics;
-                for (at, class) in classes.iter().enumerate() {
-                    let answers = counters.answers_by_class.get(at).copied().unwrap_or_default();
-                    let head = format!("app.responses.{class}");
-                    writeln!(f, "{head}.ok={}", answers.served)?;
-                    writeln!(f, "{head}.shed={}", answers.shed)?;
-                    writeln!(f, "{head}.errors={}", answers.failed)?;
-                }
-                writeln!(f, "app.tries={}\napp.active={active}", counters.attempts_written)?;
-                writeln!(f, "app.pool_size={listed}\napp.pool_ejected={avoided}")?;
-                let (applied, rejected) = counters.configuration_reloads;
-                writeln!(f, "app.config_applied={applied}\napp.config_rejected={rejected}\nEND")
-            }
+            Self::Malformed(reason) => writeln!(f, "ERR {reason}"),
+            Self::CommandFailed(error) => writeln!(f, "ERR {error}"),
+            Self::Metrics { metrics, class_names } => write_metrics(f, metrics, class_names),
         }
     }
 }
+
+fn write_metrics(f: &mut fmt::Formatter<'_>, metrics: &CoreMetrics, class_names: &[String]) -> fmt::Result {
+    let CoreMetrics { counters, active_requests, listed_nodes, avoided_nodes } = metrics;
+    for (index, class) in class_names.iter().enumerate() {
+        let answers = counters.answers_by_class.get(index).copied().unwrap_or_default();
+        writeln!(f, "app.responses.{class}.ok={}", answers.served)?;
+        writeln!(f, "app.responses.{class}.shed={}", answers.shed)?;
+        writeln!(f, "app.responses.{class}.errors={}", answers.failed)?;
+    }
+    writeln!(f, "app.tries={}", counters.attempts_written)?;
+    writeln!(f, "app.active={active_requests}")?;
+    writeln!(f, "app.pool_size={listed_nodes}")?;
+    writeln!(f, "app.pool_ejected={avoided_nodes}")?;
+    let (applied, rejected) = counters.configuration_reloads;
+    writeln!(f, "app.config_applied={applied}")?;
+    writeln!(f, "app.config_rejected={rejected}")?;
+    writeln!(f, "END")
+}
--- a/crates/transport/src/admin/mod.rs
+++ b/crates/transport/src/admin/mod.rs
@@ -1,10 +1,10 @@
-//! The second address, where operations staff ask how the scheduler stands and tell it what to do: a line
-//! each way on every connection.
+//! The admin interface, at which operators ask how the scheduler is and give it commands. Each connection carries
+//! one line of request and one reply.
 
 mod client;
 mod codec;
 mod server;
 
 pub use client::{call, CallError};
-pub use codec::{Reply, Request};
+pub use codec::{MalformedRequest, Reply, Request};
 pub use server::serve;
--- a/crates/transport/src/admin/server.rs
+++ b/crates/transport/src/admin/server.rs
@@ -1,85 +1,95 @@
-//! The server of the second address.
+//! The server of the admin interface.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
-use tokio::task::JoinHandle;
-use tokio::time::{sleep_until, timeout_at, Instant};
+use tokio::task::{AbortHandle, JoinSet};
+use tokio::time::{sleep, timeout};
 
 use super::codec::{Reply, Request};
 use heathward_core::CoreHandle;
 
-/// No call is longer.
-const LINE: usize = 512;
-/// A caller has so long for its call, and as long again to take the answer.
-const PATIENCE: Duration = Duration::from_secs(5);
-/// A pause after a connection could not be accepted.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
+/// No request is longer.
+const MAX_REQUEST_BYTES: usize = 512;
+/// Space that a request is expected to need.
+const USUAL_REQUEST_BYTES: usize = 64;
+/// A caller has this long to send its request, and as long again to take the reply.
+const CALLER_TIMEOUT: Duration = Duration::from_secs(5);
+/// The delay after a connection could not be accepted.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// Answers calls, on at most `most` connections at a time: when all are taken, the oldest makes way, so that
-/// callers who say nothing keep nobody out.
-pub async fn serve(listener: TcpListener, core: CoreHandle, most: usize) {
-    let mut callers: VecDeque<JoinHandle<()>> = VecDeque::new();
+/// Serves callers on at most `max_connections` connections at a time. When all are in use, the oldest is closed for
+/// a new one, so that callers that send nothing keep nobody out.
+///
+/// Runs until it is dropped, which closes all connections.
+pub async fn serve(listener: TcpListener, core: CoreHandle, max_connections: usize) {
+    let mut tasks = JoinSet::new();
+    let mut oldest_first: VecDeque<AbortHandle> = VecDeque::new();
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            sleep_until(Instant::now() + ACCEPT_PAUSE).await;
+            sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        callers.retain(|caller| !caller.is_finished());
-        if callers.len() >= most {
-            if let Some(oldest) = callers.pop_front() {
+        while tasks.try_join_next().is_some() {}
+        oldest_first.retain(|connection| !connection.is_finished());
+        if oldest_first.len() >= max_connections {
+            if let Some(oldest) = oldest_first.pop_front() {
                 oldest.abort();
             }
         }
-        callers.push_back(tokio::spawn(attend(stream, core.clone())));
+        oldest_first.push_back(tasks.spawn(serve_connection(stream, core.clone())));
     }
 }
 
-async fn attend(mut stream: TcpStream, core: CoreHandle) {
-    let Ok(Some(line)) = timeout_at(Instant::now() + PATIENCE, call(&mut stream)).await else { return };
-    let reply = carry_out(&line, &core).await.to_string();
-    let told = async {
+async fn serve_connection(mut stream: TcpStream, core: CoreHandle) {
+    let Ok(Some(line)) = timeout(CALLER_TIMEOUT, read_request_line(&mut stream)).await else { return };
+    let reply = reply_to(&line, &core).await.to_string();
+    let sending = async {
         stream.write_all(reply.as_bytes()).await?;
         stream.shutdown().await
     };
-    // A caller that does not take its answer has left.
-    let _ = timeout_at(Instant::now() + PATIENCE, told).await;
+    // A caller that does not take its reply has disconnected.
+    let _ = timeout(CALLER_TIMEOUT, sending).await;
 }
 
-/// The line of a call, without its end; what ends without one counts as a line. `None` if nothing comes.
-async fn call(stream: &mut TcpStream) -> Option<Vec<u8>> {
-    let mut line = Vec::with_capacity(64);
-    let mut more = [0; LINE];
+/// The line of a request without its end. What the caller sends before it closes its side counts as a line, too;
+/// `None` if that is nothing.
+async fn read_request_line(stream: &mut TcpStream) -> Option<Vec<u8>> {
+    let mut line = Vec::with_capacity(USUAL_REQUEST_BYTES);
+    let mut buffer = [0; MAX_REQUEST_BYTES];
     loop {
-        let size = stream.read(&mut more).await.ok()?;
-        line.extend_from_slice(&more[..size]);
+        let size = stream.read(&mut buffer).await.ok()?;
+        line.extend_from_slice(&buffer[..size]);
         if let Some(end) = line.iter().position(|byte| *byte == b'\n') {
             line.truncate(end);
             return Some(line);
         }
-        if size == 0 || line.len() > LINE {
+        if size == 0 || line.len() > MAX_REQUEST_BYTES {
             return (!line.is_empty()).then_some(line);
         }
     }
 }
 
-async fn carry_out(line: &[u8], core: &CoreHandle) -> Reply {
+async fn reply_to(line: &[u8], core: &CoreHandle) -> Reply {
     let request = match Request::parse(line) {
         Ok(request) => request,
-        Err(unreadable) => return Reply::Malformed(unreadable),
+        Err(malformed) => return Reply::Malformed(malformed),
     };
     match request {
         Request::Status if core.status().ready => Reply::Ok,
         Request::Status => Reply::NotReady,
         Request::Metrics => match core.metrics().await {
-            Some(metrics) => Reply::Metrics(Box::new(metrics), core.deployment().class_names.clone()),
+            Some(metrics) => {
+                let class_names = core.deployment().class_names.clone();
+                Reply::Metrics { metrics: Box::new(metrics), class_names }
+            }
             None => Reply::NotReady,
         },
         Request::Command(command) => match core.run_command(command, false).await {
             Ok(Ok(())) => Reply::Ok,
-            Ok(Err(why)) => Reply::CommandFailed(why),
+            Ok(Err(error)) => Reply::CommandFailed(error),
             Err(_) => Reply::NotReady,
         },
     }
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,4 +1,5 @@
-//! The wires: the platform's HTTP front, the storage nodes, discovery, and NVMe over TCP.
+//! Everything that speaks over a network or a socket: the HTTP front and the NVMe over TCP front for clients, the
+//! connections to storage nodes, discovery, the admin interface, and the handover between two processes.
 
 pub mod admin;
 pub mod backoff;
--- a/crates/transport/tests/stored/admin.rs
+++ b/crates/transport/tests/stored/admin.rs
@@ -1,4 +1,4 @@
-//! The second address: each command line, each reply, and what its caller prints of a call that failed.
+//! The admin interface: each command line, each reply, and what its caller prints of a call that failed.
 
 use heathward_core::{AnswerCounts, CommandError, CoreMetrics, Counters, OperatorCommand};
 use heathward_transport::admin::{CallError, Reply, Request};
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn each_line_that_is_no_request_is_told_why_as_stored() {
+fn each_reason_for_a_malformed_request_is_written_as_stored() {
     let long = format!("SUSPEND {}", "s".repeat(129));
     let lines: [&[u8]; 9] = [
         b"\xff",
@@ -75,16 +75,13 @@
     };
     let metrics = CoreMetrics { counters, active_requests: 51, listed_nodes: 52, avoided_nodes: 53 };
     // The third class has had no answer yet.
-    let classes = ["consulta", "pedido", "informe"].map(str::to_owned).to_vec();
-    assert_eq!(Reply::Metrics(Box::new(metrics), classes).to_string(), METRICS);
+    let class_names = ["consulta", "pedido", "informe"].map(str::to_owned).to_vec();
+    assert_eq!(Reply::Metrics { metrics: Box::new(metrics), class_names }.to_string(), METRICS);
 }
 
 #[test]
 fn each_error_of_a_call_is_written_as_stored() {
-    let errors = [
-        CallError::Rejected("unknown storage node".to_owned()),
-        CallError::NoAnswer("not in time".to_owned()),
-        CallError::Malformed,
-    ];
+    let errors =
+        [CallError::Rejected("unknown storage node".to_owned()), CallError::TimedOut, CallError::Malformed];
     assert_eq!(errors.iter().map(|error| format!("{error}\n")).collect::<String>(), CALL_ERRORS);
 }
