--- a/crates/event-log/src/event.rs
+++ b/crates/event-log/src/event.rs
@@ -158,18 +158,6 @@
     Failed,
 }
 
-impl EndpointUpdateKind {
-    /// Its name in exports and listings; it stays when the variant is renamed.
-    pub fn name(self) -> &'static str {
-        match self {
-            Self::Changes => "Changes",
-            Self::Snapshot => "Whole",
-            Self::Cached => "Saved",
-            Self::Failed => "Failed",
-        }
-    }
-}
-
 /// An update of the endpoint list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "Listed")]
@@ -271,35 +259,6 @@
     NotSent,
 }
 
-impl AttemptEnd {
-    /// Its name in exports and reports; it stays when the variant is renamed.
-    pub fn name(self) -> &'static str {
-        match self {
-            Self::Served => "Served",
-            Self::Error => "Error",
-            Self::Rejected => "Full",
-            Self::TimedOut => "TimedOut",
-            Self::NotConnected => "NotConnected",
-            Self::Reset => "Reset",
-            Self::Cancelled => "Cancelled",
-            Self::NotSent => "NotSent",
-        }
-    }
-}
-
-/// All ends of attempts with their names in reports, in the order of the counts in
-/// [`NodeSecond::attempt_ends`].
-pub const ATTEMPT_END_NAMES: [(AttemptEnd, &str); 8] = [
-    (AttemptEnd::Served, "served"),
-    (AttemptEnd::Error, "error"),
-    (AttemptEnd::Rejected, "full"),
-    (AttemptEnd::TimedOut, "timed out"),
-    (AttemptEnd::NotConnected, "not connected"),
-    (AttemptEnd::Reset, "reset"),
-    (AttemptEnd::Cancelled, "cancelled"),
-    (AttemptEnd::NotSent, "moot"),
-];
-
 /// Why a request was shed, as far as its attempts show.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum ShedReason {
@@ -318,28 +277,6 @@
     AttemptLost,
 }
 
-impl ShedReason {
-    /// Its name in exports and listings; it stays when the variant is renamed.
-    pub fn name(self) -> &'static str {
-        match self {
-            Self::NotAdmitted => "NotAdmitted",
-            Self::ShedFromQueue => "GivenUp",
-            Self::RejectedByNode => "TurnedAway",
-            Self::NotConnected => "NotConnected",
-            Self::AttemptLost => "Lost",
-        }
-    }
-}
-
-/// All reasons with their names in reports, in the order of the counts in [`ClassSecond::shed`].
-pub const SHED_REASON_NAMES: [(ShedReason, &str); 5] = [
-    (ShedReason::NotAdmitted, "not admitted"),
-    (ShedReason::ShedFromQueue, "given up while held"),
-    (ShedReason::RejectedByNode, "node full"),
-    (ShedReason::NotConnected, "node not reached"),
-    (ShedReason::AttemptLost, "attempt lost"),
-];
-
 /// Why a request failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum FailureReason {
@@ -356,26 +293,6 @@
     Other,
 }
 
-impl FailureReason {
-    /// Its name in exports and listings; it stays when the variant is renamed.
-    pub fn name(self) -> &'static str {
-        match self {
-            Self::DeadlinePassed => "Late",
-            Self::DeadlinePassedPossiblyExecuted => "LateMayHaveRun",
-            Self::PossiblyExecuted => "MayHaveRun",
-            Self::Other => "Other",
-        }
-    }
-}
-
-/// All reasons with their names in reports, in the order of the counts in [`ClassSecond::failed`].
-pub const FAILURE_REASON_NAMES: [(FailureReason, &str); 4] = [
-    (FailureReason::DeadlinePassed, "time passed"),
-    (FailureReason::DeadlinePassedPossiblyExecuted, "time passed, may have run"),
-    (FailureReason::PossiblyExecuted, "may have run"),
-    (FailureReason::Other, "other"),
-];
-
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RequestOutcome {
@@ -410,10 +327,10 @@
     pub within_objective: u32,
     /// Requests served after it.
     pub late: u32,
-    /// Requests shed, in the order of [`SHED_REASON_NAMES`].
+    /// Requests shed, in the order of [`SHED_REASON_NAMES`](crate::SHED_REASON_NAMES).
     #[serde(rename = "refused")]
     pub shed: [u32; 5],
-    /// Requests failed, in the order of [`FAILURE_REASON_NAMES`].
+    /// Requests failed, in the order of [`FAILURE_REASON_NAMES`](crate::FAILURE_REASON_NAMES).
     pub failed: [u32; 4],
     /// Requests whose client disconnected.
     #[serde(rename = "gone")]
@@ -440,7 +357,7 @@
     /// Units of work of those that were sent while the node was in slow start.
     #[serde(rename = "cold_units")]
     pub slow_start_units: u32,
-    /// Attempts ended, in the order of [`ATTEMPT_END_NAMES`].
+    /// Attempts ended, in the order of [`ATTEMPT_END_NAMES`](crate::ATTEMPT_END_NAMES).
     #[serde(rename = "ends")]
     pub attempt_ends: [u32; 8],
     /// The highest number of attempts in flight at the same time.
@@ -499,16 +416,6 @@
     DiskFailed,
 }
 
-impl GapCause {
-    /// Its name in exports and listings; it stays when the variant is renamed.
-    pub fn name(self) -> &'static str {
-        match self {
-            Self::QueueFull => "Queue",
-            Self::DiskFailed => "Disk",
-        }
-    }
-}
-
 /// Events that were lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Gap {
--- a/crates/event-log/src/lib.rs
+++ b/crates/event-log/src/lib.rs
@@ -12,6 +12,7 @@
 mod disk;
 mod event;
 pub mod frame;
+mod names;
 pub mod read;
 pub mod segment;
 mod send;
@@ -23,7 +24,7 @@
     AttemptEnd, AttemptRecord, ClassInfo, ClassSecond, EndpointUpdate, EndpointUpdateKind, Event,
     FailureReason, Gap, GapCause, Lifecycle, ListedEndpoint, Micros, NodeSecond, NodeState, NodeStateChange,
     Record, RequestOutcome, RequestRecord, SegmentOpened, ShedReason, StateChangeCause, Timestamp,
-    ATTEMPT_END_NAMES, FAILURE_REASON_NAMES, SHED_REASON_NAMES,
 };
+pub use names::{ATTEMPT_END_NAMES, FAILURE_REASON_NAMES, SHED_REASON_NAMES};
 pub use send::{event_channel, EventReceiver, EventSender};
 pub use write::{StorageLimits, Writer, WriterStatistics};
