--- a/crates/policy/src/api/events.rs
+++ b/crates/policy/src/api/events.rs
@@ -5,7 +5,7 @@
 /// State of a node in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NodeState {
-    /// In service.
+    /// In service: it accepts requests.
     Ready,
     /// Completes its requests in flight and accepts no new ones.
     Draining,
@@ -112,15 +112,17 @@
     pub node: NodeId,
     /// How it ended.
     pub end: AttemptEnd,
-    /// The client has its answer or is disconnected: the request needs no further action.
+    /// The client has its answer or is disconnected: the request needs no further action. A served attempt
+    /// always closes its request.
     pub request_closed: bool,
     /// Time between the start and the end of the attempt.
     pub latency: Micros,
     /// What the volume was served by all nodes in a past usage period, in percent of its plan's usual rate.
     pub volume_usage_percent: Option<u32>,
-    /// Units that this node served the volume through other schedulers since its last answer to this one.
+    /// Units that this node served the volume through other schedulers since its last answer to this one. No
+    /// decision uses it.
     pub served_elsewhere: Option<u32>,
-    /// CPU utilization of the node, from 0 to 1, if it reports that.
+    /// CPU utilization of the node, from 0 to 1, if it reports that. No decision uses it.
     pub utilization: Option<f64>,
 }
 
--- a/crates/policy/src/api/settings.rs
+++ b/crates/policy/src/api/settings.rs
@@ -4,6 +4,9 @@
 
 use super::ids::Micros;
 
+/// Budget periods in the shortest latency objective.
+pub(crate) const PERIODS_PER_OBJECTIVE: Micros = 2;
+
 /// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Idempotency {
@@ -83,12 +86,13 @@
 /// How endpoint updates reach this scheduler.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointListMode {
-    /// The list service sends changes on its own.
+    /// Discovery sends changes on its own.
     #[default]
     Streamed,
     /// Changes come after [`crate::Action::Subscribe`].
     Polled {
-        /// A scheduler that neither subscribes nor polls for this long is taken to know every change.
+        /// Longest time that may pass without a subscription. The policy limits the backoff after failures by
+        /// it.
         max_interval: Micros,
     },
 }
@@ -140,7 +144,8 @@
     pub endpoint_list_mode: EndpointListMode,
 }
 
-/// Why settings are invalid. The texts name the settings as operators write them.
+/// Why settings are invalid. The texts name the settings by names of their own, which messages have had from
+/// the beginning: `hosts`, `host`, `cold_units` and so on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum SettingsError {
     /// A required setting is absent, empty or zero.
@@ -154,7 +159,8 @@
 impl Settings {
     /// The length of a node's budget period: half of the shortest latency objective.
     pub(crate) fn period(&self) -> Micros {
-        (self.classes.iter().map(|class| class.latency_objective).min().unwrap_or(2) / 2).max(1)
+        let objectives = self.classes.iter().map(|class| class.latency_objective);
+        (objectives.min().unwrap_or(PERIODS_PER_OBJECTIVE) / PERIODS_PER_OBJECTIVE).max(1)
     }
 
     /// Checks that the settings are complete and within their ranges.
--- a/crates/policy/src/endpoint_subscription.rs
+++ b/crates/policy/src/endpoint_subscription.rs
@@ -1,4 +1,5 @@
-//! When to subscribe to the endpoint list, where the list service does not send changes on its own.
+//! When to subscribe to the endpoint list if discovery does not send changes on its own: in the polled mode,
+//! each subscription is a poll.
 
 use crate::api::{EndpointListMode, EndpointUpdateKind, Micros};
 
--- a/crates/policy/src/node.rs
+++ b/crates/policy/src/node.rs
@@ -23,7 +23,7 @@
 use period_budget::PeriodBudget;
 pub(crate) use queue::{NodeQueue, QueueEntry};
 
-/// A session of a volume at a node closes after this many budget periods without a request.
+/// A volume's session at a node closes after this many budget periods without a request.
 const SESSION_IDLE_PERIODS: u64 = 20;
 
 /// The state of one node.
@@ -31,8 +31,8 @@
 pub(crate) struct Node {
     pub(crate) shard: ShardId,
     pub(crate) zone: u32,
-    /// The endpoint list has it in service.
-    pub(crate) ready: bool,
+    /// The endpoint list has it [ready](crate::NodeState::Ready).
+    pub(crate) in_service: bool,
     pub(crate) health: NodeHealth,
     pub(crate) in_flight: InFlightAttempts,
     pub(crate) queue: NodeQueue,
@@ -48,7 +48,7 @@
         Self {
             shard: entry.shard,
             zone: entry.zone,
-            ready: false,
+            in_service: false,
             health: NodeHealth::new(now),
             in_flight: InFlightAttempts::default(),
             queue: NodeQueue::default(),
@@ -145,7 +145,7 @@
             tier: HealthTier::of(self.health.is_unhealthy(), is_in_slow_start),
             delay: self.delay.value(),
             delay_updated_at: self.delay.updated_at(),
-            delay_lifetime: self.delay.lifetime(),
+            delay_time_constant: self.delay.time_constant(),
             lasting_units: self.in_flight.lasting_units() + self.queue.units(),
         }
     }
@@ -158,7 +158,7 @@
     /// How the node is treated.
     pub(crate) fn status(&self, now: Micros) -> NodeStatus {
         NodeStatus {
-            ready: self.ready,
+            ready: self.in_service,
             unresponsive_since: self.health.suspected_since(),
             slow_start_since: self.health.slow_start_since(now),
             in_flight_units: self.in_flight.units(),
--- a/crates/policy/src/node/admission_history.rs
+++ b/crates/policy/src/node/admission_history.rs
@@ -1,4 +1,6 @@
 //! The load of the volumes that use a node, for the admission of further volumes.
+//!
+//! A volume has a session at a node from its first request there until it has had none for a while.
 
 use std::collections::{BTreeMap, VecDeque};
 
--- a/crates/policy/src/node/delay.rs
+++ b/crates/policy/src/node/delay.rs
@@ -9,9 +9,9 @@
 /// Weight of an observation after a long time without any.
 const MAX_OBSERVATION_WEIGHT: f64 = 0.6;
 /// Minimum time constant with which a node's estimate decays into the fleet's, in microseconds.
-const MIN_LIFETIME_US: f64 = 500_000.0;
+const MIN_TIME_CONSTANT_US: f64 = 500_000.0;
 /// Maximum of the same, in microseconds; also the time constant with which the fleet's estimate decays.
-const MAX_LIFETIME_US: f64 = 12_000_000.0;
+const MAX_TIME_CONSTANT_US: f64 = 12_000_000.0;
 /// Weight of an observation in the fleet's estimate.
 const FLEET_OBSERVATION_WEIGHT: f64 = 0.2;
 /// Units whose service time an attempt in flight may take before the rest counts as queueing.
@@ -45,12 +45,12 @@
     /// Weight of the node's own delay in the estimate: 1 right after an observation, 0 if there was none.
     pub(crate) fn freshness(&self, now: Micros) -> f64 {
         let Some(updated_at) = self.updated_at else { return 0.0 };
-        (-(now.saturating_sub(updated_at) as f64) / self.lifetime()).exp()
+        (-(now.saturating_sub(updated_at) as f64) / self.time_constant()).exp()
     }
 
     /// Time constant of the decay: the usual time between observations, within bounds.
-    pub(crate) fn lifetime(&self) -> f64 {
-        self.interval.clamp(MIN_LIFETIME_US, MAX_LIFETIME_US)
+    pub(crate) fn time_constant(&self) -> f64 {
+        self.interval.clamp(MIN_TIME_CONSTANT_US, MAX_TIME_CONSTANT_US)
     }
 
     /// Takes in an observed delay.
@@ -93,7 +93,7 @@
     /// Mean queueing delay of all nodes that answered lately.
     pub(crate) fn delay(&self, now: Micros) -> f64 {
         let age = now.saturating_sub(self.delay_updated_at) as f64;
-        self.delay * (-age / MAX_LIFETIME_US).exp()
+        self.delay * (-age / MAX_TIME_CONSTANT_US).exp()
     }
 
     /// Takes in an observed delay.
--- a/crates/policy/src/node/period_budget.rs
+++ b/crates/policy/src/node/period_budget.rs
@@ -4,7 +4,8 @@
 
 use crate::api::{Micros, Settings};
 
-/// Periods in which the most units served are looked for: a few answers even at a small part of a node.
+/// Number of recent periods whose maximum of served units supports the budget. A scheduler that sends a node
+/// only a few of its requests has few answers in a single period.
 const RECENT_PERIODS: usize = 8;
 /// Minimum of the budget, in requests of mean size.
 const MIN_BUDGET_REQUESTS: f64 = 4.0;
--- a/crates/policy/src/node_ranking/bucket.rs
+++ b/crates/policy/src/node_ranking/bucket.rs
@@ -39,7 +39,7 @@
     /// When the last observation was, if there was one.
     pub(crate) delay_updated_at: Option<Micros>,
     /// Time constant with which the delay decays, in microseconds.
-    pub(crate) delay_lifetime: f64,
+    pub(crate) delay_time_constant: f64,
     /// Open units that remain open until the node's next event.
     pub(crate) lasting_units: f64,
 }
@@ -89,7 +89,7 @@
     fn freshness(&self, now: Micros) -> f64 {
         let Some(updated_at) = self.delay_updated_at else { return 0.0 };
         let age = now.saturating_sub(updated_at) as f64;
-        (-age / self.delay_lifetime).exp()
+        (-age / self.delay_time_constant).exp()
     }
 
     pub(super) fn placement(&self, now: Micros) -> Placement {
@@ -107,7 +107,7 @@
     /// When the delay falls below its bucket's floor.
     fn expiry(&self, now: Micros, delay_step: u8) -> Option<Micros> {
         let updated_at = self.delay_updated_at.filter(|_| delay_step > 0)?;
-        let elapsed = self.delay_lifetime * (self.delay / delay_floor(delay_step)).ln();
+        let elapsed = self.delay_time_constant * (self.delay / delay_floor(delay_step)).ln();
         Some((updated_at + elapsed as Micros).max(now) + 1)
     }
 }
--- a/crates/policy/src/node_ranking/tests.rs
+++ b/crates/policy/src/node_ranking/tests.rs
@@ -8,7 +8,7 @@
 const UNIT_SERVICE_TIME: f64 = 10_000.0;
 
 fn rank(tier: HealthTier, delay: f64) -> Rank {
-    Rank { tier, delay, delay_updated_at: Some(1), delay_lifetime: LIFETIME, lasting_units: 0.0 }
+    Rank { tier, delay, delay_updated_at: Some(1), delay_time_constant: LIFETIME, lasting_units: 0.0 }
 }
 
 fn open(load: f64) -> Candidate {
--- a/crates/policy/src/node_table.rs
+++ b/crates/policy/src/node_table.rs
@@ -1,7 +1,6 @@
 //! All nodes that this scheduler knows, with indexes over them, so that no event has to visit every node.
 
 use std::collections::{BTreeMap, BTreeSet};
-use std::ops::Deref;
 
 use crate::api::{EndpointEntry, Micros, NodeId, NodeState, RequestId, Settings};
 use crate::node::Node;
@@ -9,7 +8,7 @@
 use crate::shard_index::ShardIndex;
 use crate::slow_start::NodeDemand;
 
-/// Nodes by id. It is read as a map and changed through its methods.
+/// Nodes by id.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct NodeTable {
     nodes: BTreeMap<NodeId, Node>,
@@ -22,15 +21,20 @@
     pub(crate) ranking: NodeRanking,
 }
 
-impl Deref for NodeTable {
-    type Target = BTreeMap<NodeId, Node>;
+impl NodeTable {
+    pub(crate) fn len(&self) -> usize {
+        self.nodes.len()
+    }
 
-    fn deref(&self) -> &Self::Target {
-        &self.nodes
+    #[cfg(test)]
+    pub(crate) fn ids(&self) -> impl Iterator<Item = NodeId> + '_ {
+        self.nodes.keys().copied()
+    }
+
+    pub(crate) fn get(&self, id: &NodeId) -> Option<&Node> {
+        self.nodes.get(id)
     }
-}
 
-impl NodeTable {
     pub(crate) fn get_mut(&mut self, id: &NodeId) -> Option<&mut Node> {
         self.nodes.get_mut(id)
     }
@@ -39,8 +43,8 @@
     /// service.
     pub(crate) fn take_all_out_of_service(&mut self) -> Vec<NodeId> {
         let mut taken_out = Vec::new();
-        for (&id, node) in self.nodes.iter_mut().filter(|(_, node)| node.ready) {
-            node.ready = false;
+        for (&id, node) in self.nodes.iter_mut().filter(|(_, node)| node.in_service) {
+            node.in_service = false;
             self.shards.remove(node.shard, id);
             self.out_of_service.insert(id);
             taken_out.push(id);
@@ -51,14 +55,14 @@
     /// Applies an entry of the endpoint list, adding the node if it is not known yet.
     pub(crate) fn apply(&mut self, now: Micros, entry: &EndpointEntry, settings: &Settings) {
         let node = self.nodes.entry(entry.node).or_insert_with(|| Node::new(now, entry, settings));
-        if node.ready {
+        if node.in_service {
             self.shards.remove(node.shard, entry.node);
         }
-        node.ready = entry.state == NodeState::Ready;
+        node.in_service = entry.state == NodeState::Ready;
         node.shard = entry.shard;
         node.zone = entry.zone;
         node.on_listed_start(now, entry, settings);
-        if node.ready {
+        if node.in_service {
             self.shards.insert(entry.shard, entry.node);
             self.out_of_service.remove(&entry.node);
         } else {
@@ -69,7 +73,7 @@
     /// Requests queued for those of the given nodes that are out of service.
     pub(crate) fn queued_out_of_service(&self, among: &BTreeSet<NodeId>) -> Vec<RequestId> {
         let nodes = among.iter().filter_map(|id| self.nodes.get(id));
-        nodes.filter(|node| !node.ready).flat_map(|node| node.queue.requests()).collect()
+        nodes.filter(|node| !node.in_service).flat_map(|node| node.queue.requests()).collect()
     }
 
     /// Removes nodes out of service that have nothing open and have not answered since.
@@ -92,7 +96,7 @@
     /// Brings the ranking up to date with a node's state.
     pub(crate) fn update_rank(&mut self, now: Micros, id: NodeId, settings: &Settings) {
         let Some(node) = self.nodes.get(&id) else { return };
-        if node.ready {
+        if node.in_service {
             self.ranking.set(now, id, &node.rank(now, settings));
         } else {
             self.ranking.remove(id);
--- a/crates/policy/src/request/table.rs
+++ b/crates/policy/src/request/table.rs
@@ -64,7 +64,7 @@
         Some(Expiry { at: deadline.at.saturating_sub(margin), ..deadline })
     }
 
-    /// Number of requests.
+    /// Number of entries of the larger collection, to monitor the memory that the table needs.
     pub(crate) fn len(&self) -> usize {
         self.requests.len().max(self.deadlines.len())
     }
--- a/crates/policy/src/scheduler/capacity.rs
+++ b/crates/policy/src/scheduler/capacity.rs
@@ -2,7 +2,7 @@
 
 use super::send_rules::SendDecision;
 use super::Scheduler;
-use crate::api::Micros;
+use crate::api::{Micros, PERIODS_PER_OBJECTIVE};
 use crate::node::Node;
 use crate::request::TrackedRequest;
 use crate::volume::QuotaTier;
@@ -11,8 +11,6 @@
 const MAX_DELAY_OBJECTIVES: f64 = 1.1;
 /// The same for a request of the lowest priority; it is linear in between.
 const MIN_DELAY_OBJECTIVES: f64 = 0.15;
-/// Budget periods in the shortest latency objective.
-const PERIODS_PER_OBJECTIVE: f64 = 2.0;
 /// Maximum fraction of the delay limit that is left out at random while the estimate of the delay is old. It
 /// keeps schedulers from all sending to a node at the same moment, when the estimate has decayed.
 const STALE_ESTIMATE_JITTER: f64 = 0.2;
@@ -52,7 +50,7 @@
     /// Maximum queueing delay for a priority, in microseconds.
     pub(super) fn delay_limit(&self, priority: f64) -> f64 {
         let objectives = MIN_DELAY_OBJECTIVES + (MAX_DELAY_OBJECTIVES - MIN_DELAY_OBJECTIVES) * priority;
-        objectives * PERIODS_PER_OBJECTIVE * self.period as f64
+        objectives * PERIODS_PER_OBJECTIVE as f64 * self.period as f64
     }
 
     /// Maximum queueing delay for a request, in microseconds: no longer than is left until it is due.
--- a/crates/policy/src/scheduler/dispatch.rs
+++ b/crates/policy/src/scheduler/dispatch.rs
@@ -9,8 +9,9 @@
 
 /// All queues are examined at most this many times in a budget period.
 const SCANS_PER_PERIOD: Micros = 16;
-/// A request that was never sent is answered this part of a budget period before half of its time is over.
-const EARLY_ANSWER_PERIOD_PART: Micros = 8;
+/// A request that was never sent is answered a budget period, divided by this, before half of its time is
+/// over.
+const EARLY_ANSWER_PERIOD_DIVISOR: Micros = 8;
 
 impl Scheduler {
     /// Sends requests queued for a node while it has capacity, the one that is due first before the others.
@@ -51,7 +52,7 @@
         if now + service_time > entry.due {
             return true;
         }
-        let reserve = tracked.request.time_budget / 2 + self.period / EARLY_ANSWER_PERIOD_PART;
+        let reserve = tracked.request.time_budget / 2 + self.period / EARLY_ANSWER_PERIOD_DIVISOR;
         tracked.attempts_sent == 0 && now >= tracked.timing.deadline.saturating_sub(reserve)
     }
 
--- a/crates/policy/src/scheduler/final_answers.rs
+++ b/crates/policy/src/scheduler/final_answers.rs
@@ -7,7 +7,8 @@
 use crate::volume::QuotaTier;
 
 impl Scheduler {
-    /// Retries a request after an attempt that did not serve it, or answers it.
+    /// Retries a request after an attempt that did not serve it, or answers it. A served attempt closes its
+    /// request, which then does not come here.
     pub(super) fn retry(
         &mut self,
         now: Micros,
--- a/crates/policy/src/scheduler/node_selection.rs
+++ b/crates/policy/src/scheduler/node_selection.rs
@@ -12,6 +12,7 @@
         for node_id in self.nodes.ranking.expired(now) {
             self.update_rank(now, node_id);
         }
+        // The search borrows the whole scheduler, so it draws from a copy, which then replaces the original.
         let mut random = self.random.node_choice.clone();
         let found = self.search(now, id, &mut random);
         self.random.node_choice = random;
--- a/crates/policy/src/scheduler/node_selection_tests.rs
+++ b/crates/policy/src/scheduler/node_selection_tests.rs
@@ -191,7 +191,8 @@
 
     /// A node's rank without noise; `None` if the request must never be sent there.
     fn rank(&self, id: RequestId, node_id: NodeId) -> Option<WalkRank> {
-        let (scheduler, node) = (&self.scheduler, &self.scheduler.nodes[&node_id]);
+        let scheduler = &self.scheduler;
+        let node = scheduler.nodes.get(&node_id)?;
         let decision = scheduler.check_send(self.now, id, node_id);
         let (now, period) = (self.now, scheduler.period);
         let open_units = node.in_flight.informative_units(now, period) + node.queue.units();
@@ -206,8 +207,8 @@
 
     /// Ranks of all nodes that the request may be sent to.
     fn ranks(&self, id: RequestId) -> BTreeMap<NodeId, WalkRank> {
-        let ids = self.scheduler.nodes.keys();
-        ids.filter_map(|node| Some((*node, self.rank(id, *node)?))).collect()
+        let ids = self.scheduler.nodes.ids();
+        ids.filter_map(|node| Some((node, self.rank(id, node)?))).collect()
     }
 
     /// Chooses by a walk over all nodes; random among nodes whose loads differ by less than a unit's time.
--- a/crates/policy/src/scheduler/send_rules.rs
+++ b/crates/policy/src/scheduler/send_rules.rs
@@ -66,7 +66,7 @@
     fn check_node_serves(&self, candidate: &SendCandidate) -> SendDecision {
         let node = candidate.node;
         let holds_shard = candidate.tracked.request.shard.is_none_or(|shard| shard == node.shard);
-        allowed_or(SendDecision::Never, node.ready && holds_shard)
+        allowed_or(SendDecision::Never, node.in_service && holds_shard)
     }
 
     /// A request has one attempt in flight at a time.
--- a/crates/policy/src/scheduler/sending.rs
+++ b/crates/policy/src/scheduler/sending.rs
@@ -6,7 +6,8 @@
 use crate::node::AttemptKey;
 use crate::request::{RequestAttempt, RequestState};
 
-/// An attempt is abandoned after this multiple of the time until its request is due; a node may drop it then.
+/// An attempt is abandoned after this multiple of the time until its request is due. Some nodes drop the
+/// request then.
 const TIMEOUT_FACTOR: Micros = 3;
 
 impl Scheduler {
--- a/crates/policy/src/settings/source.rs
+++ b/crates/policy/src/settings/source.rs
@@ -36,11 +36,11 @@
         parse(name, &self.required(name)?)
     }
 
-    /// A number, or `default` if it is absent.
+    /// A number, or another value that is parsed from its text; `default` if it is absent.
     ///
     /// # Errors
     ///
-    /// If it is not a number of this type.
+    /// If it is not of this type.
     fn number_or<T: std::str::FromStr>(&self, name: &str, default: T) -> Result<T, ConfigError> {
         self.get(name).map_or(Ok(default), |value| parse(name, &value))
     }
--- a/crates/policy/src/slow_start/demand.rs
+++ b/crates/policy/src/slow_start/demand.rs
@@ -5,7 +5,8 @@
 use crate::api::{Micros, NodeId};
 use crate::recency::Recency;
 
-/// Lifetimes over which the number of nodes is averaged, and for which the largest one is kept at least.
+/// Lifetimes over which the number of nodes is averaged. They are also the length of the spans whose largest
+/// number is kept, of the current one and the one before.
 const AVERAGING_LIFETIMES: u32 = 4;
 /// A number that exceeds the mean by more than this many standard deviations is a surge.
 const SURGE_DEVIATIONS: f64 = 2.0;
--- a/crates/policy/src/slow_start/token_bucket.rs
+++ b/crates/policy/src/slow_start/token_bucket.rs
@@ -17,7 +17,7 @@
 /// those that are still valid at its beginning may be used within it; with the target fraction of
 /// `allowance.rs` this is less than what makes the node fail.
 const TOKEN_LIFETIME_WINDOWS: f64 = 0.5;
-/// Fraction of a bucket's capacity that requests of the lowest priority leave to others.
+/// Fraction of the tokens of a lifetime that requests of the lowest priority leave to others.
 const LOW_PRIORITY_RESERVE: f64 = 0.5;
 /// Minimum of the random factor on the tokens that have come. It is 1 on average.
 const MIN_REFILL_FACTOR: f64 = 0.5;
@@ -102,9 +102,14 @@
         self.rate(allowance, settings) * windows(elapsed, settings)
     }
 
+    /// Tokens that come within the lifetime of a token.
+    fn tokens_per_lifetime(&self, allowance: f64, settings: &Settings) -> f64 {
+        TOKEN_LIFETIME_WINDOWS * self.rate(allowance, settings)
+    }
+
     /// The most tokens that can be valid at a time.
     fn capacity(&self, allowance: f64, settings: &Settings) -> f64 {
-        1.0 + TOKEN_LIFETIME_WINDOWS * self.rate(allowance, settings)
+        1.0 + self.tokens_per_lifetime(allowance, settings)
     }
 
     /// Tokens that are valid now.
@@ -125,8 +130,8 @@
         unsharded_draw: Option<f64>,
         settings: &Settings,
     ) -> bool {
-        let capacity = TOKEN_LIFETIME_WINDOWS * self.rate(allowance, settings);
-        let left_to_others = LOW_PRIORITY_RESERVE * capacity * (1.0 - priority);
+        let tokens_per_lifetime = self.tokens_per_lifetime(allowance, settings);
+        let left_to_others = LOW_PRIORITY_RESERVE * tokens_per_lifetime * (1.0 - priority);
         let is_drawn = unsharded_draw.is_none_or(|draw| draw <= self.use_probability);
         is_drawn && self.available(now, allowance, settings) >= 1.0 + left_to_others
     }
--- a/crates/policy/src/volume/demand.rs
+++ b/crates/policy/src/volume/demand.rs
@@ -51,7 +51,8 @@
         self.reported_at.map(|_| self.rate)
     }
 
-    /// Takes in a report of a rate in units a second. The first one counts as if the last had come at time 0.
+    /// Takes in a report of a rate in units a second. Its weight grows with the time since the last report;
+    /// without one, since time 0 of the clock, so that the first report has the maximum weight.
     pub(crate) fn observe(&mut self, now: Micros, rate: f64) {
         let age = seconds(now.saturating_sub(self.reported_at.unwrap_or(0)));
         let weight = (1.0 - (-age / AVERAGING_SECONDS).exp()).min(MAX_REPORT_WEIGHT);
--- a/crates/policy/src/volume/quota.rs
+++ b/crates/policy/src/volume/quota.rs
@@ -4,6 +4,8 @@
 
 /// The shared quota of a volume of average weight, in mean usual rates.
 const SHARED_QUOTA_RATES: f64 = 2.0;
+/// Minimum of the sum of the plans' weights, so that it can be divided by.
+const MIN_TOTAL_WEIGHT: f64 = 1e-9;
 /// Burst of the quota buckets of all a volume's schedulers together, in requests of maximum size.
 const BURST_REQUESTS: f64 = 1.5;
 
@@ -33,7 +35,7 @@
     /// The quotas of a volume with this plan.
     pub(crate) fn new(settings: &Settings, plan: &PlanSettings) -> Self {
         let sum = |of: fn(&PlanSettings) -> f64| settings.plans.iter().map(of).sum::<f64>();
-        let total_weight = sum(|plan| plan.shared_weight).max(1e-9);
+        let total_weight = sum(|plan| plan.shared_weight).max(MIN_TOTAL_WEIGHT);
         Self {
             reserved_rate: plan.reserved_rate,
             shared_rate: SHARED_QUOTA_RATES * sum(|plan| plan.usual_rate) / total_weight * plan.shared_weight,
