--- a/crates/policy/tests/settings.rs
+++ b/crates/policy/tests/settings.rs
@@ -45,7 +45,7 @@
     #[case] text: &str,
     #[case] expected: Expected,
 ) {
-    let Deployment { settings, drain_grace, .. } = read(text).unwrap();
+    let Deployment { settings, drain_grace, .. } = read(text).expect("valid settings");
     assert_eq!(drain_grace, Some(expected.drain_grace));
     assert_eq!(
         (settings.max_attempts, settings.overload_multiple),
@@ -83,7 +83,7 @@
     #[case] field: &str,
 ) {
     assert!(text.contains(from), "{from}");
-    let error = read(&text.replacen(from, to, 1)).map(|_| ()).unwrap_err().to_string();
+    let error = read(&text.replacen(from, to, 1)).map(|_| ()).expect_err("an invalid setting").to_string();
     assert!(error.contains(field), "{error}");
 }
 
@@ -91,5 +91,5 @@
 #[rstest]
 fn without_a_rule_on_draining_nodes_there_is_no_grace(#[values(PREDIO_NORTE, GRANITE_SHELF)] text: &str) {
     let without_rule = text.replace("stopSendingWithinMs", "someOtherField");
-    assert_eq!(read(&without_rule).unwrap().drain_grace, None);
+    assert_eq!(read(&without_rule).expect("valid settings").drain_grace, None);
 }
