--- a/crates/core/src/actor/attempts.rs
+++ b/crates/core/src/actor/attempts.rs
@@ -21,7 +21,7 @@
 
 impl Actor {
     /// The one place where attempts are sent. It prevents two attempts of a request at the same time, and
-    /// attempts after the final answer, after the deadline, or after the nodes' memory of an idempotency key.
+    /// attempts after the final answer, the deadline, or the deduplication window of an idempotency key.
     /// If nothing was sent, the policy is notified of that.
     pub(super) fn send_attempt(&mut self, request: RequestId, node: NodeId, timeout: Option<Micros>) {
         let now = Instant::now();
@@ -42,7 +42,7 @@
         }
         if let Some(target) = target {
             let units = open.request.node_request.units;
-            self.observer.observe_at(now, sent_observation(request, target, units, sent));
+            self.observer.observe_at(now, send_observation(request, target, units, sent));
         }
         if !sent {
             let outcome = attempt_outcome(key, AttemptEnd::NotSent, open.is_answered(), 0);
@@ -102,7 +102,7 @@
     target.attempt_sender().is_some_and(|sender| sender.try_send(attempt).is_ok())
 }
 
-fn sent_observation(request: RequestId, target: &Node, units: u32, sent: bool) -> Observation<'_> {
+fn send_observation(request: RequestId, target: &Node, units: u32, sent: bool) -> Observation<'_> {
     let node = &target.endpoint.id;
     if sent {
         let in_slow_start = matches!(target.reported_treatment, Some(NodeTreatment::SlowStart(_)));
--- a/crates/core/src/actor/endpoint_updates.rs
+++ b/crates/core/src/actor/endpoint_updates.rs
@@ -36,14 +36,13 @@
             }
         };
         self.observer.observe(observation);
-        let ids = self.nodes.ids().into_iter();
-        let entries = ids.filter_map(|id| self.nodes.listed_entry(id, self.lease.is_expired())).collect();
+        let entries = self.nodes.refresh_listed_entries(self.lease.is_expired());
         self.handle_event(Event::EndpointUpdate { kind: EndpointUpdateKind::Changes, entries });
         self.check_all_node_treatments(TreatmentCause::EndpointUpdate(self.nodes.revision()));
     }
 
-    /// Applies an update of the endpoint list. The cost of changes depends on their own number only; a snapshot
-    /// walks all nodes once.
+    /// Applies an update of the endpoint list. The cost of changes depends on their own number only; a
+    /// snapshot walks all nodes once.
     pub(super) fn apply_endpoint_update(&mut self, update: EndpointUpdate) {
         let EndpointUpdate { revision, kind, endpoints } = update;
         if kind == EndpointUpdateKind::Cached && revision < self.nodes.revision() {
@@ -96,12 +95,12 @@
             }
         }
         self.nodes.update(id, endpoint);
-        self.nodes.entry(id, self.lease.is_expired())
+        self.nodes.refresh_entry(id, self.lease.is_expired())
     }
 
     /// Notifies the policy of a listed node whose state was changed by an operator or by a handover.
     pub(super) fn resend_policy_entry(&mut self, id: NodeId, cause: TreatmentCause) {
-        let Some(entry) = self.nodes.listed_entry(id, self.lease.is_expired()) else { return };
+        let Some(entry) = self.nodes.refresh_listed_entry(id, self.lease.is_expired()) else { return };
         self.handle_event(Event::EndpointUpdate { kind: EndpointUpdateKind::Changes, entries: vec![entry] });
         self.check_node_treatment(id, Instant::now(), cause);
     }
--- a/crates/core/src/actor/handle.rs
+++ b/crates/core/src/actor/handle.rs
@@ -1,4 +1,5 @@
-//! The handle by which front ends, discovery and operators reach the actor. It is a tower service for requests.
+//! The handle by which front ends, discovery and operators reach the actor. It is a tower service for
+//! requests.
 
 use std::fmt;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -75,8 +76,8 @@
         handover.await.ok()
     }
 
-    /// Continues from the state of the previous process. Returns the commands that are to be forwarded to that
-    /// process; `None` if the core has stopped.
+    /// Continues from the state of the previous process. Returns the commands that are to be forwarded to
+    /// that process; `None` if the core has stopped.
     pub async fn take_over(&self, state: HandoverState) -> Option<mpsc::Receiver<ForwardedCommand>> {
         let (reply, commands) = oneshot::channel();
         self.control.send(ControlMessage::TakeOver { state, reply }).await.ok()?;
@@ -92,8 +93,8 @@
     ///
     /// # Errors
     ///
-    /// A [`ConfigError`] if the settings are not valid, remove a class or a plan, or the core has stopped. The
-    /// old settings then stay.
+    /// A [`ConfigError`] if the settings are not valid, remove a class or a plan, or the core has stopped.
+    /// The old settings then stay.
     pub async fn update_settings(&self, deployment: Arc<Deployment>) -> Result<(), ConfigError> {
         let stopped = || ConfigError { field: "settings".to_owned(), reason: CoreStopped.to_string() };
         let (reply, result) = oneshot::channel();
@@ -136,9 +137,9 @@
         metrics.await.ok()
     }
 
-    /// Carries a command out, before any message that waits. The inner result is that of the command; `Ok` means
-    /// that it holds in this process and in the peer process, if there is one. A command `from_peer_process`
-    /// was already carried out there.
+    /// Carries a command out, before any message that waits. The inner result is that of the command; `Ok`
+    /// means that it holds in this process and in the peer process, if there is one. A command
+    /// `from_peer_process` was already carried out there.
     ///
     /// # Errors
     ///
--- a/crates/core/src/actor/mod.rs
+++ b/crates/core/src/actor/mod.rs
@@ -2,8 +2,8 @@
 //! exactly one answer.
 //!
 //! This file has the actor's state and its loop. The types that own parts of the state are in [`policy`],
-//! [`open_requests`], [`nodes`], [`shared_lease`], [`peer_process`], [`observer_slot`] and [`published`]. What the
-//! actor does is in the other submodules, one for each concern.
+//! [`open_requests`], [`nodes`], [`shared_lease`], [`peer_process`], [`observer_slot`] and [`published`].
+//! What the actor does is in the other submodules, one for each concern.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::Arc;
@@ -118,7 +118,8 @@
     /// Shared with the handles, which record the requests whose clients have disconnected.
     client_disconnects: Arc<ClientDisconnects>,
     requests: OpenRequests,
-    /// The request of which the policy is being notified.
+    /// The request of whose arrival the policy is being notified: one that is shed meanwhile was never
+    /// queued.
     arriving_request: Option<RequestId>,
     nodes: NodeTable,
     lease: SharedLease,
@@ -159,8 +160,9 @@
         }
     }
 
-    /// Waits for the reason of the next turn. Control messages come first, then messages from discovery, which
-    /// are handled at once. Returns `None` when nobody can send requests any more.
+    /// Waits for the reason of the next turn. Control messages come first, then messages from discovery.
+    /// These are handled here, before anything else of the turn, so that nothing is sent to a node that has
+    /// just started draining. Returns `None` when nobody can send requests any more.
     async fn wait_for_turn(&mut self, inbox: &mut Inbox) -> Option<TurnWork> {
         let timer = self.next_timer();
         tokio::select! {
--- a/crates/core/src/actor/nodes.rs
+++ b/crates/core/src/actor/nodes.rs
@@ -1,7 +1,10 @@
 //! The table of storage nodes: those in the endpoint list, and those that were in it until recently.
 //!
-//! The cost of a change depends on the nodes that it names and on the logarithm of the size of the table. Only
-//! the functions whose comment says so walk all nodes.
+//! A node has two ids: its name, which is the id in the endpoint list ([`Endpoint::id`]), and its number, the
+//! [`NodeId`] by which the policy knows it.
+//!
+//! The cost of a change depends on the nodes that it names and on the logarithm of the size of the table.
+//! Only the functions whose comment says so walk all nodes.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
@@ -15,15 +18,15 @@
 use crate::{Attempt, CommandError, Endpoint, SendGate};
 use heathward_policy::{EndpointEntry, Micros, NodeId, NodeState};
 
-/// How long a node that left the endpoint list keeps its number. If it returns within this time it is the same
-/// node for the policy, which drops a node after the same time.
+/// How long a node that left the endpoint list keeps its number. If it returns within this time it is the
+/// same node for the policy, which drops a node after the same time.
 pub(super) const UNLISTED_NODE_RETENTION: Duration = Duration::from_secs(60);
 
 /// The largest number of suspended nodes, whether listed or not.
 const MAX_SUSPENDED_NODES: usize = 1024;
 
-/// Starts tasks that serve the connections of nodes. The tasks are owned by the function that starts them; each
-/// ends once the channel for its attempts is closed and its attempts have ended.
+/// Starts tasks that serve the connections of nodes. The tasks are owned by the function that starts them;
+/// each ends once the channel for its attempts is closed and its attempts have ended.
 pub(super) struct NodeConnections {
     connect_node: NodeConnector,
     /// Where the ends of attempts are reported. It is weak, so that the actor does not keep itself alive.
@@ -52,7 +55,8 @@
     pub(super) send_gate: SendGate,
     /// How the observer was told last that it is treated.
     pub(super) reported_treatment: Option<NodeTreatment>,
-    /// When slow start began according to an operator or a handover, in microseconds of Unix time.
+    /// When slow start began according to an operator or a handover, in microseconds of Unix time. The later
+    /// of this and [`Endpoint::started_at`] counts.
     slow_start_since: Option<Micros>,
     /// Revision of the last list that named it.
     last_revision: u64,
@@ -95,8 +99,8 @@
     }
 
     /// Decides whether an update with `revision` may replace what is known. While two watches are open, the
-    /// slower one may deliver an older list: changes in it are ignored, and it never revokes a drain. The state
-    /// in `endpoint` is corrected accordingly.
+    /// slower one may deliver an older list: changes in it are ignored, and it never revokes a drain. The
+    /// state in `endpoint` is corrected accordingly.
     pub(super) fn accept_update(
         &mut self,
         endpoint: &mut Endpoint,
@@ -118,9 +122,9 @@
         true
     }
 
-    /// Its entry for the policy. It drains if the endpoint list says so, if it is suspended, or if the lease on
-    /// the list has expired; its send gate is closed accordingly.
-    fn entry(&self, id: NodeId, suspended: bool, lease_expired: bool) -> EndpointEntry {
+    /// Determines its state, closes or opens its send gate accordingly, and returns its entry for the policy.
+    /// It drains if the endpoint list says so, if it is suspended, or if the lease on the list has expired.
+    fn refresh_entry(&self, id: NodeId, suspended: bool, lease_expired: bool) -> EndpointEntry {
         let listed = self.endpoint.state;
         let out_of_service = listed == NodeState::Ready && (lease_expired || suspended);
         let state = if out_of_service { NodeState::Draining } else { listed };
@@ -145,7 +149,7 @@
     zones: Zones,
     /// Revision of the endpoint list that was applied last.
     revision: u64,
-    /// Ids of nodes that operators have suspended, also while they are not in the endpoint list.
+    /// Names of the nodes that operators have suspended, also while they are not in the endpoint list.
     suspended: BTreeSet<Box<str>>,
     /// Number of nodes in the endpoint list.
     listed_count: usize,
@@ -237,8 +241,8 @@
         self.listed_count -= 1;
     }
 
-    /// Unlists the nodes that are missing from a complete list, and returns them. A node that is missing counts
-    /// as removed: an older list does not bring it back. This walks all nodes.
+    /// Unlists the nodes that are missing from a complete list, and returns them. A node that is missing
+    /// counts as removed: an older list does not bring it back. This walks all nodes.
     pub(super) fn unlist_all_except(
         &mut self,
         named: &BTreeSet<NodeId>,
@@ -250,6 +254,7 @@
         for &id in &missing {
             self.unlist(id, now);
             if let Some(node) = self.by_id.get_mut(&id) {
+                // A node that was listed as draining has drained since that revision, not since this one.
                 node.drain_revision = node.drain_revision.or(Some(revision));
                 node.send_gate.set_closed(true);
                 node.endpoint.state = NodeState::Removed;
@@ -272,15 +277,21 @@
     }
 
     /// The entry of a node for the policy. This closes or opens its send gate.
-    pub(super) fn entry(&self, id: NodeId, lease_expired: bool) -> Option<EndpointEntry> {
+    pub(super) fn refresh_entry(&self, id: NodeId, lease_expired: bool) -> Option<EndpointEntry> {
         let node = self.get(id)?;
-        Some(node.entry(id, self.is_suspended(&node.endpoint.id), lease_expired))
+        Some(node.refresh_entry(id, self.is_suspended(&node.endpoint.id), lease_expired))
     }
 
     /// The entry of a node for the policy, if it is in the endpoint list. This closes or opens its send gate.
-    pub(super) fn listed_entry(&self, id: NodeId, lease_expired: bool) -> Option<EndpointEntry> {
+    pub(super) fn refresh_listed_entry(&self, id: NodeId, lease_expired: bool) -> Option<EndpointEntry> {
         self.get(id).filter(|node| node.is_listed())?;
-        self.entry(id, lease_expired)
+        self.refresh_entry(id, lease_expired)
+    }
+
+    /// The entries of all nodes in the endpoint list, for the policy. This closes or opens their send gates,
+    /// and walks all nodes.
+    pub(super) fn refresh_listed_entries(&self, lease_expired: bool) -> Vec<EndpointEntry> {
+        self.listed().filter_map(|(id, _)| self.refresh_entry(id, lease_expired)).collect()
     }
 
     /// Suspends the node with that name.
@@ -303,8 +314,8 @@
         self.suspended.extend(names);
     }
 
-    /// Ends the suspension of the node with that name. It is in slow start from `now` at the latest, because it
-    /// was restarted meanwhile. Returns the node if it is known and was suspended.
+    /// Ends the suspension of the node with that name. It is in slow start from `now` at the latest, because
+    /// it was restarted meanwhile. Returns the node if it is known and was suspended.
     ///
     /// # Errors
     ///
@@ -323,7 +334,8 @@
         Ok(Some(id))
     }
 
-    /// Records that a node was in slow start in another process, since that time in microseconds of Unix time.
+    /// Records that a node was in slow start in another process, since that time in microseconds of Unix
+    /// time.
     pub(super) fn record_slow_start(&mut self, id: NodeId, since: Micros) {
         if let Some(node) = self.by_id.get_mut(&id) {
             node.slow_start_since = node.slow_start_since.max(Some(since));
--- a/crates/core/src/actor/nodes/tests.rs
+++ b/crates/core/src/actor/nodes/tests.rs
@@ -24,8 +24,8 @@
     start + Duration::from_secs(seconds)
 }
 
-/// Guards against a walk of all nodes to forget a few: each is found at the front of the schedule when its time
-/// has come and not before, and only nodes that left within the last minute are retained.
+/// Guards against a walk of all nodes to forget a few: each is found at the front of the schedule when its
+/// time has come and not before, and only nodes that left within the last minute are retained.
 #[tokio::test(start_paused = true)]
 async fn unlisted_nodes_are_forgotten_a_minute_after_they_left_and_no_others() {
     let (mut nodes, start) = (NodeTable::default(), Instant::now());
--- a/crates/core/src/actor/observation.rs
+++ b/crates/core/src/actor/observation.rs
@@ -9,8 +9,8 @@
 use crate::{CoreMetrics, Counters, Endpoint};
 use heathward_policy::{EndpointUpdateKind, Micros, NodeId};
 
-/// The policy drops a node that has had no new requests for a minute, at a time that it does not announce. This
-/// is how often the core checks whether it has.
+/// The policy drops a node that has had no new requests for some time (at most a minute), and does not
+/// announce it. This is how often the core checks whether it has.
 const UNUSED_NODE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 impl Actor {
@@ -74,13 +74,15 @@
         let slow_start_duration = self.published.deployment().settings.slow_start_duration;
         let treatment_at = |now: Micros| {
             let status = self.policy.node_status(now, id);
-            NodeTreatment::from_state(listed, suspended, status, now, || slow_start_duration)
+            NodeTreatment::from_state(listed, suspended, status, now, slow_start_duration)
         };
         let treatment = treatment_at(self.policy.micros_at(at));
         let slow_start_check = match treatment {
             NodeTreatment::SlowStart(since) => {
                 let end = since.saturating_add(slow_start_duration);
-                // A presumed start may turn out to be none at any time before the end.
+                // If the policy expects no change before the end, one check at the end is enough. Otherwise
+                // the start is only presumed, and the policy may revoke it at any time, so the next tick
+                // checks again.
                 let lasts = treatment_at(end - 1) == treatment;
                 Some(if lasts { self.policy.instant_at(end) } else { at })
             }
--- a/crates/core/src/actor/open_requests.rs
+++ b/crates/core/src/actor/open_requests.rs
@@ -16,7 +16,7 @@
 const OVERDUE_GRACE: Duration = Duration::from_millis(5);
 
 /// An answer that must reach the client by half of the request's time is given this much earlier.
-const ANSWER_TRAVEL_TIME: Duration = Duration::from_millis(10);
+const ANSWER_TRAVEL_MARGIN: Duration = Duration::from_millis(10);
 
 /// A request that has no answer yet, or whose attempt is still in flight.
 pub(super) struct OpenRequest {
@@ -24,8 +24,9 @@
     /// Keeps the client's request id reserved; taken by a reply that is streamed.
     pub(super) id_guard: Option<ClientRequestIdGuard>,
     received_at: Instant,
-    /// Half of the request's time is over: until then, an attempt has to find a connection by then.
-    half_time: Instant,
+    /// An attempt that is sent before this instant must find a connection by it. It is half of the request's
+    /// time, less [`ANSWER_TRAVEL_MARGIN`].
+    early_connect_deadline: Instant,
     /// Where the one answer goes; taken by that answer.
     reply: Option<oneshot::Sender<Answer>>,
     /// Cancelled by the final answer and by the disconnect of the client: nothing is written from then on.
@@ -68,7 +69,7 @@
     ) -> Self {
         let time_budget = request.deadline.saturating_duration_since(received_at);
         Self {
-            half_time: received_at + (time_budget / 2).saturating_sub(ANSWER_TRAVEL_TIME),
+            early_connect_deadline: received_at + (time_budget / 2).saturating_sub(ANSWER_TRAVEL_MARGIN),
             request,
             id_guard: Some(id_guard),
             received_at,
@@ -121,8 +122,8 @@
         }
     }
 
-    /// Whether an attempt may be sent now: there is no answer yet, no other attempt is in flight, there is time
-    /// left, and no part of a streamed body was sent before.
+    /// Whether an attempt may be sent now: there is no answer yet, no other attempt is in flight, there is
+    /// time left, and no part of a streamed body was sent before.
     pub(super) fn may_send(&self, now: Instant, attempt_deadline: Instant) -> bool {
         let is_resendable = self.request.node_request.upload.as_ref().is_none_or(Upload::is_unsent);
         !self.is_answered() && self.in_flight.is_none() && now < attempt_deadline && is_resendable
@@ -130,8 +131,8 @@
 
     /// By when an attempt that is sent now has to find a connection.
     pub(super) fn connect_deadline(&self, now: Instant, attempt_deadline: Instant) -> Instant {
-        if now < self.half_time {
-            attempt_deadline.min(self.half_time)
+        if now < self.early_connect_deadline {
+            attempt_deadline.min(self.early_connect_deadline)
         } else {
             attempt_deadline
         }
@@ -167,8 +168,8 @@
     by_id: HashMap<RequestId, OpenRequest>,
     /// The client request ids of these, and of replies that are still being streamed.
     client_ids: ClientRequestIds,
-    /// The requests without an answer, by when the core answers them itself.
-    overdue: BTreeSet<(Instant, RequestId)>,
+    /// All requests without an answer, by when the core answers them itself.
+    answer_limits: BTreeSet<(Instant, RequestId)>,
     /// No request gets more time than that; set once the program shuts down.
     shutdown_deadline: Option<Instant>,
 }
@@ -190,7 +191,7 @@
     }
 
     pub(super) fn insert(&mut self, id: RequestId, open: OpenRequest) {
-        self.overdue.insert((open.overdue_at(), id));
+        self.answer_limits.insert((open.overdue_at(), id));
         self.by_id.insert(id, open);
     }
 
@@ -220,7 +221,7 @@
             attempts: open.attempts,
             last_attempt_end: open.last_attempt_end,
         };
-        self.overdue.remove(&(open.overdue_at(), id));
+        self.answer_limits.remove(&(open.overdue_at(), id));
         if open.in_flight.is_none() {
             self.by_id.remove(&id);
         }
@@ -234,7 +235,7 @@
 
     /// Number of requests without an answer.
     pub(super) fn unanswered_count(&self) -> usize {
-        self.overdue.len()
+        self.answer_limits.len()
     }
 
     /// Number of requests without an answer and of replies that are being streamed.
@@ -244,30 +245,28 @@
 
     /// When the core answers a request itself next.
     pub(super) fn next_overdue(&self) -> Option<Instant> {
-        self.overdue.first().map(|(at, _)| *at)
+        self.answer_limits.first().map(|(at, _)| *at)
     }
 
     /// Removes a request that is overdue from the schedule.
     pub(super) fn pop_overdue(&mut self, now: Instant) -> Option<RequestId> {
-        let &(at, id) = self.overdue.first().filter(|(at, _)| *at <= now)?;
-        self.overdue.remove(&(at, id));
+        let &(at, id) = self.answer_limits.first().filter(|(at, _)| *at <= now)?;
+        self.answer_limits.remove(&(at, id));
         Some(id)
     }
 
-    /// Limits the deadlines of all requests, now and from now on: clients may wait for longer than the platform
-    /// lets the program run, and the end of their connection is no answer.
+    /// Limits the deadlines of all requests, now and from now on: clients may wait for longer than the
+    /// platform lets the program run, and the end of their connection is no answer.
     pub(super) fn set_shutdown_deadline(&mut self, deadline: Instant) {
         self.shutdown_deadline = Some(deadline);
         let first_later = (deadline + OVERDUE_GRACE, RequestId(0));
-        for (overdue_at, id) in self.overdue.split_off(&first_later) {
-            let overdue_at = match self.by_id.get_mut(&id) {
-                Some(open) => {
-                    open.request.deadline = deadline;
-                    open.overdue_at()
-                }
-                None => overdue_at,
-            };
-            self.overdue.insert((overdue_at, id));
+        // The limits are ordered by time, so this takes those that are later than the new one.
+        for (_, id) in self.answer_limits.split_off(&first_later) {
+            // Each request that has a limit is in the table.
+            if let Some(open) = self.by_id.get_mut(&id) {
+                open.request.deadline = deadline;
+                self.answer_limits.insert((open.overdue_at(), id));
+            }
         }
     }
 }
--- a/crates/core/src/actor/peer_process.rs
+++ b/crates/core/src/actor/peer_process.rs
@@ -23,8 +23,9 @@
         commands
     }
 
-    /// Has the peer process carry a command out, which then replies to it. Without a peer process, the command
-    /// is done, and this replies. If too many commands wait, the reply is [`CommandError::PeerUnresponsive`].
+    /// Has the peer process carry a command out, which then replies to it. Without a peer process, the
+    /// command is done, and this replies. If too many commands wait, the reply is
+    /// [`CommandError::PeerUnresponsive`].
     pub(super) fn forward(&self, command: ForwardedCommand) {
         let unsent = match &self.commands {
             Some(peer) => peer.try_send(command).err(),
--- a/crates/core/src/actor/policy.rs
+++ b/crates/core/src/actor/policy.rs
@@ -12,8 +12,8 @@
     Action, Event, Micros, NodeId, NodeStatus, RequestId, Scheduler, Settings, SettingsError,
 };
 
-/// The policy's clock counts complete microseconds, so the policy may act on a deadline up to this much before
-/// the instant of the deadline.
+/// The policy's clock counts complete microseconds, so the policy may act on a deadline slightly before its
+/// instant. A deadline counts as passed this much early, which is ample for that.
 const CLOCK_ROUNDING: Duration = Duration::from_millis(1);
 
 /// The policy with its clock, its timers and the events that it has not seen yet.
--- a/crates/core/src/actor/requests.rs
+++ b/crates/core/src/actor/requests.rs
@@ -82,14 +82,15 @@
         while let Some(id) = self.requests.pop_overdue(now) {
             self.counters.overdue_requests += 1;
             let possibly_executed = self.requests.get(id).is_some_and(OpenRequest::is_possibly_executed);
-            // In a shutdown the client itself still has time: another scheduler can take the request, unless it
-            // may have been executed.
+            // In a shutdown the client itself still has time: another scheduler can take the request, unless
+            // it may have been executed.
             let answer = if self.requests.is_shutting_down() && !possibly_executed {
                 Answer::Shed { retry_after: None }
             } else {
                 Answer::Failed { possibly_executed, deadline_passed: true }
             };
             self.answer_request(id, Some(answer));
+            // To the policy this is the same as a disconnect: nobody waits for its answer any more.
             self.handle_event(Event::ClientDisconnected { request: id });
         }
     }
@@ -125,6 +126,7 @@
     on_arrival: bool,
 ) -> RequestOutcome {
     match answer {
+        // A duplicate is rejected before it becomes an open request, so none comes here.
         None | Some(Answer::Duplicate) => RequestOutcome::ClientDisconnected,
         Some(Answer::Served(_)) => RequestOutcome::Served,
         Some(Answer::Shed { .. }) => RequestOutcome::Shed { last_attempt_end, on_arrival },
--- a/crates/core/src/attempt.rs
+++ b/crates/core/src/attempt.rs
@@ -38,16 +38,17 @@
 
 impl Attempt {
     /// Whether the first byte may be written now: the request is not cancelled, the gate is open, and the
-    /// deadline has not passed. While the body is still being received, the time of the attempt has not begun.
+    /// deadline has not passed. While the body is still being received, the time of the attempt has not
+    /// begun.
     pub fn may_start(&self) -> bool {
         let in_time = self.node_request.upload.is_some() || Instant::now() < self.deadline;
         in_time && !self.cancel.is_cancelled() && !self.send_gate.is_closed()
     }
 }
 
-/// Whether anything new may be sent to a node. All clones share one gate. It is checked right before the first
-/// byte of an attempt, because an attempt may still wait for a connection when its node starts draining or the
-/// lease on the endpoint list expires.
+/// Whether anything new may be sent to a node. All clones share one gate. It is checked right before the
+/// first byte of an attempt, because an attempt may still wait for a connection when its node starts draining
+/// or the lease on the endpoint list expires.
 #[derive(Clone, Debug)]
 pub struct SendGate {
     closed: Arc<AtomicBool>,
@@ -71,13 +72,15 @@
     }
 }
 
+/// An open gate whose lease never expires, for tests.
 impl Default for SendGate {
     fn default() -> Self {
         Self::new(LeaseExpiry::new(Instant::now()))
     }
 }
 
-/// The end of an attempt. Nothing of it is in flight any more, except for a reply that is still being streamed.
+/// The end of an attempt. Nothing of it is in flight any more, except for a reply that is still being
+/// streamed.
 #[derive(Debug)]
 pub struct EndedAttempt {
     /// The request.
--- a/crates/core/src/clock.rs
+++ b/crates/core/src/clock.rs
@@ -20,7 +20,8 @@
         Self { started_at: Instant::now(), unix_micros_at_start: unix_time.as_micros() as Micros }
     }
 
-    /// Unix time at an instant, in microseconds. An instant before the start of the clock counts as its start.
+    /// Unix time at an instant, in microseconds. An instant before the start of the clock counts as its
+    /// start.
     pub fn micros_at(&self, instant: Instant) -> Micros {
         self.unix_micros_at_start + instant.saturating_duration_since(self.started_at).as_micros() as Micros
     }
--- a/crates/core/src/counters.rs
+++ b/crates/core/src/counters.rs
@@ -131,7 +131,8 @@
     }
 }
 
-/// One line for the log, in the names of the metrics.
+/// One line for the log. Its names are part of the interface; `docs/glossary.md` maps them to those of this
+/// code.
 impl fmt::Display for Counters {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
--- a/crates/core/src/endpoint.rs
+++ b/crates/core/src/endpoint.rs
@@ -7,7 +7,7 @@
 /// A storage node as discovery lists it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Endpoint {
-    /// Name of the node, the same for all schedulers.
+    /// Id of the node, a text that is the same for all schedulers.
     pub id: Box<str>,
     /// The address at which this scheduler reaches it.
     pub address: SocketAddr,
--- a/crates/core/src/endpoint_lease.rs
+++ b/crates/core/src/endpoint_lease.rs
@@ -1,6 +1,9 @@
 //! The lease on the endpoint list: how long the latest list may be used while discovery says nothing new. It
 //! does no I/O and has no clock of its own.
 //!
+//! The endpoint list comes from a discovery agent: a process on this machine that passes on what discovery
+//! sends, or the discovery service itself, if schedulers poll it.
+//!
 //! Discovery can be quiet for two reasons. If a watch connection broke, the discovery agent may hold updates
 //! that did not arrive here; a new call delivers them at once. If discovery itself is down, the agent has
 //! nothing new, and a new call stays unanswered too. So a call that the agent accepted and left unanswered
@@ -22,19 +25,19 @@
 /// The same if another process has handed its list over: counted from the takeover.
 const VALIDITY_AFTER_TAKEOVER: Duration = Duration::from_secs(2);
 
-/// The cached list of the start is not used before this time without contact, as the agent's first message may
-/// already be waiting to be read. It is used earlier if the agent was called and has not answered.
+/// The cached list of the start is not used before this time without contact, as the agent's first message
+/// may already be waiting to be read. It is used earlier if the agent was called and has not answered.
 const FIRST_CONTACT_WAIT: Duration = Duration::from_secs(1);
 
 /// For how long the endpoint list may be used.
 ///
 /// The lease is valid from the first contact with discovery until the moment at which an update counts as
-/// delivered that has not arrived. Messages arrive in order, so everything that discovery sent before its last
-/// message is known. Each contact renews the lease. The cached list that a program starts with may be old; it
-/// is used only if the agent does not answer.
+/// delivered that has not arrived. Messages arrive in order, so everything that discovery sent before its
+/// last message is known. Each contact renews the lease. The cached list that a program starts with may be
+/// old; it is used only if the agent does not answer.
 ///
-/// The grace period that settings allow after an update is not used up here: it is reserved for a message that
-/// is read late and for a write that has already begun.
+/// The grace period that settings allow after an update is not used up here: it is reserved for a message
+/// that is read late and for a write that has already begun.
 #[derive(Clone, Copy, Debug)]
 pub struct EndpointLease {
     /// Settings limit the use of an old list; otherwise the lease never expires.
@@ -62,14 +65,15 @@
         }
     }
 
-    /// Sets whether the lease can expire, and how long a scheduler may go without a watch, if lists are polled.
+    /// Sets whether the lease can expire, and how long a scheduler may go without a watch, if lists are
+    /// polled.
     pub fn set_limits(&mut self, is_limited: bool, max_poll_interval: Option<Duration>) {
         (self.is_limited, self.max_poll_interval) = (is_limited, max_poll_interval.unwrap_or_default());
     }
 
     /// A watch message, possibly an empty one, was sent at `at`. Or the agent accepted a call at `at` and has
-    /// not answered it in time, so it had nothing new. The latter counts only for an agent that answers at once
-    /// if it has something to say, not for a service at which calls wait for their turn.
+    /// not answered it in time, so it had nothing new. The latter counts only for an agent that answers at
+    /// once if it has something to say, not for a service at which calls wait for their turn.
     pub fn record_contact(&mut self, at: Instant) {
         if at >= self.last_contact {
             self.last_contact = at;
@@ -98,9 +102,9 @@
         }
     }
 
-    /// A call has failed, was rejected, or was given up. Discovery may have had an update right after the last
-    /// contact, and may have been reachable a moment before the call; such an update counts as delivered 6 s
-    /// after discovery had it. So the extension by [`EndpointLease::record_watch_closed`] is taken back.
+    /// A call has failed, was rejected, or was given up. Discovery may have had an update right after the
+    /// last contact, and may have been reachable a moment before the call; such an update counts as delivered
+    /// 6 s after discovery had it. So the extension by [`EndpointLease::record_watch_closed`] is taken back.
     pub fn record_failed_call(&mut self) {
         self.call_failed_since_contact = true;
         self.valid_until = self.valid_until.min(self.last_contact + VALIDITY_AFTER_CONTACT);
--- a/crates/core/src/endpoint_lease/tests.rs
+++ b/crates/core/src/endpoint_lease/tests.rs
@@ -24,9 +24,9 @@
     spans
 }
 
-/// Guards against using a list for as long as calls fail: with 300 schedulers that would be up to 36 s, although
-/// an update counts as delivered after 6 s. And against using the cached list of the start while this program
-/// is slow to read what its agent has sent.
+/// Guards against using a list for as long as calls fail: with 300 schedulers that would be up to 36 s,
+/// although an update counts as delivered after 6 s. And against using the cached list of the start while
+/// this program is slow to read what its agent has sent.
 #[test]
 fn a_lease_is_valid_from_the_first_contact_until_6_s_after_the_last() {
     let start = Instant::now();
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,8 +1,8 @@
 //! Drives the decision module for real requests. This crate knows requests, attempts and answers, but no wire
 //! format.
 //!
-//! One actor task owns the [`Scheduler`](heathward_policy::Scheduler), the clock, the timers of the policy, the
-//! open requests and the counters:
+//! One actor task owns the [`Scheduler`](heathward_policy::Scheduler), the clock, the timers of the policy,
+//! the open requests and the counters:
 //!
 //! * A front end submits a [`ClientRequest`] through [`CoreHandle`], a tower service, and gets exactly one
 //!   [`Answer`].
@@ -42,5 +42,6 @@
 pub use request::{Answer, ClientRequest, NodeRequest};
 pub use upload::Upload;
 
-/// The longest body, in bytes, that is buffered completely; a longer one is streamed.
+/// The longest body of a request or of a reply, in bytes, that is buffered completely; a longer one is
+/// streamed.
 pub const MAX_BUFFERED_BODY_BYTES: usize = 64 * 1024;
--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -33,8 +33,9 @@
     AttemptEnded(EndedAttempt),
     /// Discovery has an update of the endpoint list.
     EndpointUpdate(EndpointUpdate),
-    /// A watch message, possibly an empty one, arrived from discovery at that instant, and its content was
-    /// sent here before. Or the discovery agent accepted a call at that instant and had nothing more to say.
+    /// A watch message, possibly an empty one (a heartbeat), arrived from discovery at that instant, and its
+    /// content was sent here before. Or the discovery agent accepted a call at that instant and had nothing
+    /// more to say.
     DiscoveryContact(Instant),
     /// At a polled discovery service no watch is open: none was opened yet, or the last one has delivered
     /// messages and has ended.
--- a/crates/core/src/observe.rs
+++ b/crates/core/src/observe.rs
@@ -127,18 +127,18 @@
 }
 
 impl NodeTreatment {
-    /// The treatment of a node with state `listed` in the endpoint list and `status` in the policy, at `now` in
-    /// microseconds of Unix time. Slow start takes `slow_start_duration` microseconds.
+    /// The treatment of a node with state `listed` in the endpoint list and `status` in the policy, at `now`
+    /// in microseconds of Unix time. Slow start takes `slow_start_duration` microseconds.
     pub fn from_state(
         listed: NodeState,
         suspended: bool,
         status: Option<NodeStatus>,
         now: Micros,
-        slow_start_duration: impl FnOnce() -> Micros,
+        slow_start_duration: Micros,
     ) -> Self {
         let in_slow_start_since = |status: NodeStatus| {
             let since = status.slow_start_since?;
-            (now.saturating_sub(since) < slow_start_duration()).then_some(since)
+            (now.saturating_sub(since) < slow_start_duration).then_some(since)
         };
         match (listed, status) {
             (NodeState::Removed, _) | (_, None) => Self::Removed,
--- a/crates/core/src/operator.rs
+++ b/crates/core/src/operator.rs
@@ -9,7 +9,7 @@
 pub enum OperatorCommand {
     /// Send nothing new to the node with that id, whatever the endpoint list says.
     Suspend(Box<str>),
-    /// The node with that id is back in service, starting with slow start.
+    /// The node with that id is back in service. It was restarted meanwhile, so it begins with slow start.
     Restore(Box<str>),
     /// Ask clients to use another scheduler.
     Pause,
--- a/crates/core/src/request.rs
+++ b/crates/core/src/request.rs
@@ -65,8 +65,8 @@
         /// When the client should retry, in microseconds from now; `None` without advice.
         retry_after: Option<Micros>,
     },
-    /// Rejected because an open request has the same client request id; otherwise two attempts of it could run
-    /// at the same time.
+    /// Rejected because an open request has the same client request id; otherwise two attempts of it could
+    /// run at the same time.
     Duplicate,
     /// The request failed; nothing is known about its effect.
     Failed {
--- a/crates/core/src/stall_detection.rs
+++ b/crates/core/src/stall_detection.rs
@@ -1,6 +1,6 @@
-//! Detects that the process did not run for a while (a busy core, a stopped process, a suspended machine), and
-//! collects the discovery updates that arrived meanwhile. Such an update counts as delivered to this scheduler,
-//! so it has to be applied before any request that arrived with it is decided on.
+//! Detects that the process did not run for a while (a busy core, a stopped process, a suspended machine),
+//! and collects the discovery updates that arrived meanwhile. Such an update counts as delivered to this
+//! scheduler, so it has to be applied before any request that arrived with it is decided on.
 
 use std::time::Duration;
 
@@ -14,8 +14,8 @@
 const STALL_THRESHOLD: Duration = Duration::from_millis(100);
 
 /// How often all other tasks are given a turn. An update passes three tasks between its socket and the core
-/// (connection, watch reader, discovery actor), each of which needs a turn, and the runtime polls the operating
-/// system for input only between turns.
+/// (connection, watch reader, discovery actor), each of which needs a turn, and the runtime polls the
+/// operating system for input only between turns.
 const HANDOFF_ROUNDS: u32 = 8;
 
 /// Remembers when the core had its last turn.
@@ -31,7 +31,8 @@
     }
 
     /// Records that the core has a turn now, and returns whether the process may have stalled since the turn
-    /// before. An idle core looks the same as a stalled one; checking for updates then costs a few microseconds.
+    /// before. An idle core looks the same as a stalled one; checking for updates then costs a few
+    /// microseconds.
     pub(crate) fn record_turn(&mut self, now: Instant) -> bool {
         let previous = std::mem::replace(&mut self.last_turn, now);
         now.saturating_duration_since(previous) >= STALL_THRESHOLD
--- a/crates/core/src/upload.rs
+++ b/crates/core/src/upload.rs
@@ -25,8 +25,8 @@
 }
 
 impl Upload {
-    /// An upload of `content_length` bytes in all, if that was announced, whose client waits for `time_budget`
-    /// after the last byte.
+    /// An upload of `content_length` bytes in all, if that was announced, whose client waits for
+    /// `time_budget` after the last byte.
     pub fn new(content_length: Option<u64>, time_budget: Duration, body: BodyStream) -> Self {
         Self(Arc::new(UploadState {
             content_length,
--- a/crates/core/tests/client_disconnects.rs
+++ b/crates/core/tests/client_disconnects.rs
@@ -1,5 +1,5 @@
-//! Client disconnects always reach the core: a full request channel loses none, and requests that wait in it for
-//! nobody are dropped.
+//! Client disconnects always reach the core: a full request channel loses none, and requests that wait in it
+//! for nobody are dropped.
 #![cfg(test)]
 
 use std::future::Future;
@@ -51,8 +51,8 @@
 const BURST: usize = 5_000;
 
 /// Guards against a request that goes on for a client that disconnected in a burst: its attempt waits for a
-/// connection, and must not start although the channel is full. And against work for clients that disconnected
-/// while their requests waited in the channel.
+/// connection, and must not start although the channel is full. And against work for clients that
+/// disconnected while their requests waited in the channel.
 #[tokio::test(start_paused = true)]
 async fn a_full_channel_loses_no_disconnect_and_nothing_starts_for_disconnected_clients() {
     let (core, mut attempts) = core_with_one_node().await;
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -13,8 +13,9 @@
 };
 use tokio::time::Instant;
 
-/// A deployment with that many schedulers. Answers within `latency_objective` microseconds earn the full weight,
-/// clients wait for 1 s, and nothing may be sent to a draining node after `grace` microseconds, if given.
+/// A deployment with that many schedulers. Answers within `latency_objective` microseconds earn the full
+/// weight, clients wait for 1 s, and nothing may be sent to a draining node after `grace` microseconds, if
+/// given.
 pub fn deployment(schedulers: u32, latency_objective: Micros, grace: Option<Micros>) -> Deployment {
     let class = ClassSettings {
         latency_objective,
--- a/crates/core/tests/draining_nodes.rs
+++ b/crates/core/tests/draining_nodes.rs
@@ -1,5 +1,5 @@
-//! Drains in a complete fleet, in virtual time: 350 schedulers and 600 nodes, with updates that arrive late, in
-//! any order, or not at all, starts with an old list, moves of discovery, and connections that open late.
+//! Drains in a complete fleet, in virtual time: 350 schedulers and 600 nodes, with updates that arrive late,
+//! in any order, or not at all, starts with an old list, moves of discovery, and connections that open late.
 #![cfg(test)]
 
 use std::sync::{Arc, Mutex};
@@ -158,8 +158,8 @@
 }
 
 /// Discovery as one scheduler sees it: a message for each change that its agent has, in any order beside an
-/// older snapshot; an empty message every 2 s. An agent with the outage `treated_as_contact` is reported as one
-/// that accepts calls and has nothing new.
+/// older snapshot; an empty message every 2 s. An agent with the outage `treated_as_contact` is reported as
+/// one that accepts calls and has nothing new.
 async fn run_discovery(
     core: CoreHandle,
     schedule: Arc<DrainSchedule>,
@@ -312,8 +312,8 @@
     }
 }
 
-/// The last case is a planted fault, by which the test is known to detect one: an agent that accepts no call is
-/// treated as one that has nothing new.
+/// The last case is a planted fault, by which the test is known to detect one: an agent that accepts no call
+/// is treated as one that has nothing new.
 #[rstest]
 #[case(1, Outage::DiscoveryDown)]
 #[case(2, Outage::DiscoveryDown)]
@@ -346,7 +346,8 @@
     }
     let RequestCounts { served, sent } = *counts.lock().unwrap();
     println!(
-        "seed {seed}, {treated_as_contact:?} treated as contact: {} first bytes, {late} too late, {latest:?}; \
+        "seed {seed}, {treated_as_contact:?} treated as contact: \
+         {} first bytes, {late} too late, {latest:?}; \
          {served} of {sent}",
         first_bytes.len()
     );
--- a/crates/core/tests/endpoint_update_cost.rs
+++ b/crates/core/tests/endpoint_update_cost.rs
@@ -1,5 +1,5 @@
-//! What an endpoint update costs with many nodes, in nodes that are checked: those that it names, and none while
-//! there are no updates. The tests count checks and measure no times.
+//! What an endpoint update costs with many nodes, in nodes that are checked: those that it names, and none
+//! while there are no updates. The tests count checks and measure no times.
 #![cfg(test)]
 
 use std::sync::{Arc, Mutex};
@@ -117,8 +117,8 @@
     assert_eq!(core.metrics().await.unwrap().listed_nodes, FLEET_SIZE as usize);
 }
 
-/// Guards against reporting the end of slow start late, or never, as only nodes are checked whose time has come;
-/// and against checking all nodes in slow start on each tick.
+/// Guards against reporting the end of slow start late, or never, as only nodes are checked whose time has
+/// come; and against checking all nodes in slow start on each tick.
 #[tokio::test(start_paused = true)]
 async fn the_end_of_slow_start_is_reported_in_time_after_one_check() {
     let (core, changes, _attempts) = core_with_nodes(FLEET_SIZE).await;
