--- a/crates/core/src/actor/mod.rs
+++ b/crates/core/src/actor/mod.rs
@@ -118,7 +118,8 @@
     /// Shared with the handles, which record the requests whose clients have disconnected.
     client_disconnects: Arc<ClientDisconnects>,
     requests: OpenRequests,
-    /// The request of which the policy is being notified.
+    /// The request of whose arrival the policy is being notified: one that is shed meanwhile was never
+    /// queued.
     arriving_request: Option<RequestId>,
     nodes: NodeTable,
     lease: SharedLease,
@@ -159,8 +160,9 @@
         }
     }
 
-    /// Waits for the reason of the next turn. Control messages come first, then messages from discovery,
-    /// which are handled at once. Returns `None` when nobody can send requests any more.
+    /// Waits for the reason of the next turn. Control messages come first, then messages from discovery.
+    /// These are handled here, before anything else of the turn, so that nothing is sent to a node that has
+    /// just started draining. Returns `None` when nobody can send requests any more.
     async fn wait_for_turn(&mut self, inbox: &mut Inbox) -> Option<TurnWork> {
         let timer = self.next_timer();
         tokio::select! {
--- a/crates/core/src/actor/requests.rs
+++ b/crates/core/src/actor/requests.rs
@@ -90,6 +90,7 @@
                 Answer::Failed { possibly_executed, deadline_passed: true }
             };
             self.answer_request(id, Some(answer));
+            // To the policy this is the same as a disconnect: nobody waits for its answer any more.
             self.handle_event(Event::ClientDisconnected { request: id });
         }
     }
@@ -125,6 +126,7 @@
     on_arrival: bool,
 ) -> RequestOutcome {
     match answer {
+        // A duplicate is rejected before it becomes an open request, so none comes here.
         None | Some(Answer::Duplicate) => RequestOutcome::ClientDisconnected,
         Some(Answer::Served(_)) => RequestOutcome::Served,
         Some(Answer::Shed { .. }) => RequestOutcome::Shed { last_attempt_end, on_arrival },
--- a/crates/core/src/attempt.rs
+++ b/crates/core/src/attempt.rs
@@ -72,6 +72,7 @@
     }
 }
 
+/// An open gate whose lease never expires, for tests.
 impl Default for SendGate {
     fn default() -> Self {
         Self::new(LeaseExpiry::new(Instant::now()))
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -42,5 +42,6 @@
 pub use request::{Answer, ClientRequest, NodeRequest};
 pub use upload::Upload;
 
-/// The longest body, in bytes, that is buffered completely; a longer one is streamed.
+/// The longest body of a request or of a reply, in bytes, that is buffered completely; a longer one is
+/// streamed.
 pub const MAX_BUFFERED_BODY_BYTES: usize = 64 * 1024;
--- a/crates/core/src/observe.rs
+++ b/crates/core/src/observe.rs
@@ -134,11 +134,11 @@
         suspended: bool,
         status: Option<NodeStatus>,
         now: Micros,
-        slow_start_duration: impl FnOnce() -> Micros,
+        slow_start_duration: Micros,
     ) -> Self {
         let in_slow_start_since = |status: NodeStatus| {
             let since = status.slow_start_since?;
-            (now.saturating_sub(since) < slow_start_duration()).then_some(since)
+            (now.saturating_sub(since) < slow_start_duration).then_some(since)
         };
         match (listed, status) {
             (NodeState::Removed, _) | (_, None) => Self::Removed,
--- a/crates/core/tests/draining_nodes.rs
+++ b/crates/core/tests/draining_nodes.rs
@@ -346,8 +346,9 @@
     }
     let RequestCounts { served, sent } = *counts.lock().unwrap();
     println!(
-        "seed {seed}, {treated_as_contact:?} treated as contact: {} first bytes, {late} too late, \
-         {latest:?}; {served} of {sent}",
+        "seed {seed}, {treated_as_contact:?} treated as contact: \
+         {} first bytes, {late} too late, {latest:?}; \
+         {served} of {sent}",
         first_bytes.len()
     );
     let has_fault = treated_as_contact != Outage::DiscoveryDown;
