--- a/crates/discovery-pacing/src/call_pacer.rs
+++ b/crates/discovery-pacing/src/call_pacer.rs
@@ -2,10 +2,11 @@
 //!
 //! The service serves a limited number of calls per second, and does not say how many. A call that exceeds
 //! this waits, fails, and still uses up some of the service's time, so the fleet must not call faster than it
-//! is served. Each scheduler estimates what one call costs the service from its own calls: an answer that
-//! comes at once shows the cost, a late one is an upper bound, and a failure shows that the cost is higher
-//! than estimated. A round, in which every scheduler calls once, then takes the estimated cost times the
-//! number of schedulers. Each scheduler calls in its own slot of the round, so that calls are spread evenly.
+//! is served. Each scheduler estimates the cost of one call, which is the time that the service spends on it,
+//! from its own calls: an answer that comes at once shows the cost, a late one is an upper bound, and a
+//! failure shows that the cost is higher than estimated. A round, in which every scheduler calls once, then
+//! takes the estimated cost times the number of schedulers. Each scheduler calls in its own slot of the
+//! round, so that calls are spread evenly.
 
 use std::time::Duration;
 
@@ -17,10 +18,11 @@
 const MAX_COST: Duration = Duration::from_millis(1_000);
 /// A round is longer than the estimated cost of its calls by this factor.
 const ROUND_HEADROOM_FACTOR: f64 = 1.2;
-/// A failure raises the estimate by this factor, and a late answer by no more: it may have waited for others.
-const MAX_COST_RAISE_FACTOR: f64 = 1.6;
+/// A failure raises the estimate by this factor. A late answer, which may have waited for others, raises it
+/// by no more.
+const COST_RAISE_FACTOR: f64 = 1.6;
 /// An answer lowers the estimate to no less than this fraction of it.
-const MAX_COST_DROP_FACTOR: f64 = 0.5;
+const COST_DROP_FACTOR: f64 = 0.5;
 /// The fastest answer so far counts as slower by this factor with each further answer, so that it is
 /// forgotten when the service becomes slower.
 const FASTEST_ANSWER_AGING_FACTOR: f64 = 1.1;
@@ -110,15 +112,15 @@
         let aged = |fastest: Duration| fastest.mul_f64(FASTEST_ANSWER_AGING_FACTOR);
         let fastest = self.fastest_answer.map_or(elapsed, |fastest| elapsed.min(aged(fastest)));
         self.fastest_answer = Some(fastest);
-        let lowest = self.estimated_cost.mul_f64(MAX_COST_DROP_FACTOR);
-        let highest = self.estimated_cost.mul_f64(MAX_COST_RAISE_FACTOR);
+        let lowest = self.estimated_cost.mul_f64(COST_DROP_FACTOR);
+        let highest = self.estimated_cost.mul_f64(COST_RAISE_FACTOR);
         self.estimated_cost = fastest.clamp(lowest, highest).clamp(MIN_COST, MAX_COST);
         self.offset_in_round()
     }
 
     /// Records that a call failed, `elapsed` after it was made. Returns the delay before the next call: the
     /// rest of this round, and the way to this scheduler's slot in the next one. Without the rest of this
-    /// round, schedulers with an early slot would call again and again within it.
+    /// round, schedulers with a low index, whose slot comes early, would call several times within it.
     pub fn on_failure(&mut self, failure: CallFailure, elapsed: Duration) -> Duration {
         let is_first_failure = self.failures == 0;
         let round_before = self.round_duration();
@@ -130,8 +132,7 @@
             CallFailure::Rejected { .. } => !is_first_failure,
         };
         if shows_overload {
-            self.estimated_cost =
-                self.estimated_cost.mul_f64(MAX_COST_RAISE_FACTOR).clamp(MIN_COST, MAX_COST);
+            self.estimated_cost = self.estimated_cost.mul_f64(COST_RAISE_FACTOR).clamp(MIN_COST, MAX_COST);
         }
         let rest_of_round = round_before.mul_f64(1.0 - self.slot_start());
         let delay = rest_of_round.saturating_sub(elapsed) + self.offset_in_round();
--- a/crates/transport/src/admin/client.rs
+++ b/crates/transport/src/admin/client.rs
@@ -12,7 +12,7 @@
 /// No reply is longer.
 const MAX_REPLY_BYTES: u64 = 256 * 1024;
 
-/// Why a call was not carried out.
+/// Why a call was not carried out. The texts are part of the interface of the programs that print them.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum CallError {
     /// The scheduler rejects the request; its reason.
@@ -32,7 +32,7 @@
     Malformed,
 }
 
-/// The lines of a good reply, without the `END` of a list; a command's reply has none.
+/// The lines of a list, without its `END`; no lines for any other request that was carried out.
 ///
 /// # Errors
 /// [`CallError`] if the scheduler rejects the request, cannot be reached, or does not reply by the deadline.
--- a/crates/transport/src/admin/server.rs
+++ b/crates/transport/src/admin/server.rs
@@ -54,8 +54,9 @@
     let _ = timeout(CALLER_TIMEOUT, sending).await;
 }
 
-/// The line of a request without its end. What the caller sends before it closes its side counts as a line,
-/// too; `None` if that is nothing.
+/// The line of a request without its end; `None` if the caller closes its side without any byte. A line
+/// without an end is returned as it is if the caller closes its side, or once it exceeds
+/// [`MAX_REQUEST_BYTES`]: the parser rejects what is no request.
 async fn read_request_line(stream: &mut TcpStream) -> Option<Vec<u8>> {
     let mut line = Vec::with_capacity(USUAL_REQUEST_BYTES);
     let mut buffer = [0; MAX_REQUEST_BYTES];
--- a/crates/transport/src/backoff.rs
+++ b/crates/transport/src/backoff.rs
@@ -1,5 +1,6 @@
-//! How long to wait between two calls to discovery: exponential backoff with jitter at an agent on this
-//! machine, paced calls at a service that all schedulers share. No I/O, no clock.
+//! How long to wait between two calls to discovery. Each machine may run a discovery agent of its own, which
+//! streams the endpoint list: calls to it follow an exponential backoff with jitter. Without agents all
+//! schedulers call one discovery service: their calls are paced. No I/O, no clock.
 
 use std::time::Duration;
 
@@ -34,12 +35,14 @@
         Self { rng: fastrand::Rng::with_seed(seed), failures: 0 }
     }
 
-    /// The delay before the next call: at most 50 ms after a `healthy` watch, at most 1 s after a failure.
-    pub fn next_delay(&mut self, healthy: bool) -> Duration {
-        if healthy {
-            self.failures = 0;
-            return MAX_HEALTHY_DELAY.mul_f64(self.rng.f64());
-        }
+    /// The delay before the next call after a healthy watch has ended, at most 50 ms.
+    pub fn delay_after_healthy_watch(&mut self) -> Duration {
+        self.failures = 0;
+        MAX_HEALTHY_DELAY.mul_f64(self.rng.f64())
+    }
+
+    /// The delay before the next call after a failure, at most 1 s.
+    pub fn delay_after_failure(&mut self) -> Duration {
         let doublings = self.failures.min(MAX_DOUBLINGS);
         let longest = INITIAL_FAILURE_DELAY.saturating_mul(1 << doublings).min(MAX_FAILURE_DELAY);
         self.failures = self.failures.saturating_add(1);
@@ -52,7 +55,7 @@
 pub enum WatchEnd {
     /// It had brought an update, or had been open for a while.
     Healthy {
-        /// From when the call was accepted until its response began.
+        /// From when the request was sent until its response began.
         answered_in: Duration,
     },
     /// It failed.
@@ -102,7 +105,8 @@
     /// The delay from the end of a watch to the next call.
     pub fn next_delay(&mut self, end: WatchEnd) -> Duration {
         match (self, end) {
-            (Self::LocalAgent(backoff), end) => backoff.next_delay(matches!(end, WatchEnd::Healthy { .. })),
+            (Self::LocalAgent(backoff), WatchEnd::Healthy { .. }) => backoff.delay_after_healthy_watch(),
+            (Self::LocalAgent(backoff), WatchEnd::Failed { .. }) => backoff.delay_after_failure(),
             (Self::SharedService(pacer), WatchEnd::Healthy { answered_in }) => pacer.on_answer(answered_in),
             (Self::SharedService(pacer), WatchEnd::Failed { failure, elapsed }) => {
                 pacer.on_failure(failure, elapsed)
--- a/crates/transport/src/backoff/tests.rs
+++ b/crates/transport/src/backoff/tests.rs
@@ -24,8 +24,8 @@
 #[test]
 fn schedulers_reconnect_to_their_agents_at_different_times() {
     let mut backoff = AgentBackoff::new(1);
-    assert!(backoff.next_delay(false) <= Duration::from_millis(50));
-    let first_delay = |seed| AgentBackoff::new(seed).next_delay(false);
+    assert!(backoff.delay_after_failure() <= Duration::from_millis(50));
+    let first_delay = |seed| AgentBackoff::new(seed).delay_after_failure();
     let delays: BTreeSet<_> = (0..100).map(first_delay).collect();
     assert!(delays.len() > 95);
 }
--- a/crates/transport/src/discovery/call.rs
+++ b/crates/transport/src/discovery/call.rs
@@ -41,7 +41,7 @@
 /// What the reading task has reached so far.
 #[derive(Debug, Default)]
 struct Milestones {
-    accepted_at: OnceLock<Instant>,
+    sent_at: OnceLock<Instant>,
     response: OnceLock<ResponseHead>,
 }
 
@@ -68,7 +68,7 @@
     pub(super) fn progress(&self) -> CallProgress {
         CallProgress {
             opened_at: self.opened_at,
-            accepted_at: self.milestones.accepted_at.get().copied(),
+            sent_at: self.milestones.sent_at.get().copied(),
             response: self.milestones.response.get().copied(),
         }
     }
@@ -125,8 +125,8 @@
     let mut connection = Box::pin(connection);
     let request = Request::get(path_and_query(request)).header(HOST, address.to_string());
     let response = sender.send_request(request.body(Empty::<Bytes>::new()).ok()?);
-    // The request is written when the connection is polled for the first time, which is right now.
-    let _ = milestones.accepted_at.set(Instant::now());
+    // The connection writes the request when it is polled for the first time, which is right now.
+    let _ = milestones.sent_at.set(Instant::now());
     let response = tokio::select! {
         response = response => response.ok()?,
         _ = connection.as_mut() => return None,
--- a/crates/transport/src/discovery/events.rs
+++ b/crates/transport/src/discovery/events.rs
@@ -39,7 +39,7 @@
     /// When the call was opened.
     pub(super) opened_at: Instant,
     /// When the request was sent on an established connection, if it was.
-    pub(super) accepted_at: Option<Instant>,
+    pub(super) sent_at: Option<Instant>,
     /// The head of the response, if it has arrived.
     pub(super) response: Option<ResponseHead>,
 }
--- a/crates/transport/src/discovery/supervisor.rs
+++ b/crates/transport/src/discovery/supervisor.rs
@@ -8,16 +8,15 @@
 //! * the **timed-out** watch is the first one that has sent no line in time. It stays open while another one
 //!   is tried: an agent sends nothing while discovery is down, and a shared service answers its callers in
 //!   turn, so that closing a call would lose its turn. The first line from either watch closes the other one;
-//! * the **confirmation** is a call for the complete list, made beside a current watch that the agent has
-//!   accepted and has not answered. Only when it gets no answer either is the agent taken to have nothing
-//!   new.
+//! * the **confirmation** is a call for the complete list, made beside a current watch that was sent and that
+//!   the agent has not answered. Only when it gets no answer either is the agent taken to have nothing new.
 //!
 //! The states of the current watch, and what leads from one to the other:
 //!
 //! ```text
 //! Waiting --reconnect time------------> Open     a watch is opened
 //! Open ----line-----------------------> Open     its timeout starts anew; the other calls are closed
-//! Open ----no line in time------------> Waiting  it becomes the timed-out watch, or closes if there is one
+//! Open ----no line in time------------> Waiting  it becomes the timed-out watch, or is closed
 //! Open ----end------------------------> Waiting
 //! either --line of timed-out watch----> Open     that watch becomes the current one
 //! ```
@@ -39,11 +38,12 @@
 
 /// An empty line arrives every 2 s. A watch without any line for this long has timed out.
 const LINE_TIMEOUT: Duration = Duration::from_millis(2750);
-/// An agent that has something to send has begun its answer within this time after accepting a call.
+/// An agent that has something to send has begun its answer within this time after a call was sent to it.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(250);
 /// A watch that was open for longer than this counts as healthy even if it brought no update.
 const HEALTHY_WATCH_AGE: Duration = Duration::from_millis(5500);
-/// A call that ends sooner than this after it was opened was never taken up by the server.
+/// A connection that breaks within this time after the call was opened belongs to a server that is not
+/// serving calls, so the call counts as one that was never made.
 const IMMEDIATE_END: Duration = Duration::from_millis(5);
 /// Watches at a superseded address are closed after this time.
 const SUPERSEDED_WATCH_LIFETIME: Duration = Duration::from_secs(5);
@@ -55,8 +55,8 @@
     Active,
     /// Another one is; watches that are open stay until then.
     Superseded { until: Instant },
-    /// All watches have ended.
-    Finished,
+    /// Another one is, and the lifetime of the watches is over.
+    Expired,
 }
 
 /// An open watch.
@@ -77,6 +77,27 @@
     Open { watch: Watch, times_out_at: Instant },
 }
 
+/// Whether the request of a call was sent.
+#[derive(Clone, Copy, Debug)]
+enum RequestState {
+    /// There is no such call.
+    NoCall,
+    /// Its connection is not established yet.
+    Connecting,
+    /// It was sent then.
+    Sent(Instant),
+}
+
+impl RequestState {
+    fn of(call: Option<CallProgress>) -> Self {
+        match call {
+            None => Self::NoCall,
+            Some(CallProgress { sent_at: None, .. }) => Self::Connecting,
+            Some(CallProgress { sent_at: Some(sent_at), .. }) => Self::Sent(sent_at),
+        }
+    }
+}
+
 /// The supervisor of all calls at one address.
 #[derive(Debug)]
 pub(super) struct WatchSupervisor {
@@ -133,7 +154,7 @@
         match self.address {
             AddressPhase::Active => false,
             AddressPhase::Superseded { .. } => !watch_open,
-            AddressPhase::Finished => true,
+            AddressPhase::Expired => true,
         }
     }
 
@@ -159,8 +180,8 @@
                 self.address = AddressPhase::Superseded { until: now + SUPERSEDED_WATCH_LIFETIME };
             }
             Event::Line { slot, line } => {
-                self.on_line_from(slot, now, &mut actions);
-                self.on_line(line, now, &mut actions);
+                self.keep_only(slot, now, &mut actions);
+                self.record_line(line, now, &mut actions);
             }
             Event::Ended { slot: CallSlot::Current, progress } => {
                 self.on_current_ended(&progress, now, &mut actions);
@@ -169,7 +190,7 @@
                 self.on_confirmation_ended(now, &mut actions);
             }
             Event::Ended { slot: CallSlot::TimedOut, .. } => {
-                self.close(CallSlot::TimedOut, &mut actions);
+                self.close_timed_out(&mut actions);
             }
             Event::AnswerTimeout { line_waiting, current, confirmation } => {
                 self.answer_deadline = None;
@@ -186,16 +207,16 @@
         self.mode == EndpointListMode::Streamed
     }
 
-    /// A line makes its watch the only one, with its full time for the next line.
-    fn on_line_from(&mut self, slot: CallSlot, now: Instant, actions: &mut Vec<Action>) {
+    /// The watch that sent a line becomes the current and only one, with its full time for the next line.
+    fn keep_only(&mut self, slot: CallSlot, now: Instant, actions: &mut Vec<Action>) {
         let next_timeout = now + LINE_TIMEOUT;
         match slot {
             CallSlot::Current => {
-                self.close(CallSlot::Confirmation, actions);
+                self.close_confirmation(actions);
                 if let CurrentWatch::Open { times_out_at, .. } = &mut self.current {
                     *times_out_at = next_timeout;
                 }
-                self.close(CallSlot::TimedOut, actions);
+                self.close_timed_out(actions);
             }
             CallSlot::TimedOut => {
                 if let Some(watch) = self.timed_out.take() {
@@ -203,11 +224,12 @@
                     actions.push(Action::MakeTimedOutCurrent);
                 }
             }
-            CallSlot::Confirmation => self.close(CallSlot::Confirmation, actions),
+            CallSlot::Confirmation => self.close_confirmation(actions),
         }
     }
 
-    fn on_line(&mut self, line: Line, now: Instant, actions: &mut Vec<Action>) {
+    /// Reports what a line brings.
+    fn record_line(&mut self, line: Line, now: Instant, actions: &mut Vec<Action>) {
         self.answer_deadline = None;
         self.awaits_first_report = false;
         if line == Line::Malformed {
@@ -220,29 +242,30 @@
         if let CurrentWatch::Open { watch, .. } = &mut self.current {
             watch.received_line = true;
         }
-        // Only updates count from a superseded address: it may have nothing to say about what the current
-        // address already knows.
+        // An empty line of a superseded address says nothing about what the current address has to send, so
+        // it must not renew the lease on the list.
         if self.is_active() {
             actions.push(Action::Report(Report::Contact(now)));
         }
     }
 
     fn on_current_ended(&mut self, progress: &CallProgress, now: Instant, actions: &mut Vec<Action>) {
-        self.close(CallSlot::Confirmation, actions);
-        self.close(CallSlot::Current, actions);
+        self.close_confirmation(actions);
         let CurrentWatch::Open { watch, .. } = self.current else { return };
+        actions.push(Action::Close(CallSlot::Current));
         self.reconnect_after(watch, progress, now);
         if !self.is_streamed() {
             // A watch that brought lines was the only one: its first line has closed the timed-out one.
             let report = if watch.received_line { Report::WatchClosed } else { Report::CallFailed };
             actions.push(Action::Report(report));
         }
+        // There is no answer left to wait for: that none came is judged in the next event.
         self.answer_deadline = self.awaits_first_report.then_some(now);
     }
 
-    /// The confirmation gives no list, and does not stay open either.
+    /// The confirmation has ended without a list.
     fn on_confirmation_ended(&mut self, now: Instant, actions: &mut Vec<Action>) {
-        self.close(CallSlot::Confirmation, actions);
+        self.close_confirmation(actions);
         self.answer_deadline = None;
         self.report_first_unanswered(now, actions);
     }
@@ -258,34 +281,44 @@
     ) {
         // A shared service that has not answered may just not have come to this call yet.
         let current = current.filter(|_| self.is_streamed() && self.is_active());
-        let current = current.map(|call| call.accepted_at);
-        let confirmation = confirmation.map(|call| call.accepted_at);
-        match (current, confirmation) {
-            (Some(Some(accepted_at)), None) if accepted_at + ANSWER_TIMEOUT <= now => {
+        match (RequestState::of(current), RequestState::of(confirmation)) {
+            (RequestState::Sent(sent_at), RequestState::NoCall) if sent_at + ANSWER_TIMEOUT <= now => {
                 // A watch whose connection was broken from the beginning would look the same.
                 self.open_confirmation(now, actions);
                 return;
             }
-            (Some(Some(accepted_at)), Some(Some(asked_at))) if asked_at + ANSWER_TIMEOUT <= now => {
-                self.close(CallSlot::Confirmation, actions);
-                actions.push(Action::Report(Report::Contact(accepted_at)));
+            (RequestState::Sent(watch_sent_at), RequestState::Sent(sent_at))
+                if sent_at + ANSWER_TIMEOUT <= now =>
+            {
+                self.close_confirmation(actions);
+                actions.push(Action::Report(Report::Contact(watch_sent_at)));
             }
-            (Some(Some(_)), Some(asked_at)) => {
-                self.answer_deadline = Some(asked_at.unwrap_or(now) + ANSWER_TIMEOUT);
+            // The confirmation has not had its time yet.
+            (RequestState::Sent(_), RequestState::Sent(sent_at)) => {
+                self.answer_deadline = Some(sent_at + ANSWER_TIMEOUT);
                 return;
             }
-            (Some(accepted_at), None) => {
-                self.answer_deadline = Some(accepted_at.unwrap_or(now) + ANSWER_TIMEOUT);
+            (RequestState::Sent(_), RequestState::Connecting) => {
+                self.answer_deadline = Some(now + ANSWER_TIMEOUT);
+                return;
+            }
+            // The watch has not had its time yet: that it was not answered so far is reported all the same.
+            (RequestState::Sent(sent_at), RequestState::NoCall) => {
+                self.answer_deadline = Some(sent_at + ANSWER_TIMEOUT);
             }
-            _ => {}
+            (RequestState::Connecting, RequestState::NoCall) => {
+                self.answer_deadline = Some(now + ANSWER_TIMEOUT);
+            }
+            // There is no watch whose silence would mean anything.
+            (RequestState::NoCall, _) | (RequestState::Connecting, _) => {}
         }
         self.report_first_unanswered(now, actions);
     }
 
     fn on_timeout(&mut self, progress: Option<CallProgress>, now: Instant, actions: &mut Vec<Action>) {
         match (self.address, self.current, progress) {
-            (AddressPhase::Superseded { .. } | AddressPhase::Finished, _, _) => {
-                self.address = AddressPhase::Finished;
+            (AddressPhase::Superseded { .. } | AddressPhase::Expired, _, _) => {
+                self.address = AddressPhase::Expired;
             }
             (AddressPhase::Active, CurrentWatch::Open { watch, .. }, Some(progress)) => {
                 self.on_current_timed_out(watch, &progress, now, actions);
@@ -303,7 +336,7 @@
         actions: &mut Vec<Action>,
     ) {
         self.reconnect_after(watch, progress, now);
-        // For how long the list may be used after a watch that brought lines is known from its last line.
+        // A watch that brought lines has not failed: the lease on the list runs from its last line.
         if !self.is_streamed() && !watch.received_line {
             actions.push(Action::Report(Report::CallFailed));
         }
@@ -316,7 +349,7 @@
     }
 
     fn open_watch(&mut self, now: Instant, actions: &mut Vec<Action>) {
-        self.close(CallSlot::Confirmation, actions);
+        self.close_confirmation(actions);
         let watch = Watch { after: self.revision, received_line: false };
         self.current = CurrentWatch::Open { watch, times_out_at: now + LINE_TIMEOUT };
         let awaits_answer = self.awaits_first_report || self.is_streamed();
@@ -331,15 +364,15 @@
         actions.push(Action::Open { slot: CallSlot::Confirmation, request: ListRequest::Snapshot });
     }
 
-    /// Closes a call if it is open. The state of the current watch is left to the caller.
-    fn close(&mut self, slot: CallSlot, actions: &mut Vec<Action>) {
-        let was_open = match slot {
-            CallSlot::Current => matches!(self.current, CurrentWatch::Open { .. }),
-            CallSlot::TimedOut => self.timed_out.take().is_some(),
-            CallSlot::Confirmation => std::mem::take(&mut self.confirmation_open),
-        };
-        if was_open {
-            actions.push(Action::Close(slot));
+    fn close_confirmation(&mut self, actions: &mut Vec<Action>) {
+        if std::mem::take(&mut self.confirmation_open) {
+            actions.push(Action::Close(CallSlot::Confirmation));
+        }
+    }
+
+    fn close_timed_out(&mut self, actions: &mut Vec<Action>) {
+        if self.timed_out.take().is_some() {
+            actions.push(Action::Close(CallSlot::TimedOut));
         }
     }
 
@@ -360,15 +393,15 @@
 fn classify_end(watch: Watch, progress: &CallProgress, revision: u64, now: Instant) -> WatchEnd {
     let elapsed = now.saturating_duration_since(progress.opened_at);
     let brought_update = revision != watch.after;
-    if let Some(accepted_at) = progress.accepted_at {
+    if let Some(sent_at) = progress.sent_at {
         if brought_update || elapsed > HEALTHY_WATCH_AGE {
-            let answer_time = |head: ResponseHead| head.received_at.saturating_duration_since(accepted_at);
+            let answer_time = |head: ResponseHead| head.received_at.saturating_duration_since(sent_at);
             return WatchEnd::Healthy { answered_in: progress.response.map_or(elapsed, answer_time) };
         }
     }
     let failure = match progress.response.map(|head| head.status) {
         Some(ResponseStatus::Rejected { retry_after }) => CallFailure::Rejected { retry_after },
-        _ if progress.accepted_at.is_some() && elapsed > IMMEDIATE_END => CallFailure::TimedOut,
+        _ if progress.sent_at.is_some() && elapsed > IMMEDIATE_END => CallFailure::TimedOut,
         _ => CallFailure::Unreachable,
     };
     WatchEnd::Failed { failure, elapsed }
--- a/crates/transport/src/discovery/supervisor/tests.rs
+++ b/crates/transport/src/discovery/supervisor/tests.rs
@@ -52,20 +52,20 @@
         self.handle(Event::Line { slot, line })
     }
 
-    /// The progress of a call that was accepted at once and has no response.
-    fn accepted(&self) -> CallProgress {
-        CallProgress { opened_at: self.opened_at, accepted_at: Some(self.opened_at), response: None }
+    /// The progress of a call that was sent at once and has no response.
+    fn sent(&self) -> CallProgress {
+        CallProgress { opened_at: self.opened_at, sent_at: Some(self.opened_at), response: None }
     }
 
     fn end(&mut self, slot: CallSlot) -> Vec<Action> {
-        let progress = self.accepted();
+        let progress = self.sent();
         self.handle(Event::Ended { slot, progress })
     }
 
     /// Goes on to the deadline of the current watch or of the reconnect.
     fn time_out(&mut self) -> Vec<Action> {
         self.now = self.supervisor.deadline();
-        let current = matches!(self.supervisor.current, CurrentWatch::Open { .. }).then(|| self.accepted());
+        let current = matches!(self.supervisor.current, CurrentWatch::Open { .. }).then(|| self.sent());
         self.handle(Event::Timeout { current })
     }
 
@@ -131,9 +131,9 @@
 #[test]
 fn an_unanswered_streamed_watch_counts_as_idle_only_once_a_confirmation_is_unanswered_too() {
     let mut scenario = Scenario::watching(STREAMED);
-    let current = scenario.accepted();
+    let current = scenario.sent();
     assert_eq!(scenario.miss_answer(Some(current), None), [OPEN_CONFIRMATION]);
-    let confirmation = CallProgress { accepted_at: Some(scenario.now), ..current };
+    let confirmation = CallProgress { sent_at: Some(scenario.now), ..current };
     let actions = scenario.miss_answer(Some(current), Some(confirmation));
     let expected = [
         Action::Close(CallSlot::Confirmation),
@@ -145,20 +145,20 @@
 }
 
 #[test]
-fn a_confirmation_has_its_full_time_from_when_it_was_accepted() {
+fn a_confirmation_has_its_full_time_from_when_it_was_sent() {
     let mut scenario = Scenario::watching(STREAMED);
-    let current = scenario.accepted();
+    let current = scenario.sent();
     scenario.miss_answer(Some(current), None);
-    let accepted_at = scenario.now + 100 * MS;
-    let late = CallProgress { accepted_at: Some(accepted_at), ..current };
+    let sent_at = scenario.now + 100 * MS;
+    let late = CallProgress { sent_at: Some(sent_at), ..current };
     assert_eq!(scenario.miss_answer(Some(current), Some(late)), []);
-    assert_eq!(scenario.supervisor.answer_deadline(), Some(accepted_at + ANSWER_TIMEOUT));
+    assert_eq!(scenario.supervisor.answer_deadline(), Some(sent_at + ANSWER_TIMEOUT));
 }
 
 #[test]
-fn a_watch_that_is_not_accepted_yet_is_reported_unanswered_and_checked_later() {
+fn a_watch_that_is_not_connected_yet_is_reported_unanswered_and_checked_later() {
     let mut scenario = Scenario::watching(STREAMED);
-    let connecting = CallProgress { accepted_at: None, ..scenario.accepted() };
+    let connecting = CallProgress { sent_at: None, ..scenario.sent() };
     let actions = scenario.miss_answer(Some(connecting), None);
     assert_eq!(actions, [Action::Report(Report::Unanswered(scenario.now))]);
     assert_eq!(scenario.supervisor.answer_deadline(), Some(scenario.now + ANSWER_TIMEOUT));
@@ -167,7 +167,7 @@
 #[test]
 fn an_unanswered_polled_watch_is_reported_once_without_a_confirmation() {
     let mut scenario = Scenario::watching(POLLED);
-    let current = scenario.accepted();
+    let current = scenario.sent();
     let actions = scenario.miss_answer(Some(current), None);
     assert_eq!(actions, [Action::Report(Report::Unanswered(scenario.now))]);
     assert_eq!(scenario.supervisor.answer_deadline(), None);
@@ -176,7 +176,7 @@
 #[test]
 fn a_line_that_has_arrived_by_the_answer_deadline_is_an_answer() {
     let mut scenario = Scenario::watching(STREAMED);
-    let current = Some(scenario.accepted());
+    let current = Some(scenario.sent());
     scenario.now += ANSWER_TIMEOUT;
     let event = Event::AnswerTimeout { line_waiting: true, current, confirmation: None };
     assert_eq!(scenario.handle(event), []);
@@ -186,7 +186,7 @@
 #[test]
 fn a_confirmation_that_ends_without_a_list_is_reported_as_unanswered() {
     let mut scenario = Scenario::watching(STREAMED);
-    let current = scenario.accepted();
+    let current = scenario.sent();
     scenario.miss_answer(Some(current), None);
     let expected = [Action::Close(CallSlot::Confirmation), Action::Report(Report::Unanswered(scenario.now))];
     assert_eq!(scenario.end(CallSlot::Confirmation), expected);
@@ -196,7 +196,7 @@
 #[test]
 fn a_line_of_the_current_watch_closes_its_confirmation() {
     let mut scenario = Scenario::watching(STREAMED);
-    let current = scenario.accepted();
+    let current = scenario.sent();
     scenario.miss_answer(Some(current), None);
     let contact = Action::Report(Report::Contact(scenario.now));
     let expected = [Action::Close(CallSlot::Confirmation), contact];
@@ -310,7 +310,7 @@
 #[case::open_for_long_without_answer(Some(1), None, false, 5501, healthy(5501))]
 #[case::brought_an_update(Some(1), Some((4, ResponseStatus::Ok)), true, 5, healthy(3))]
 fn the_end_of_a_call_is_classified_by_how_far_it_came(
-    #[case] accepted: Option<u64>,
+    #[case] sent: Option<u64>,
     #[case] response: Option<(u64, ResponseStatus)>,
     #[case] brought_update: bool,
     #[case] ended: u64,
@@ -320,7 +320,7 @@
     let after = |ms| opened_at + Duration::from_millis(ms);
     let progress = CallProgress {
         opened_at,
-        accepted_at: accepted.map(after),
+        sent_at: sent.map(after),
         response: response.map(|(ms, status)| ResponseHead { received_at: after(ms), status }),
     };
     let watch = Watch { after: KNOWN_REVISION, received_line: false };
--- a/crates/transport/src/discovery/watch_task.rs
+++ b/crates/transport/src/discovery/watch_task.rs
@@ -19,7 +19,8 @@
 use super::wire::parse_update;
 use crate::backoff::ReconnectPolicy;
 
-/// After this many turns of all tasks, the tasks that read the calls have passed on what had arrived.
+/// After this many turns of all tasks, the tasks that read the calls have passed on what had arrived: more
+/// turns than a connection and its reader need.
 const READER_YIELDS: u32 = 8;
 
 /// Watches the list at one address.
--- a/crates/transport/src/discovery/wire.rs
+++ b/crates/transport/src/discovery/wire.rs
@@ -87,6 +87,7 @@
     fn from(update: EndpointUpdate) -> Self {
         Self {
             revision: update.revision,
+            // Whatever a complete list was read from, it is passed on as a complete list.
             is_snapshot: update.kind != EndpointUpdateKind::Changes,
             endpoints: update.endpoints.into_iter().map(WireEndpoint::from).collect(),
         }
--- a/crates/transport/src/handover/peer_process.rs
+++ b/crates/transport/src/handover/command_exchange.rs
@@ -34,7 +34,7 @@
 }
 
 /// The exchange with the peer process.
-pub(super) struct PeerProcess<'a> {
+pub(super) struct CommandExchange<'a> {
     link: &'a mut Link,
     core: &'a CoreHandle,
     /// The commands that this process has carried out.
@@ -43,7 +43,7 @@
     pending: VecDeque<PendingCommand>,
 }
 
-impl<'a> PeerProcess<'a> {
+impl<'a> CommandExchange<'a> {
     pub(super) fn new(
         link: &'a mut Link,
         core: &'a CoreHandle,
@@ -116,6 +116,7 @@
                 Ok(Err(error)) => Reply::CommandFailed(error),
                 Err(_) => Reply::NotReady,
             },
+            // They are no commands, and no peer process sends them: there is nothing to carry out.
             Ok(Request::Status | Request::Metrics) => Reply::Ok,
             Err(malformed) => Reply::Malformed(malformed),
         };
--- a/crates/transport/src/handover/mod.rs
+++ b/crates/transport/src/handover/mod.rs
@@ -7,8 +7,8 @@
 //! starting one says when it serves. Whatever is wrong with the peer process, a start goes on without it.
 
 mod codec;
+mod command_exchange;
 mod link;
-mod peer_process;
 
 use std::fmt;
 use std::io;
@@ -22,9 +22,9 @@
 use tokio::sync::mpsc;
 use tokio::time::{error::Elapsed, timeout};
 
+use command_exchange::CommandExchange;
 use heathward_core::{CoreHandle, Handover, HandoverState};
 use link::Link;
-use peer_process::PeerProcess;
 
 pub use codec::{decode, encode, InvalidHandoverState};
 
@@ -40,7 +40,8 @@
 /// What the peer process is doing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerPhase {
-    /// It is starting. From now on the two processes share file descriptors.
+    /// It is starting. From now on both processes count against one limit of file descriptors, so each of
+    /// them has to hold fewer connections.
     Starting,
     /// It serves clients.
     Serving,
@@ -58,7 +59,8 @@
     }
 }
 
-/// Why a handover was not completed.
+/// Why a handover was not completed. It is not logged: a start without a running process is the usual one,
+/// and a running process learns from [`PeerPhase::Exited`] that the other one is gone.
 #[derive(Debug, Error)]
 enum HandoverError {
     #[error("the peer process did not answer in time")]
@@ -133,7 +135,7 @@
         let sent = timeout(STEP_TIMEOUT, self.link.send_line(SERVING)).await;
         tokio::spawn(async move {
             if let (Some(commands), Ok(Ok(()))) = (commands, sent) {
-                PeerProcess::new(&mut self.link, &core, commands).run().await;
+                CommandExchange::new(&mut self.link, &core, commands).run().await;
             }
             report_phase(&phases, PeerPhase::Exited).await;
         });
@@ -171,11 +173,12 @@
         return Err(HandoverError::UnknownLine);
     }
     report_phase(phases, PeerPhase::Serving).await;
-    PeerProcess::new(link, core, commands).run().await;
+    CommandExchange::new(link, core, commands).run().await;
     Ok(())
 }
 
-/// Closes this process's duplicates of the sockets before it sends the state.
+/// Closes the duplicates of the sockets once they are sent, so that they are not held while the peer process
+/// starts.
 async fn send_state(link: &mut Link, sockets: Vec<OwnedFd>, state: HandoverState) -> io::Result<()> {
     link.send_sockets(&sockets).await?;
     drop(sockets);
