--- a/crates/core/src/actor/attempts.rs
+++ b/crates/core/src/actor/attempts.rs
@@ -1,12 +1,10 @@
 //! Attempts: the one place that sends them, and what follows from how each ended.
 
-use tokio::sync::mpsc;
 use tokio::time::Instant;
 
 use super::nodes::Node;
 use super::open_requests::OpenRequest;
 use super::Actor;
-use crate::message::CoreMessage;
 use crate::observe::{NodeTreatment, Observation};
 use crate::{Answer, Attempt, EndedAttempt, NodeReply, StreamedReply, WrittenAttempts};
 use heathward_policy::{AttemptEnd, AttemptOutcome, Event, Micros, NodeId, RequestId};
@@ -143,15 +141,3 @@
         NodeReply::Buffered(body) => NodeReply::Buffered(body),
     }
 }
-
-/// Reports the end of an attempt to the core. `reply` is only used with [`AttemptEnd::Served`].
-pub async fn report_attempt_end(
-    core: &mpsc::Sender<CoreMessage>,
-    attempt: &Attempt,
-    end: AttemptEnd,
-    reply: NodeReply,
-) {
-    let Attempt { request, number, node, .. } = *attempt;
-    // If the core has stopped, nobody waits for the report.
-    let _ = core.send(CoreMessage::AttemptEnded(EndedAttempt { request, number, node, end, reply })).await;
-}
--- a/crates/core/src/actor/mod.rs
+++ b/crates/core/src/actor/mod.rs
@@ -1,9 +1,9 @@
 //! The actor that drives the decision module, called the policy here, and makes sure that each request gets
 //! exactly one answer.
 //!
-//! This file has the actor's state and its loop. The types that own parts of the state are in [`policy`],
-//! [`open_requests`], [`nodes`], [`shared_lease`], [`peer_process`], [`observer_slot`] and [`published`].
-//! What the actor does is in the other submodules, one for each concern.
+//! This file has the actor's state and its loop. The types that own parts of the state are in
+//! [`policy_driver`], [`open_requests`], [`nodes`], [`shared_lease`], [`peer_process`], [`observer_slot`] and
+//! [`published`]. What the actor does is in the other submodules, one for each concern.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::Arc;
@@ -21,29 +21,31 @@
 
 mod attempts;
 mod commands;
+mod decisions;
 mod endpoint_updates;
 mod handle;
 mod handover;
+mod node_connections;
 mod nodes;
 mod observation;
 mod observer_slot;
 mod open_requests;
 mod peer_process;
-mod policy;
+mod policy_driver;
 mod published;
 mod requests;
 mod settings;
 mod shared_lease;
 mod zones;
 
-pub use attempts::report_attempt_end;
 pub use handle::{CoreHandle, CoreStopped};
 
-use nodes::{NodeConnections, NodeTable};
+use node_connections::NodeConnections;
+use nodes::NodeTable;
 use observer_slot::ObserverSlot;
 use open_requests::OpenRequests;
 use peer_process::PeerProcess;
-use policy::PolicyDriver;
+use policy_driver::PolicyDriver;
 use published::PublishedState;
 use shared_lease::SharedLease;
 
--- /dev/null
+++ b/crates/core/src/actor/node_connections.rs
@@ -0,0 +1,26 @@
+//! Starts to serve the connections of nodes.
+
+use tokio::sync::mpsc;
+
+use crate::message::{CoreMessage, NodeConnector};
+use crate::{Attempt, Endpoint};
+
+/// Starts tasks that serve the connections of nodes. The tasks are owned by the function that starts them;
+/// each ends once the channel for its attempts is closed and its attempts have ended.
+pub(super) struct NodeConnections {
+    connect_node: NodeConnector,
+    /// Where the ends of attempts are reported. It is weak, so that the actor does not keep itself alive.
+    core: mpsc::WeakSender<CoreMessage>,
+}
+
+impl NodeConnections {
+    pub(super) fn new(connect_node: NodeConnector, core: mpsc::WeakSender<CoreMessage>) -> Self {
+        Self { connect_node, core }
+    }
+
+    /// Starts to serve the connections of a node; `None` if nobody uses the core any more.
+    pub(super) fn connect(&self, endpoint: &Endpoint) -> Option<mpsc::Sender<Attempt>> {
+        let core = self.core.upgrade()?;
+        Some((self.connect_node)(endpoint, core))
+    }
+}
--- a/crates/core/src/actor/nodes.rs
+++ b/crates/core/src/actor/nodes.rs
@@ -13,7 +13,6 @@
 use tokio::time::Instant;
 
 use super::zones::Zones;
-use crate::message::{CoreMessage, NodeConnector};
 use crate::observe::NodeTreatment;
 use crate::{Attempt, CommandError, Endpoint, SendGate};
 use heathward_policy::{EndpointEntry, Micros, NodeId, NodeState};
@@ -25,26 +24,6 @@
 /// The largest number of suspended nodes, whether listed or not.
 const MAX_SUSPENDED_NODES: usize = 1024;
 
-/// Starts tasks that serve the connections of nodes. The tasks are owned by the function that starts them;
-/// each ends once the channel for its attempts is closed and its attempts have ended.
-pub(super) struct NodeConnections {
-    connect_node: NodeConnector,
-    /// Where the ends of attempts are reported. It is weak, so that the actor does not keep itself alive.
-    core: mpsc::WeakSender<CoreMessage>,
-}
-
-impl NodeConnections {
-    pub(super) fn new(connect_node: NodeConnector, core: mpsc::WeakSender<CoreMessage>) -> Self {
-        Self { connect_node, core }
-    }
-
-    /// Starts to serve the connections of a node; `None` if nobody uses the core any more.
-    pub(super) fn connect(&self, endpoint: &Endpoint) -> Option<mpsc::Sender<Attempt>> {
-        let core = self.core.upgrade()?;
-        Some((self.connect_node)(endpoint, core))
-    }
-}
-
 /// A storage node.
 pub(super) struct Node {
     /// What the endpoint list said of it last.
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -30,14 +30,14 @@
 mod stall_detection;
 mod upload;
 
-pub use actor::{report_attempt_end, start_core, CoreHandle, CoreStopped};
+pub use actor::{start_core, CoreHandle, CoreStopped};
 pub use attempt::{Attempt, EndedAttempt, SendGate};
 pub use body::{body_channel, BodyInterrupted, BodySender, BodyStream, NodeReply, StreamedReply};
 pub use clock::Clock;
 pub use counters::{AnswerCounts, ConfigurationReloads, CoreMetrics, Counters, WrittenAttempts};
 pub use endpoint::{Endpoint, EndpointUpdate};
 pub use handover_state::{Handover, HandoverState, SlowStartNode};
-pub use message::{CoreMessage, CoreStatus, NodeConnector};
+pub use message::{report_attempt_end, CoreMessage, CoreStatus, NodeConnector};
 pub use operator::{CommandError, Draining, ForwardedCommand, OperatorCommand};
 pub use request::{Answer, ClientRequest, NodeRequest};
 pub use upload::Upload;
--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -6,13 +6,16 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
+use super::attempt::{Attempt, EndedAttempt};
+use super::body::NodeReply;
+use super::counters::CoreMetrics;
+use super::endpoint::{Endpoint, EndpointUpdate};
+use super::handover_state::{Handover, HandoverState};
 use super::observe::Observer;
-use super::{
-    Answer, Attempt, ClientRequest, CommandError, CoreMetrics, EndedAttempt, Endpoint, EndpointUpdate,
-    ForwardedCommand, Handover, HandoverState, OperatorCommand,
-};
+use super::operator::{CommandError, ForwardedCommand, OperatorCommand};
+use super::request::{Answer, ClientRequest};
 use heathward_policy::settings::{ConfigError, Deployment};
-use heathward_policy::RequestId;
+use heathward_policy::{AttemptEnd, RequestId};
 
 /// A message to the core's actor.
 pub enum CoreMessage {
@@ -99,5 +102,17 @@
 }
 
 /// Starts to serve a node's connections: returns the channel for its attempts. The second argument is where
-/// the end of each attempt is reported, with [`report_attempt_end`](crate::report_attempt_end).
+/// the end of each attempt is reported, with [`report_attempt_end`].
 pub type NodeConnector = Box<dyn Fn(&Endpoint, mpsc::Sender<CoreMessage>) -> mpsc::Sender<Attempt> + Send>;
+
+/// Reports the end of an attempt to the core. `reply` is only used with [`AttemptEnd::Served`].
+pub async fn report_attempt_end(
+    core: &mpsc::Sender<CoreMessage>,
+    attempt: &Attempt,
+    end: AttemptEnd,
+    reply: NodeReply,
+) {
+    let Attempt { request, number, node, .. } = *attempt;
+    // If the core has stopped, nobody waits for the report.
+    let _ = core.send(CoreMessage::AttemptEnded(EndedAttempt { request, number, node, end, reply })).await;
+}
