--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -77,6 +77,7 @@
             Some(deployment) => Rules::parse(&text, deployment.clone().into()).map(drop)?,
             None => Rules::alone(&text).map(drop)?,
         },
+        // An operator file is told by its name, above.
         FileKind::Operator => {}
     }
     Ok(kind)
--- a/crates/config/src/configuration.rs
+++ b/crates/config/src/configuration.rs
@@ -27,11 +27,12 @@
     pub admin_address: Option<SocketAddr>,
     /// The address of discovery, which serves the endpoint list.
     pub discovery_address: SocketAddr,
-    /// The seed of all random numbers.
+    /// The seed of all random numbers; in the file as a hexadecimal number.
     pub seed: u64,
     /// File descriptors that the process may hold, at least 64.
     pub max_descriptors: usize,
-    /// The endpoint list as it was last known.
+    /// The endpoint list that the platform wrote into the configuration, for the time until discovery
+    /// answers.
     pub cached_endpoints: EndpointUpdate,
     /// The settings of the decision module, and the names of classes and plans.
     pub deployment: Deployment,
@@ -67,6 +68,7 @@
     let value: Value = json::from_str(text).map_err(|_| not_json())?;
     let source = JsonSource(&value);
     let seed = source.required("seed")?;
+    let has_admin_address = source.get("ops").is_some();
     let max_descriptors = source.number_or("limits.sockets", DEFAULT_MAX_DESCRIPTORS)?;
     if max_descriptors < MIN_DESCRIPTORS {
         return Err(ConfigError::invalid("limits.sockets", &max_descriptors.to_string()));
@@ -76,7 +78,7 @@
     Ok(Config {
         name: source.number_or("name", "heathward".to_owned())?,
         listen_address: source.required_number("listen")?,
-        admin_address: source.get("ops").map(|_| source.required_number("ops")).transpose()?,
+        admin_address: has_admin_address.then(|| source.required_number("ops")).transpose()?,
         discovery_address: source.required_number("discovery")?,
         seed: u64::from_str_radix(&seed, 16).map_err(|_| ConfigError::invalid("seed", &seed))?,
         max_descriptors,
--- a/crates/config/src/files.rs
+++ b/crates/config/src/files.rs
@@ -34,7 +34,7 @@
 /// # Errors
 /// The first field that is missing or invalid, or the file that cannot be read.
 pub fn load(files: &FileArguments) -> Result<Config, ConfigError> {
-    let mut config = read_environment()?;
+    let mut config = read_configuration()?;
     if let Some(path) = &files.operator {
         config.operator_settings =
             OperatorSettings::load(&current_executable(), path, Some(&config.deployment))?;
@@ -71,7 +71,7 @@
 
 /// Reads the configuration that `GW_CONFIG` names. `GW_OPS` is the address of the admin interface if the
 /// configuration names none.
-fn read_environment() -> Result<Config, ConfigError> {
+fn read_configuration() -> Result<Config, ConfigError> {
     let path = std::env::var_os("GW_CONFIG").ok_or_else(|| ConfigError::missing("GW_CONFIG"))?;
     let mut config = parse_configuration(&read_text_file("GW_CONFIG", Path::new(&path))?)?;
     if let (None, Ok(address)) = (config.admin_address, std::env::var("GW_OPS")) {
--- a/crates/config/src/jsonnet.rs
+++ b/crates/config/src/jsonnet.rs
@@ -33,7 +33,7 @@
 const MAX_CPU_SECONDS: u64 = 2;
 /// Memory of an evaluation, MB.
 const MAX_MEMORY_MB: u64 = 512;
-/// Lines of the evaluator's message that are passed on.
+/// Lines of the evaluator's message that are passed on: the error and its place, without the call stack.
 const MAX_MESSAGE_LINES: usize = 2;
 
 /// Why an operator file cannot be evaluated.
@@ -157,8 +157,8 @@
     Ok(())
 }
 
-/// The text of a source file, up to one byte more than is allowed. A symbolic link could lead out of the
-/// folder, and a pipe might never end.
+/// The text of a source file, up to one byte more than all files together may have; the caller checks the
+/// sum. A symbolic link could lead out of the folder, and a pipe might never end.
 fn read_source(file: &Path, may_be_link: bool) -> Result<String, SourceError> {
     let is_plain = file.symlink_metadata()?.is_file() || (may_be_link && file.is_file());
     if !is_plain {
--- a/crates/scheduler/src/arguments.rs
+++ b/crates/scheduler/src/arguments.rs
@@ -5,6 +5,7 @@
 use clap::{Args, Parser, Subcommand};
 use heathward_config::FileArguments;
 
+// This text, and the doc comments below that clap prints, are part of the command line and must not change.
 const AFTER_HELP: &str = "\
 Examples:
   GW_CONFIG=examples/config.json heathward
--- a/crates/scheduler/src/descriptor_budget.rs
+++ b/crates/scheduler/src/descriptor_budget.rs
@@ -25,14 +25,17 @@
 /// How many client connections the HTTP front may hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClientConnectionLimits {
-    /// Connections when this process is alone; idle ones are closed sooner as the table fills up to it.
+    /// Connections that the front is meant for, without a peer process. Idle connections are closed early
+    /// once half as many are open.
     pub capacity: usize,
-    /// Connections that may be accepted now: fewer than the capacity while a peer process runs.
+    /// Connections that may be open now: fewer than the capacity while a peer process runs. Those that are
+    /// open already stay when the limit falls.
     pub current: usize,
 }
 
 impl DescriptorBudget {
-    /// The limits of the connections to storage nodes. Idle connections are limited per node, so that many
+    /// The limits of the connections to storage nodes: 3/8 of the descriptors, or 5/32 while a peer process
+    /// runs, so that both together stay below that. Idle connections are limited per node, so that many
     /// nodes do not keep the others from being reached.
     pub fn node_limits(&self, deployment: &Deployment) -> Limits {
         let total = self.max_descriptors;
@@ -40,7 +43,8 @@
         Limits::new(deployment, open, (total / 48).max(MIN_IDLE_PER_NODE))
     }
 
-    /// The limits of client connections. Room for connections that are being closed is taken off.
+    /// The limits of client connections: half of the descriptors, or 3/8 while a peer process runs, less
+    /// those that the front needs for connections that it is closing.
     pub fn client_limits(&self) -> ClientConnectionLimits {
         let without_closing = |share: usize| share - closing_places(share).min(share / 2);
         let alone = self.max_descriptors / 2;
--- a/crates/scheduler/src/fronts.rs
+++ b/crates/scheduler/src/fronts.rs
@@ -12,7 +12,7 @@
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 
-use crate::descriptor_budget::{ClientConnectionLimits, DescriptorBudget};
+use crate::descriptor_budget::ClientConnectionLimits;
 use crate::sockets;
 
 /// The NVMe front: where hosts connect, and what they find there.
@@ -79,25 +79,30 @@
         std::iter::once(&self.http_socket).chain(nvme).map(OwnedFd::try_clone).collect()
     }
 
-    /// Accepts connections on all fronts, in place of the tasks that did so until now.
+    /// Accepts connections on all fronts, in place of the tasks that did so until now; those of NVMe hosts
+    /// up to `max_nvme_hosts` at a time.
     ///
     /// # Errors
     /// The system's, if there are no descriptors left; then the tasks before go on.
-    pub fn accept(&mut self, descriptors: DescriptorBudget) -> io::Result<()> {
+    pub fn accept(&mut self, max_nvme_hosts: usize) -> io::Result<()> {
         let mut accept_tasks = JoinSet::new();
         let listener = sockets::listener(&self.http_socket)?;
         let front = Front::new(self.core.clone());
         accept_tasks.spawn(http::serve(listener, front, self.connections.clone(), self.closing.subscribe()));
         if let Some(NvmeFront { socket, subsystem }) = &self.nvme {
             let listener = sockets::listener(socket)?;
-            let hosts = descriptors.nvme_host_connections();
-            accept_tasks.spawn(nvme::serve(listener, subsystem.clone(), hosts, self.closing.subscribe()));
+            accept_tasks.spawn(nvme::serve(
+                listener,
+                subsystem.clone(),
+                max_nvme_hosts,
+                self.closing.subscribe(),
+            ));
         }
         self.accept_tasks = accept_tasks;
         Ok(())
     }
 
-    /// Whether connections are accepted.
+    /// Whether connections are accepted. The accepting tasks end only when they are aborted.
     pub fn is_accepting(&self) -> bool {
         !self.accept_tasks.is_empty()
     }
@@ -115,11 +120,11 @@
         &mut self,
         address: SocketAddr,
         socket: OwnedFd,
-        descriptors: DescriptorBudget,
+        max_nvme_hosts: usize,
     ) -> io::Result<()> {
         self.http_socket = socket;
         self.http_address = address;
-        self.accept(descriptors)
+        self.accept(max_nvme_hosts)
     }
 
     /// Holds at most so many HTTP connections from now on.
@@ -134,6 +139,7 @@
 
     /// Whether any connection is left.
     pub fn has_connections(&self) -> bool {
+        // Each connection holds a receiver, and so does each accepting task.
         self.closing.receiver_count() > self.accept_tasks.len()
     }
 }
--- a/crates/scheduler/src/handover.rs
+++ b/crates/scheduler/src/handover.rs
@@ -1,4 +1,4 @@
-//! The endpoint at which two processes of one scheduler meet: a starting process takes the listening
+//! The Unix socket at which two processes of one scheduler meet: a starting process takes the listening
 //! sockets and the state from the running one.
 
 use std::future::Future;
@@ -16,7 +16,7 @@
 
 /// Where the next process of this scheduler connects. Without a fixed port there is no such place: then
 /// there is no handover, and everything else works.
-pub struct HandoverEndpoint {
+pub struct HandoverSocket {
     socket_path: Option<PathBuf>,
     listener: Option<UnixListener>,
     peer_phases: mpsc::Sender<PeerPhase>,
@@ -24,15 +24,15 @@
 
 /// What a process has after it has asked the running one for a handover.
 pub struct HandoverStart {
-    /// The endpoint, not open to the next process yet.
-    pub endpoint: HandoverEndpoint,
+    /// The socket, not bound yet.
+    pub handover_socket: HandoverSocket,
     /// The phases that a peer process reaches, from now on.
     pub peer_phases: mpsc::Receiver<PeerPhase>,
     /// What the running process hands over, if there is one.
     pub received: Option<ReceivedHandover>,
 }
 
-impl HandoverEndpoint {
+impl HandoverSocket {
     /// Asks the process that serves the clients' address for a handover.
     pub async fn request_handover(listen_address: SocketAddr) -> HandoverStart {
         let socket_path = handover::socket_path(listen_address);
@@ -41,24 +41,25 @@
             None => None,
         };
         let (sender, peer_phases) = mpsc::channel(PHASE_CHANNEL_CAPACITY);
-        let endpoint = Self { socket_path, listener: None, peer_phases: sender };
-        HandoverStart { endpoint, peer_phases, received }
+        let handover_socket = Self { socket_path, listener: None, peer_phases: sender };
+        HandoverStart { handover_socket, peer_phases, received }
     }
 
-    /// Gives the received state to the core. To be called once this process accepts connections: the previous
-    /// one stops accepting then.
+    /// Gives the received state to the core. To be called once this process accepts connections: the
+    /// previous one stops accepting then.
     pub async fn complete(&self, received: ReceivedHandover, core: CoreHandle) {
         received.complete(core, self.peer_phases.clone()).await;
         tracing::info!("took over from the previous process");
     }
 
-    /// Opens the endpoint to the next process. If the system refuses, this process serves on without
-    /// handover.
+    /// Binds the socket, so that the next process can connect. If the system refuses, this process serves
+    /// on without handover.
     pub fn bind(&mut self) {
         self.listener = self.socket_path.as_ref().and_then(|path| handover::bind(path).ok());
     }
 
-    /// The next process that connects; `None` if the endpoint is not open or the connection fails.
+    /// The next process that connects; `None` at once if the socket is not bound, and if the connection
+    /// fails.
     pub async fn next_peer(&self) -> Option<UnixStream> {
         self.listener.as_ref()?.accept().await.ok().map(|(stream, _)| stream)
     }
--- a/crates/scheduler/src/recording.rs
+++ b/crates/scheduler/src/recording.rs
@@ -22,7 +22,7 @@
 struct ActiveRecording {
     settings: Settings,
     writer: Writer,
-    /// The faults that the log has told already.
+    /// The faults that were logged.
     reported: DiskFaults,
 }
 
@@ -44,7 +44,8 @@
         }
         self.stop(core).await;
         let Some(settings) = settings else { return };
-        // A random number from the system tells this run from all others of the scheduler.
+        // Tells this run from all others of the scheduler. The standard library seeds its hashers with random
+        // numbers from the system.
         let boot_id = RandomState::new().build_hasher().finish();
         match Recorder::start(&settings, scheduler_name, boot_id, &core.deployment()) {
             Ok((recorder, writer)) => {
@@ -74,8 +75,7 @@
     pub fn report_disk_faults(&mut self) {
         let Some(ActiveRecording { settings, writer, reported }) = &mut self.active else { return };
         let statistics = writer.statistics();
-        let DiskFaults { failures, lost } =
-            DiskFaults { failures: statistics.failures(), lost: statistics.lost() };
+        let (failures, lost) = (statistics.failures(), statistics.lost());
         if failures > reported.failures || lost > reported.lost {
             let folder = settings.folder.display();
             tracing::warn!(%folder, failures, lost, "events cannot be recorded; requests are still served");
--- a/crates/scheduler/src/serve.rs
+++ b/crates/scheduler/src/serve.rs
@@ -10,7 +10,7 @@
 use tokio::sync::mpsc;
 use tokio::time::interval;
 
-use crate::handover::{HandoverEndpoint, HandoverStart};
+use crate::handover::{HandoverSocket, HandoverStart};
 use crate::server::Server;
 use crate::signals::{SignalRequest, Signals};
 use crate::{shutdown, startup};
@@ -26,15 +26,15 @@
     let log = &config.operator_settings.log;
     let logs = heathward_logs::start(log.format, log.filter.clone());
     let mut signals = Signals::install()?;
-    let HandoverStart { mut endpoint, mut peer_phases, received } =
-        HandoverEndpoint::request_handover(config.listen_address).await;
-    let mut server = startup::start(config, files, logs, &endpoint, received).await?;
+    let HandoverStart { mut handover_socket, mut peer_phases, received } =
+        HandoverSocket::request_handover(config.listen_address).await;
+    let mut server = startup::start(config, files, logs, &handover_socket, received).await?;
     let address = server.fronts.local_http_address()?;
-    endpoint.bind();
+    handover_socket.bind();
     tracing::info!("listening on {address}");
-    serve_until_shutdown(&mut server, &mut endpoint, &mut peer_phases, &mut signals).await?;
-    // A process that starts from now on finds no endpoint, and does not wait for an answer.
-    drop(endpoint);
+    serve_until_shutdown(&mut server, &mut handover_socket, &mut peer_phases, &mut signals).await?;
+    // A process that starts from now on finds no handover socket, and does not wait for an answer.
+    drop(handover_socket);
     shutdown::finish(&server).await;
     server.recording.stop(&server.core).await;
     server.report_counters().await;
@@ -44,13 +44,14 @@
 /// Reacts to what comes until a signal asks for the shutdown.
 async fn serve_until_shutdown(
     server: &mut Server,
-    endpoint: &mut HandoverEndpoint,
+    handover_socket: &mut HandoverSocket,
     peer_phases: &mut mpsc::Receiver<PeerPhase>,
     signals: &mut Signals,
 ) -> io::Result<()> {
     let mut loss_reports = interval(LOSS_REPORT_INTERVAL);
     let mut reported_lines = 0;
     loop {
+        // A branch whose pattern does not match is left out until the next turn of the loop.
         tokio::select! {
             _ = loss_reports.tick() => {
                 report_dropped_lines(&server.logs, &mut reported_lines);
@@ -61,39 +62,39 @@
                 SignalRequest::Reload => server.reload().await,
                 SignalRequest::ReportCounters => server.report_counters().await,
             },
-            Some(peer) = endpoint.next_peer(), if !server.descriptors.peer_running => {
-                hand_over(server, endpoint, peer)?;
+            Some(peer) = handover_socket.next_peer(), if !server.descriptors.peer_running => {
+                hand_over(server, handover_socket, peer)?;
             }
-            Some(phase) = peer_phases.recv() => on_peer_phase(phase, server, endpoint)?,
+            Some(phase) = peer_phases.recv() => on_peer_phase(phase, server, handover_socket)?,
         }
     }
 }
 
 /// Hands over to a process that has connected. Only one at a time: another one waits until it is known that
-/// this one is no scheduler, or until it has exited.
-fn hand_over(server: &mut Server, endpoint: &HandoverEndpoint, peer: UnixStream) -> io::Result<()> {
-    server.descriptors.peer_running = true;
+/// this one is no scheduler, or until it has exited. An error, which ends the program, means that no
+/// descriptors are left.
+fn hand_over(server: &mut Server, handover_socket: &HandoverSocket, peer: UnixStream) -> io::Result<()> {
+    server.block_further_peers();
     let sockets = server.fronts.copy_sockets()?;
-    server.spawn(endpoint.send_handover(peer, server.core.clone(), sockets));
+    server.spawn(handover_socket.send_handover(peer, server.core.clone(), sockets));
     Ok(())
 }
 
 /// Does what a phase of the peer process asks of this one.
-fn on_peer_phase(phase: PeerPhase, server: &mut Server, endpoint: &mut HandoverEndpoint) -> io::Result<()> {
-    let name = match phase {
-        PeerPhase::Starting => "starting",
-        PeerPhase::Serving => "serving",
-        PeerPhase::Exited => "exited",
-    };
-    tracing::info!("peer process: {name}");
+fn on_peer_phase(
+    phase: PeerPhase,
+    server: &mut Server,
+    handover_socket: &mut HandoverSocket,
+) -> io::Result<()> {
+    tracing::info!("peer process: {phase}");
     server.set_peer_running(phase != PeerPhase::Exited);
     match phase {
         PeerPhase::Starting => {}
         PeerPhase::Serving => server.yield_to_peer(),
         PeerPhase::Exited => {
             server.resume_from_peer()?;
-            // The peer process had put its own endpoint in the place of this one.
-            endpoint.bind();
+            // The peer process had bound its own socket in the place of this one.
+            handover_socket.bind();
         }
     }
     Ok(())
--- a/crates/scheduler/src/server.rs
+++ b/crates/scheduler/src/server.rs
@@ -42,20 +42,27 @@
 }
 
 impl Server {
-    /// Runs a task as long as the server, at most.
+    /// Runs a task until it ends or the server is dropped.
     pub fn spawn(&mut self, task: impl Future<Output = ()> + Send + 'static) {
         // Those that have ended need not be kept.
         while self.background.try_join_next().is_some() {}
         self.background.spawn(task);
     }
 
+    /// Keeps further processes from connecting. The descriptors are divided by [`Self::set_peer_running`],
+    /// once the process that has connected is known to be a scheduler.
+    pub fn block_further_peers(&mut self) {
+        self.descriptors.peer_running = true;
+    }
+
     /// Divides the descriptors anew, as a peer process is there now or no longer.
     pub fn set_peer_running(&mut self, peer_running: bool) {
         self.descriptors.peer_running = peer_running;
         self.apply_descriptor_budget();
     }
 
-    /// Lets the peer process accept all connections and answer what is new.
+    /// Lets the peer process accept all new connections. A connection that is open here is closed with the
+    /// answer to its next request, so that its client connects to the peer process.
     pub fn yield_to_peer(&mut self) {
         self.fronts.stop_accepting();
         self.core.set_replaced(true);
@@ -68,7 +75,7 @@
     pub fn resume_from_peer(&mut self) -> io::Result<()> {
         self.core.set_replaced(false);
         if !self.fronts.is_accepting() {
-            self.fronts.accept(self.descriptors)?;
+            self.fronts.accept(self.descriptors.nvme_host_connections())?;
         }
         Ok(())
     }
@@ -97,7 +104,8 @@
             operator_settings,
             ..
         } = read_files(&self.files).await?;
-        // What may fail comes first, so that a rejected configuration changes nothing.
+        // The address is bound and the settings are checked first, so that a rejected configuration changes
+        // nothing. After that only a lack of descriptors can fail.
         let new_socket = match listen_address == self.fronts.http_address() {
             true => None,
             false => Some(sockets::bind(listen_address).map_err(listen_error)?),
@@ -111,7 +119,8 @@
         let _ = self.core.discovery_sender().send(CoreMessage::EndpointUpdate(cached_endpoints)).await;
         self.discovery_address.send_replace(discovery_address);
         if let Some(socket) = new_socket {
-            let moved = self.fronts.move_http(listen_address, socket, self.descriptors);
+            let moved =
+                self.fronts.move_http(listen_address, socket, self.descriptors.nvme_host_connections());
             moved.map_err(listen_error)?;
         }
         Ok(())
--- a/crates/scheduler/src/shutdown.rs
+++ b/crates/scheduler/src/shutdown.rs
@@ -11,6 +11,9 @@
 const KILL_DELAY: Duration = Duration::from_millis(700);
 /// The platform counts no longer deadline than this.
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
+/// Connections are closed between requests from this time on, after SIGTERM and the longest deadline: early
+/// enough for what is open then to be answered.
+const CLOSE_DELAY: Duration = Duration::from_millis(350);
 /// Everything is answered this long before the platform kills the process.
 const ANSWER_MARGIN: Duration = Duration::from_millis(150);
 /// The last answers may be written for this long after that.
@@ -21,18 +24,15 @@
 const CLOSING_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Serves on for as long as new requests can be answered, then closes connections and waits for the open
-/// requests.
-///
-/// Clients go on sending for a while, and for as long as their connections stay open. The process that
-/// takes this one's place is not started before this one would have been killed, however soon it exits;
-/// therefore the time is used to the end. If a peer process serves already, this one exits as soon as
-/// nothing is left.
+/// requests. The platform starts the next process at a fixed time, when this one would have been killed.
+/// Until then no other process answers, so this one serves on even if nothing is open. If a peer process
+/// has taken over before the shutdown, this one exits as soon as nothing is left.
 pub async fn finish(server: &Server) {
     let core = &server.core;
     let started = Instant::now();
     let longest_deadline = longest_deadline(server).min(MAX_COUNTED_DEADLINE);
     let answer_deadline = started + longest_deadline + KILL_DELAY - ANSWER_MARGIN;
-    let close_at = started + longest_deadline + KILL_DELAY / 2;
+    let close_at = started + longest_deadline + CLOSE_DELAY;
     core.set_shutdown_deadline(answer_deadline).await;
     let replaced = core.draining().borrow().replaced;
     while Instant::now() < close_at && (!replaced || server.is_busy()) {
--- a/crates/scheduler/src/sockets.rs
+++ b/crates/scheduler/src/sockets.rs
@@ -10,7 +10,7 @@
 const ACCEPT_BACKLOG: u32 = 1024;
 
 /// Opens a listening socket. Another process may listen at the same address, so that a start never fails
-/// because the previous process is still there.
+/// because the previous process is still there; the system then divides new connections among both.
 ///
 /// # Errors
 /// The system's, for instance if the address is not one of this machine.
--- a/crates/scheduler/src/startup.rs
+++ b/crates/scheduler/src/startup.rs
@@ -1,18 +1,20 @@
 //! Starts the scheduler from its configuration: sockets, core, fronts, the watch of the endpoint list and
-//! the admin interface, in this order.
+//! the admin interface, in this order. The fronts need the core to answer requests; connections are
+//! accepted before a handover is completed, so that there is a process that accepts them at any time.
 
 use std::io;
 use std::net::SocketAddr;
+use std::os::fd::OwnedFd;
 use std::sync::Arc;
 
 use heathward_config::{Config, FileArguments};
-use heathward_core::{CoreMessage, CoreStopped};
+use heathward_core::{CoreHandle, CoreMessage, CoreStopped};
 use heathward_discovery_pacing::FleetPosition;
 use heathward_logs::Logs;
 use heathward_transport::backoff::ReconnectPolicy;
 use heathward_transport::handover::ReceivedHandover;
 use heathward_transport::node::Pool;
-use heathward_transport::nvme::Subsystem;
+use heathward_transport::nvme::{Map, Subsystem};
 use heathward_transport::{admin, discovery};
 use tokio::net::TcpListener;
 use tokio::sync::watch;
@@ -20,13 +22,13 @@
 
 use crate::descriptor_budget::DescriptorBudget;
 use crate::fronts::{Fronts, NvmeFront};
-use crate::handover::HandoverEndpoint;
+use crate::handover::HandoverSocket;
 use crate::recording::EventRecording;
 use crate::server::Server;
 use crate::{core_start, sockets};
 
-/// Starts the scheduler. What a running process has handed over is taken on, and that process stops
-/// accepting connections once this one accepts them.
+/// Starts the scheduler. The state and the sockets that a running process has handed over
+/// are taken over; that process stops accepting connections once this one accepts them.
 ///
 /// # Errors
 /// An address that cannot be bound, settings that the decision module rejects, and the system's errors.
@@ -34,7 +36,7 @@
     config: Config,
     files: FileArguments,
     logs: Logs,
-    handover: &HandoverEndpoint,
+    handover: &HandoverSocket,
     mut received: Option<ReceivedHandover>,
 ) -> io::Result<Server> {
     let Config { listen_address, seed, max_descriptors, cached_endpoints, operator_settings, .. } = config;
@@ -46,17 +48,14 @@
     let (node_limits, pool_limits) = watch::channel(descriptors.node_limits(&deployment));
     let nvme_map = config.nvme_map.map(Arc::new);
     let core = core_start::start(deployment, seed, Pool::new(pool_limits), nvme_map.clone())?;
+    // The watch begins with what changed after the newer of the two lists.
     let inherited_revision = received.as_ref().map_or(0, |received| received.state.endpoint_list.revision);
     let revision = inherited_revision.max(cached_endpoints.revision);
     let cached = CoreMessage::EndpointUpdate(cached_endpoints);
     core.discovery_sender().send(cached).await.map_err(|_| io::Error::other(CoreStopped))?;
     let nvme = match nvme_map {
         None => None,
-        Some(map) => {
-            let socket = sockets::inherit_or_bind(&mut inherited, map.listen)?;
-            tracing::info!("NVMe front listening on {}", sockets::listener(&socket)?.local_addr()?);
-            Some(NvmeFront { socket, subsystem: Subsystem::new(map, core.clone(), seed) })
-        }
+        Some(map) => Some(open_nvme_front(map, &mut inherited, core.clone(), seed)?),
     };
     let limits = descriptors.client_limits();
     let fronts = Fronts::new(core.clone(), listen_address, http_socket, nvme, limits);
@@ -75,7 +74,7 @@
         background,
     };
     server.recording.apply(operator_settings.recorder, &config.name, &server.core).await;
-    server.fronts.accept(descriptors)?;
+    server.fronts.accept(descriptors.nvme_host_connections())?;
     if let Some(received) = received {
         handover.complete(received, server.core.clone()).await;
     }
@@ -86,6 +85,18 @@
     Ok(server)
 }
 
+/// Opens the NVMe front's socket, or inherits it. No connections are accepted yet.
+fn open_nvme_front(
+    map: Arc<Map>,
+    inherited: &mut Vec<OwnedFd>,
+    core: CoreHandle,
+    seed: u64,
+) -> io::Result<NvmeFront> {
+    let socket = sockets::inherit_or_bind(inherited, map.listen)?;
+    tracing::info!("NVMe front listening on {}", sockets::listener(&socket)?.local_addr()?);
+    Ok(NvmeFront { socket, subsystem: Subsystem::new(map, core, seed) })
+}
+
 /// Keeps the core's endpoint list up to date from now on, beginning with what changed after that revision.
 fn watch_endpoints(server: &mut Server, address: watch::Receiver<SocketAddr>, revision: u64, seed: u64) {
     let settings = &server.core.deployment().settings;
