--- a/crates/logs/src/lib.rs
+++ b/crates/logs/src/lib.rs
@@ -16,6 +16,10 @@
 /// The number of lines that can wait to be written.
 pub const QUEUE_CAPACITY: usize = 1024;
 
+/// Former targets of crates that log, and what they are called now. Filters in the operators' files may name
+/// either.
+const RENAMED_TARGETS: [(&str, &str); 1] = [("heathward_wires", "heathward_transport")];
+
 /// The format of a line.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Format {
@@ -71,10 +75,20 @@
         if !text.split(',').all(ends_with_level) {
             return Err(FilterError);
         }
-        text.parse().map(Self).map_err(|_| FilterError)
+        let parts = text.split(',').map(with_current_target).collect::<Vec<_>>();
+        parts.join(",").parse().map(Self).map_err(|_| FilterError)
     }
 }
 
+/// A part of a filter, under the present name of its target.
+fn with_current_target(part: &str) -> String {
+    let renamed = RENAMED_TARGETS.iter().find_map(|(former, current)| {
+        let rest = part.strip_prefix(former)?;
+        rest.starts_with(['=', ':']).then(|| format!("{current}{rest}"))
+    });
+    renamed.unwrap_or_else(|| part.to_owned())
+}
+
 /// The registry of spans behind the filter.
 type FilteredRegistry = tracing_subscriber::layer::Layered<reload::Layer<Targets, Registry>, Registry>;
 /// Formats and writes lines; replaced when the format changes.
--- a/crates/logs/src/tests.rs
+++ b/crates/logs/src/tests.rs
@@ -87,3 +87,13 @@
     assert!(elapsed < Duration::from_secs(5), "{elapsed:?}");
     drop(release);
 }
+
+/// A filter in an operator's file must not lose its effect because a crate was renamed.
+#[rstest::rstest]
+#[case::crate_name("warn,heathward_wires=debug", "warn,heathward_transport=debug")]
+#[case::module("info,heathward_wires::discovery=trace", "info,heathward_transport::discovery=trace")]
+#[case::another_target("info,heathward_wires_of_others=trace", "info,heathward_wires_of_others=trace")]
+fn a_former_target_is_taken_for_its_current_one(#[case] former: &str, #[case] current: &str) {
+    assert_eq!(former.parse::<Filter>(), current.parse::<Filter>());
+    assert!(former.parse::<Filter>().is_ok());
+}
