--- a/crates/policy/src/scheduler.rs
+++ b/crates/policy/src/scheduler.rs
@@ -1,17 +1,17 @@
-//! The scheduler: takes events and answers with actions.
+//! The scheduler, which handles events and returns the actions that its caller has to perform.
 //!
-//! This file holds the scheduler's state and dispatches events. Each submodule makes the decisions of one
-//! step in the life of a request:
+//! This file holds the scheduler's state and dispatches events. Each submodule implements one step in the
+//! life of a request:
 //!
-//! - `arrival`: when the request is due, its quota tier and its priority;
-//! - `admission`: whether it is sent, queued or shed;
-//! - `node_selection`: the node for a request that any node may serve;
-//! - `send_rules`: every rule that must hold before an attempt, in the order in which they are checked;
-//! - `capacity`: the last of them, whether the node has capacity for the request;
-//! - `sending`: the attempt itself;
-//! - `outcomes`: what the end of an attempt shows about the node, the volume and the request;
-//! - `final_answers`: retries, the scheduler's own answers, and the end of a request;
-//! - `dispatch`: queued requests, deadlines and the turns of ordered keys;
+//! - `arrival`: the due time, quota tier and priority of a new request;
+//! - `admission`: whether a request is sent, queued or shed;
+//! - `node_selection`: the choice of a node for a request that any node may serve;
+//! - `send_rules`: the rules that must all hold before an attempt, in the order in which they are checked;
+//! - `capacity`: the last of these rules, whether the node has capacity for the request;
+//! - `sending`: the start of an attempt;
+//! - `outcomes`: the end of an attempt, which updates the estimates of the node and the volume;
+//! - `final_answers`: retries, answers given by the scheduler itself, and the removal of finished requests;
+//! - `dispatch`: queued requests, deadlines, and the order of requests with the same key;
 //! - `endpoints`: updates of the endpoint list.
 
 use crate::api::{Action, EntryCounts, Event, Micros, NodeId, NodeStatus, Settings, SettingsError};
@@ -40,7 +40,7 @@
 use random::RandomSources;
 use timers::Timers;
 
-/// The scheduling policy of one scheduler process. It needs every event, in order of time.
+/// The scheduling policy of one scheduler process. Its caller must pass it every event, in order of time.
 #[derive(Clone, Debug)]
 pub struct Scheduler {
     settings: Settings,
@@ -60,11 +60,11 @@
 }
 
 impl Scheduler {
-    /// Creates a scheduler; all its random numbers come from `seed`.
+    /// Creates a scheduler whose random number generators are seeded from `seed`.
     ///
     /// # Errors
     ///
-    /// Returns what is missing or out of range in the settings.
+    /// Returns the first setting that is missing or out of range.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.validate()?;
         let period = settings.period();
@@ -89,7 +89,8 @@
     ///
     /// # Errors
     ///
-    /// Returns what is missing or out of range in the new settings; the old ones then stay in force.
+    /// Returns the first new setting that is missing or out of range; the previous settings then stay in
+    /// force.
     pub fn update_settings(&mut self, settings: Settings) -> Result<(), SettingsError> {
         settings.validate()?;
         self.period = settings.period();
@@ -97,12 +98,12 @@
         Ok(())
     }
 
-    /// How a node is treated now; `None` if it is not known.
+    /// Returns the status of a node, or `None` if the node is not known.
     pub fn node_status(&self, now: Micros, id: NodeId) -> Option<NodeStatus> {
         self.nodes.get(&id).map(|node| node.status(now))
     }
 
-    /// Numbers of entries kept, to monitor the memory that the scheduler needs.
+    /// Returns the sizes of the scheduler's collections, for monitoring its memory usage.
     pub fn entry_counts(&self) -> EntryCounts {
         EntryCounts {
             requests: self.requests.len().max(self.key_queues.len()).max(self.queued.unbound.len()),
@@ -112,7 +113,7 @@
         }
     }
 
-    /// Takes an event that happened at `now` and appends the actions that it causes.
+    /// Handles an event that occurred at `now` and appends the resulting actions.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         if self.timers.on_event(now) {
             self.subscription.start(now, self.settings.endpoint_list_mode, &mut self.random.decisions);
@@ -133,7 +134,7 @@
         }
     }
 
-    /// Does what has become due with time, whatever the event was.
+    /// Performs all work whose time has come, independent of the event.
     fn run_due_work(&mut self, now: Micros, actions: &mut Vec<Action>) {
         self.answer_expired_requests(now, actions);
         self.end_cool_downs(now, actions);
@@ -148,7 +149,7 @@
         }
     }
 
-    /// Asks for a timer at the next time at which work becomes due.
+    /// Sets a timer for the next time at which work becomes due.
     fn set_timer(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let expiry = self.requests.next_expiry(self.settings.timer_resolution);
         let due_times = [
@@ -164,8 +165,8 @@
         }
     }
 
-    /// Forgets volumes and nodes that have not been used for the lookback time. A volume is kept while its
-    /// rate limit's bucket is not full, a node while it is listed or has anything open.
+    /// Removes volumes and nodes that have not been used for the lookback time. A volume is kept while its
+    /// rate limit's bucket is not full, a node while it is listed or has requests in flight or queued.
     fn clean_up(&mut self, now: Micros) {
         let since = now.saturating_sub(ADMISSION_LOOKBACK);
         let plans = &self.settings.plans;
@@ -173,14 +174,14 @@
         self.nodes.forget_unused(since);
     }
 
-    /// Closes a node's budget periods that have passed.
+    /// Closes the budget periods of a node that have ended.
     fn close_periods(&mut self, now: Micros, id: NodeId) {
         if let Some(node) = self.nodes.get_mut(&id) {
             node.close_periods(now, self.period, self.settings.mean_units);
         }
     }
 
-    /// Brings the ranking up to date with a node's state.
+    /// Updates a node's position in the ranking.
     fn update_rank(&mut self, now: Micros, id: NodeId) {
         self.nodes.update_rank(now, id, &self.settings);
     }
--- a/crates/policy/src/scheduler/admission.rs
+++ b/crates/policy/src/scheduler/admission.rs
@@ -24,7 +24,7 @@
         }
     }
 
-    /// The node that holds the request's shard, or the least loaded one if any node may serve it.
+    /// Returns the node that holds the request's shard, or the least loaded node if any node may serve it.
     fn target_node(&mut self, now: Micros, id: RequestId) -> Option<NodeId> {
         match self.requests.get(id)?.request.shard {
             Some(shard) => self.nodes.shards.holder(shard),
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Counts a request for a node, for slow start.
+    /// Records a request for a node in the estimates that slow start uses.
     fn record_demand(&mut self, now: Micros, id: NodeId) {
         let use_probability = self.nodes.record_demand(now, id, self.settings.token_lifetime());
         let draw = self.random.decisions.f64();
@@ -42,14 +42,15 @@
         }
     }
 
-    /// Whether the queueing delay at the node is too long for a request beyond the reserved quota.
+    /// Returns whether the request is beyond its reserved quota and the node's queueing delay exceeds its
+    /// limit.
     fn exceeds_delay_limit(&self, now: Micros, tracked: &TrackedRequest, node: &Node) -> bool {
         let limit =
             self.request_delay_limit(now, tracked) * (1.0 - self.stale_estimate_draw(now, tracked, node));
         tracked.quota_tier != QuotaTier::Reserved && self.queueing_delay(now, node) > limit
     }
 
-    /// Queues a request for a node, or for any node if it is not bound to one.
+    /// Queues a request for a node, or for all nodes if any node may serve it.
     pub(super) fn enqueue(&mut self, now: Micros, id: RequestId, node_id: NodeId) {
         let Some(tracked) = self.requests.get_mut(id) else { return };
         let entry = QueueEntry { due: tracked.timing.due, request: id };
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Removes a request from the queue that it is in.
+    /// Removes a request from its queue, if it is queued.
     pub(super) fn dequeue(&mut self, now: Micros, id: RequestId) {
         let Some(tracked) = self.requests.get(id) else { return };
         let RequestState::Queued(queued_for) = tracked.state else { return };
@@ -81,7 +82,7 @@
     }
 }
 
-/// Whether the request's volume has an open session at the node or gets a new one.
+/// Returns whether the request's volume has an open session at the node or may open one.
 fn admits_volume(tracked: &TrackedRequest, node: &Node) -> bool {
     node.admission.has_session(tracked.request.volume) || node.admits_new_volume(tracked.quota_tier)
 }
--- a/crates/policy/src/scheduler/arrival.rs
+++ b/crates/policy/src/scheduler/arrival.rs
@@ -1,4 +1,4 @@
-//! A request arrives: when it is due, which quota covers it, and its priority.
+//! The arrival of a request: its due time, quota tier and priority.
 
 use super::Scheduler;
 use crate::api::{Action, ClassSettings, ClientRetries, Micros, PlanSettings, Request, RequestId};
@@ -40,7 +40,7 @@
         &self.settings.plans[request.plan.0 as usize]
     }
 
-    /// The quota that covers a request.
+    /// Takes the request's units from its volume's quotas and returns the tier that covers them.
     fn quota_tier(&mut self, now: Micros, request: &Request) -> QuotaTier {
         let plan = &self.settings.plans[request.plan.0 as usize];
         let started_at = self.timers.started_at(now);
@@ -52,9 +52,9 @@
         volume.take_quota(now, &PlanQuota::new(&self.settings, plan), units, draw, fleet_demand)
     }
 
-    /// Priority from 0 to 1: the weights by class, plan, quota tier and lateness, relative to the highest
-    /// weight there is. It is the square root, so that a quarter of the weight has half of the capacity and
-    /// delay.
+    /// Returns the priority from 0 to 1: the product of the weights by class, plan, quota tier and lateness,
+    /// relative to the highest possible product. The square root is taken, so that a quarter of the weight
+    /// gets half of the capacity and of the permitted delay.
     fn priority(&self, request: &Request, quota_tier: QuotaTier, is_late: bool) -> f64 {
         let max = |weights: &mut dyn Iterator<Item = f64>| weights.fold(f64::MIN_POSITIVE, f64::max);
         let max_class_weight = max(&mut self.settings.classes.iter().map(|class| class.priority_weight));
@@ -71,7 +71,8 @@
         (weight * tier_weight * late_fraction).sqrt().min(1.0)
     }
 
-    /// Appends a request to its key's queue if its class is ordered. Returns whether it may proceed at once.
+    /// Appends a request to its key's queue if its class is ordered by key. Returns whether the request may
+    /// proceed at once.
     fn takes_turn(&mut self, now: Micros, id: RequestId) -> bool {
         let Some(tracked) = self.requests.get_mut(id) else { return false };
         let class = &self.settings.classes[tracked.request.class.0 as usize];
@@ -84,9 +85,10 @@
     }
 }
 
-/// When a request is due. A first request is due within the latency objective of its class. A client's retry
-/// is due when its first request was, unless that is past. A first request whose client waits for less than
-/// the objective can still be served in time, its retries cannot.
+/// Returns the due time and the deadline of a request. A first request is due within the latency objective of
+/// its class. A client's retry is due when the client's first request was, or a full objective from now if
+/// that time has passed. A first request whose client waits for less than the objective can still be served
+/// in time; its retries cannot.
 fn request_timing(
     now: Micros,
     request: &Request,
--- a/crates/policy/src/scheduler/dispatch.rs
+++ b/crates/policy/src/scheduler/dispatch.rs
@@ -1,5 +1,5 @@
-//! Queued requests: they are sent when there is capacity and answered when they can no longer be served in
-//! time.
+//! Dispatch of queued requests: they are sent when a node has capacity, and answered by the scheduler when
+//! they can no longer be served in time.
 
 use super::send_rules::SendDecision;
 use super::Scheduler;
@@ -7,14 +7,14 @@
 use crate::node::QueueEntry;
 use crate::request::RequestState;
 
-/// All queues are examined at most this many times in a budget period.
+/// Maximum number of scans of all queues in a budget period.
 const SCANS_PER_PERIOD: Micros = 16;
-/// A request that was never sent is answered a budget period, divided by this, before half of its time is
-/// over.
+/// Divisor of the budget period that gives the margin for answering a request that was never sent: it is
+/// answered this margin before half of its time budget is over.
 const EARLY_ANSWER_PERIOD_DIVISOR: Micros = 8;
 
 impl Scheduler {
-    /// Sends requests queued for a node while it has capacity, the one that is due first before the others.
+    /// Sends the requests queued for a node in order of their due times, while the node has capacity.
     pub(super) fn dispatch_queued(&mut self, now: Micros, node_id: NodeId, actions: &mut Vec<Action>) {
         self.close_periods(now, node_id);
         let mut last = None;
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Examines all queued requests.
+    /// Scans all queues and sends or answers requests as far as possible.
     pub(super) fn dispatch_all_queued(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let interval = (self.period / SCANS_PER_PERIOD).max(self.settings.timer_resolution).max(1);
         self.queued.schedule_scan(now + interval);
@@ -44,8 +44,8 @@
         }
     }
 
-    /// Whether a queued request would be served too late. One that was never sent is answered before half of
-    /// its time is over, so that its client can still turn to another scheduler.
+    /// Returns whether a queued request would be served too late. A request that was never sent is answered
+    /// before half of its time budget is over, so that its client can still try another scheduler.
     fn cannot_meet_deadline(&self, now: Micros, entry: QueueEntry) -> bool {
         let Some(tracked) = self.requests.get(entry.request) else { return true };
         let service_time = self.fleet.service_time(tracked.request.units) as Micros;
@@ -56,7 +56,7 @@
         tracked.attempts_sent == 0 && now >= tracked.timing.deadline.saturating_sub(reserve)
     }
 
-    /// Answers requests whose deadline has come.
+    /// Answers the requests whose deadline has come.
     pub(super) fn answer_expired_requests(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let resolution = self.settings.timer_resolution;
         while let Some(expiry) = self.requests.next_expiry(resolution).filter(|expiry| expiry.at <= now) {
@@ -64,14 +64,14 @@
         }
     }
 
-    /// Lets ordered keys go on whose pause has ended.
+    /// Starts the next request of each ordered key whose pause has ended.
     pub(super) fn end_cool_downs(&mut self, now: Micros, actions: &mut Vec<Action>) {
         while let Some(key) = self.key_queues.end_cool_down(now) {
             self.start_next_of_key(now, key, actions);
         }
     }
 
-    /// Admits the first request of an ordered key if it waits for its turn.
+    /// Admits the first request in an ordered key's queue if it is waiting for its turn.
     pub(super) fn start_next_of_key(&mut self, now: Micros, key: KeyId, actions: &mut Vec<Action>) {
         let Some(id) = self.key_queues.take_turn(now, key) else { return };
         let Some(tracked) = self.requests.get_mut(id) else { return };
--- a/crates/policy/src/scheduler/endpoints.rs
+++ b/crates/policy/src/scheduler/endpoints.rs
@@ -6,7 +6,8 @@
 use crate::api::{Action, EndpointEntry, EndpointUpdateKind, Micros, NodeId};
 
 impl Scheduler {
-    /// Applies an update, and admits anew the requests that were queued for nodes that have left service.
+    /// Applies an update, and repeats the admission of the requests that were queued for nodes no longer in
+    /// service.
     pub(super) fn on_endpoint_update(
         &mut self,
         now: Micros,
@@ -26,7 +27,7 @@
         }
     }
 
-    /// Returns the nodes that may have changed.
+    /// Applies the entries to the node table. Returns the nodes that may have changed.
     fn apply_entries(
         &mut self,
         now: Micros,
--- a/crates/policy/src/scheduler/final_answers.rs
+++ b/crates/policy/src/scheduler/final_answers.rs
@@ -1,4 +1,4 @@
-//! After an attempt: another one, or the end of the request.
+//! Retries after an attempt, and the final answers of requests.
 
 use super::send_rules::SendDecision;
 use super::Scheduler;
@@ -7,8 +7,8 @@
 use crate::volume::QuotaTier;
 
 impl Scheduler {
-    /// Retries a request after an attempt that did not serve it, or answers it. A served attempt closes its
-    /// request, which then does not come here.
+    /// Retries a request after an attempt that did not serve it, or answers it. Not called after a served
+    /// attempt, which closes its request.
     pub(super) fn retry(
         &mut self,
         now: Micros,
@@ -31,8 +31,8 @@
         }
     }
 
-    /// Gives a request its final answer from this scheduler, unless it has one: it is shed if the client may
-    /// safely retry, otherwise it fails.
+    /// Answers a request from this scheduler, unless it has its final answer already: it is shed if the
+    /// client may safely retry, and failed otherwise.
     pub(super) fn answer_locally(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
         self.dequeue(now, id);
         if !self.requests.is_open(id) {
@@ -60,7 +60,7 @@
         Some(Action::Shed { request: id, retry_after: (hint > 0).then_some(hint) })
     }
 
-    /// Whether a retry by the client cannot have a second effect, whichever scheduler it comes through.
+    /// Returns whether a retry by the client has no second effect, whichever scheduler receives it.
     fn may_client_retry(&self, tracked: &TrackedRequest) -> bool {
         let class = self.class_of(&tracked.request);
         match class.idempotency {
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Ends a request that needs no answer from this scheduler.
+    /// Closes a request that needs no answer from this scheduler.
     pub(super) fn drop_request(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
         self.dequeue(now, id);
         if let Some(tracked) = self.requests.get_mut(id) {
@@ -81,8 +81,8 @@
         self.remove_if_finished(now, id, actions);
     }
 
-    /// Removes a request that has its answer and no attempt in flight, and lets the next one with its key
-    /// start.
+    /// Removes a request that has its final answer and no attempt in flight, and starts the next request with
+    /// its key.
     pub(super) fn remove_if_finished(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
         let Some(tracked) = self.requests.get(id) else { return };
         if tracked.state != RequestState::Answered {
@@ -100,9 +100,9 @@
     }
 }
 
-/// Whether another attempt may succeed before the request is due. After a broken connection or an error, any
-/// may. A full node stays full, and one that is down stays down, for longer than a latency objective: only a
-/// request that another node may serve is then retried.
+/// Returns whether another attempt may succeed before the request is due. After a broken connection or an
+/// error, any attempt may. A node that is full or down remains so for longer than a latency objective: such a
+/// request is retried only if another node may serve it.
 fn is_retry_useful(tracked: &TrackedRequest, end: AttemptEnd) -> bool {
     match end {
         AttemptEnd::Error | AttemptEnd::Reset => true,
--- a/crates/policy/src/scheduler/node_selection.rs
+++ b/crates/policy/src/scheduler/node_selection.rs
@@ -1,4 +1,4 @@
-//! The node for a request that any node may serve.
+//! Selection of the node for a request that any node may serve.
 
 use super::send_rules::SendDecision;
 use super::Scheduler;
@@ -6,13 +6,14 @@
 use crate::node_ranking::{Candidate, SearchResult};
 
 impl Scheduler {
-    /// The least loaded node that the request may be sent to, as seen from this scheduler; random among nodes
-    /// of similar load.
+    /// Returns the node with the lowest load, as estimated by this scheduler, that the request may be sent
+    /// to; among nodes of similar load the choice is random.
     pub(super) fn least_loaded(&mut self, now: Micros, id: RequestId) -> Option<NodeId> {
         for node_id in self.nodes.ranking.expired(now) {
             self.update_rank(now, node_id);
         }
-        // The search borrows the whole scheduler, so it draws from a copy, which then replaces the original.
+        // The search borrows the scheduler immutably, so it draws from a copy of the generator, which then
+        // replaces the original.
         let mut random = self.random.node_choice.clone();
         let found = self.search(now, id, &mut random);
         self.random.node_choice = random;
--- a/crates/policy/src/scheduler/outcomes.rs
+++ b/crates/policy/src/scheduler/outcomes.rs
@@ -1,16 +1,16 @@
-//! An attempt ends: what that shows about the node's health, its period budget and its queueing delay, about
-//! the volume's usage, and whether the request is retried.
+//! The end of an attempt: updates of the node's health, period budget and queueing delay and of the volume's
+//! usage, and the retry of the request.
 
 use super::Scheduler;
 use crate::api::{Action, AttemptEnd, AttemptOutcome, KeyId, Micros, NodeId, PlanId, VolumeId};
 use crate::node::{AttemptKey, HealthChange, Node, ObservedEnd};
 use crate::request::PossibleExecution;
 
-/// A node has no queue if its delay is estimated below this many budget periods.
+/// Estimated queueing delay, in budget periods, below which a node counts as having no queue.
 const UNQUEUED_PERIODS: f64 = 0.2;
-/// A rejection counts as a queueing delay of this many times the maximum.
+/// Queueing delay that a rejection counts as, as a multiple of the maximum delay.
 const REJECTION_DELAYS: f64 = 2.0;
-/// Attempts that a node leaves unanswered before a timeout counts as a queueing delay.
+/// Minimum number of unanswered attempts at a node for a timeout to count as a queueing delay.
 const MIN_UNANSWERED: u32 = 2;
 
 /// An attempt that has ended.
@@ -22,7 +22,7 @@
     volume: VolumeId,
     plan: PlanId,
     latency_objective: Micros,
-    /// The request's key, if requests with this key are ordered.
+    /// Key of the request, if its class is ordered by key.
     ordered_key: Option<KeyId>,
 }
 
@@ -51,7 +51,7 @@
         self.dispatch_queued(now, attempt.node, actions);
     }
 
-    /// Removes the attempt from its request and its node. `None` if it is not in flight.
+    /// Removes the attempt from its request and its node. Returns `None` if the attempt is not in flight.
     fn take_attempt(&mut self, outcome: &AttemptOutcome) -> Option<EndedAttempt> {
         let tracked = self.requests.get_mut(outcome.request)?;
         let index = tracked.in_flight.iter().position(|attempt| attempt.number == outcome.attempt)?;
@@ -77,14 +77,14 @@
         })
     }
 
-    /// Pauses an ordered key whose request may still be executing.
+    /// Pauses the ordered key of a request that may still be executing.
     fn pause_key(&mut self, now: Micros, attempt: &EndedAttempt, end: AttemptEnd) {
         if let Some(key) = attempt.ordered_key.filter(|_| end.is_unknown()) {
             self.key_queues.start_cool_down(key, now + self.settings.key_cool_down);
         }
     }
 
-    /// Failure detection.
+    /// Updates failure detection and logs a change of the node's health.
     fn observe_health(
         &mut self,
         now: Micros,
@@ -105,7 +105,7 @@
         actions.push(Action::Log { text, node: Some(attempt.node) });
     }
 
-    /// The period budget, and the order in which the node answers.
+    /// Updates the node's period budget and the send time of its latest answered attempt.
     fn observe_load(&mut self, attempt: &EndedAttempt, outcome: &AttemptOutcome) {
         let Some(node) = self.nodes.get_mut(&attempt.node) else { return };
         match outcome.end {
@@ -122,7 +122,8 @@
         }
     }
 
-    /// The fleet's service time, and whether the node is as fast as that.
+    /// Updates the fleet's service time. An answer that is as fast as that shows that the node has not just
+    /// restarted.
     fn observe_service_time(&mut self, now: Micros, attempt: &EndedAttempt, outcome: &AttemptOutcome) {
         let Some(node) = self.nodes.get_mut(&attempt.node) else { return };
         if outcome.end != AttemptEnd::Served {
@@ -138,7 +139,7 @@
         self.fleet.observe_service_time(time_per_unit, is_unqueued);
     }
 
-    /// The node's queueing delay and the fleet's. A timeout counts for its own node only.
+    /// Updates the queueing delays of the node and the fleet. A timeout affects only its own node.
     fn observe_delay(&mut self, now: Micros, attempt: &EndedAttempt, outcome: &AttemptOutcome) {
         let max_delay = self.delay_limit(1.0);
         let fleet_delay = self.fleet.delay(now);
@@ -157,7 +158,7 @@
         }
     }
 
-    /// The volume's usage in the whole fleet, if the node reports it.
+    /// Updates the volume's usage over the whole fleet, if the node reports it.
     fn observe_volume_usage(&mut self, now: Micros, attempt: &EndedAttempt, outcome: &AttemptOutcome) {
         let Some(percent) = outcome.volume_usage_percent else { return };
         let usual_rate = self.settings.plans[attempt.plan.0 as usize].usual_rate;
@@ -167,8 +168,8 @@
     }
 }
 
-/// The queueing delay that a timeout shows. If neither this attempt, nor a later one, nor the one before
-/// was answered, a request that is sent now waits at least as long.
+/// Returns the queueing delay that a timeout indicates, if any. If this attempt, every later one and the one
+/// before it remained unanswered, a request that is sent now waits at least as long as the timeout.
 fn timeout_delay(node: &Node, attempt: &EndedAttempt, latency: Micros) -> Option<f64> {
     let is_alone = node.health.unanswered() < MIN_UNANSWERED;
     let is_overtaken = node.in_flight.is_overtaken(attempt.key.sent_at);
--- a/crates/policy/src/scheduler/random.rs
+++ b/crates/policy/src/scheduler/random.rs
@@ -1,11 +1,12 @@
-//! The scheduler's random numbers.
+//! The scheduler's random number generators.
 
-/// Two independent sequences, so that the search for a node takes no numbers from the other decisions.
+/// Two independent generators, so that the search for a node does not change the numbers drawn for other
+/// decisions.
 #[derive(Clone, Debug)]
 pub(super) struct RandomSources {
-    /// For all decisions but the choice between nodes.
+    /// Generator for all decisions except the choice between nodes.
     pub(super) decisions: fastrand::Rng,
-    /// For the choice between nodes of similar load.
+    /// Generator for the choice between nodes of similar load.
     pub(super) node_choice: fastrand::Rng,
 }
 
--- a/crates/policy/src/scheduler/send_rules.rs
+++ b/crates/policy/src/scheduler/send_rules.rs
@@ -1,4 +1,4 @@
-//! The rules that must hold before an attempt. Nothing is sent to a node that has not passed all of them.
+//! The rules that must all hold before an attempt. A request is sent to a node only if every rule allows it.
 
 use super::Scheduler;
 use crate::api::{ClassSettings, DeduplicationScope, Idempotency, Micros, NodeId, RequestId};
@@ -6,20 +6,20 @@
 use crate::request::{PossibleExecution, RequestState, TrackedRequest};
 use crate::volume::QuotaTier;
 
-/// Whether a request may be sent to a node.
+/// Decision on sending a request to a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SendDecision {
-    /// Now.
+    /// The request may be sent now.
     Allowed,
-    /// Not now, but perhaps later.
+    /// The request may not be sent now, but may be sent later.
     NotYet,
-    /// Not now, and no other request either: the node has no capacity.
+    /// The node has no capacity: neither this nor any other request may be sent now.
     NoCapacity,
-    /// Never.
+    /// The request may never be sent to this node.
     Never,
 }
 
-/// A request and the node that it may be sent to.
+/// A request and the node that is checked for it.
 #[derive(Clone, Copy)]
 struct SendCandidate<'a> {
     now: Micros,
@@ -43,7 +43,8 @@
 ];
 
 impl Scheduler {
-    /// Checks every rule, and then whether the node has capacity. The first rule that does not hold decides.
+    /// Checks every rule, and then whether the node has capacity. The first rule that does not hold
+    /// determines the decision.
     pub(super) fn check_send(&self, now: Micros, id: RequestId, node_id: NodeId) -> SendDecision {
         let (Some(tracked), Some(node)) = (self.requests.get(id), self.nodes.get(&node_id)) else {
             return SendDecision::Never;
@@ -54,7 +55,7 @@
         violated.unwrap_or_else(|| self.check_capacity(now, tracked, node))
     }
 
-    /// A request is sent neither after its final answer or deadline nor more often than allowed.
+    /// Forbids attempts after the final answer, after the deadline, or beyond the maximum number of attempts.
     fn check_is_open(&self, candidate: &SendCandidate) -> SendDecision {
         let tracked = candidate.tracked;
         let is_over = tracked.state == RequestState::Answered || candidate.now >= tracked.timing.deadline;
@@ -62,19 +63,20 @@
         allowed_or(SendDecision::Never, !is_over && has_attempts_left)
     }
 
-    /// The node must be in service, as far as this scheduler knows, and hold the request's shard.
+    /// Requires that the node is in service, as far as this scheduler knows, and holds the request's shard.
     fn check_node_serves(&self, candidate: &SendCandidate) -> SendDecision {
         let node = candidate.node;
         let holds_shard = candidate.tracked.request.shard.is_none_or(|shard| shard == node.shard);
         allowed_or(SendDecision::Never, node.in_service && holds_shard)
     }
 
-    /// A request has one attempt in flight at a time.
+    /// Allows only one attempt of a request in flight at a time.
     fn check_single_attempt(&self, candidate: &SendCandidate) -> SendDecision {
         allowed_or(SendDecision::NotYet, candidate.tracked.in_flight.is_empty())
     }
 
-    /// A request that may have been executed is sent again only if that has no second effect.
+    /// Allows another attempt of a request that may have been executed only if a second execution has no
+    /// effect.
     fn check_duplicate_execution(&self, candidate: &SendCandidate) -> SendDecision {
         let Some(first) = candidate.tracked.possible_execution else { return SendDecision::Allowed };
         let class = candidate.class;
@@ -89,7 +91,7 @@
         allowed_or(SendDecision::Never, is_safe)
     }
 
-    /// Whether a node recognizes a request that another one may have executed.
+    /// Returns whether a node recognizes a duplicate of a request that the first node may have executed.
     fn recognizes_duplicate(&self, scope: DeduplicationScope, first: PossibleExecution, node: &Node) -> bool {
         let first_node = self.nodes.get(&first.node);
         match scope {
@@ -99,7 +101,8 @@
         }
     }
 
-    /// Requests with the same key are executed one at a time and in order, if their class asks for it.
+    /// Requires that it is the request's turn among the requests with its key, if its class is ordered by
+    /// key.
     fn check_key_order(&self, candidate: &SendCandidate) -> SendDecision {
         let tracked = candidate.tracked;
         let Some(key) = tracked.request.key.filter(|_| candidate.class.ordered_per_key) else {
@@ -109,14 +112,14 @@
         allowed_or(SendDecision::NotYet, is_turn)
     }
 
-    /// Retries stay within their budget.
+    /// Keeps retries within the retry budget.
     fn check_retry_budget(&self, candidate: &SendCandidate) -> SendDecision {
         let budget = self.settings.retry_budget.as_ref().filter(|_| candidate.tracked.is_retry());
         let is_within = budget.is_none_or(|budget| self.retry_window.allows_retry(candidate.now, budget));
         allowed_or(SendDecision::Never, is_within)
     }
 
-    /// First attempts stay within this scheduler's even part of the volume's rate limit.
+    /// Keeps first attempts within this scheduler's even part of the volume's rate limit.
     fn check_rate_limit(&self, candidate: &SendCandidate) -> SendDecision {
         let tracked = candidate.tracked;
         let plan = self.plan_of(&tracked.request);
@@ -128,7 +131,7 @@
         allowed_or(SendDecision::NotYet, is_within)
     }
 
-    /// A node in slow start is sent one request for each token.
+    /// Requires a token for each request to a node in slow start.
     fn check_slow_start(&self, candidate: &SendCandidate) -> SendDecision {
         let (tracked, node) = (candidate.tracked, candidate.node);
         let Some(allowance) = node.slow_start_requests(candidate.now, &self.settings) else {
--- a/crates/policy/src/scheduler/sending.rs
+++ b/crates/policy/src/scheduler/sending.rs
@@ -1,4 +1,4 @@
-//! An attempt starts.
+//! The start of an attempt.
 
 use super::send_rules::SendDecision;
 use super::Scheduler;
@@ -6,12 +6,12 @@
 use crate::node::AttemptKey;
 use crate::request::{RequestAttempt, RequestState};
 
-/// An attempt is abandoned after this multiple of the time until its request is due. Some nodes drop the
-/// request then.
+/// Timeout of an attempt, as a multiple of the time until its request is due. Some nodes drop the request at
+/// that time.
 const TIMEOUT_FACTOR: Micros = 3;
 
 impl Scheduler {
-    /// Sends a request to a node if every rule holds. There is no other way to a node.
+    /// Sends a request to a node if every rule holds. Every attempt is started by this function.
     pub(super) fn try_send(
         &mut self,
         now: Micros,
@@ -43,7 +43,7 @@
         actions.push(Action::Send { request: id, node: node_id, timeout });
     }
 
-    /// Charges a first attempt to its volume, a retry to the retry budget.
+    /// Charges a first attempt to its volume's rate limit, and a retry to the retry budget.
     fn charge_attempt(&mut self, now: Micros, id: RequestId) {
         let Some(tracked) = self.requests.get(id) else { return };
         if tracked.is_retry() {
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Counts the attempt at the request and at the node.
+    /// Records the attempt in the request and in the node.
     fn start_attempt(&mut self, now: Micros, id: RequestId, node_id: NodeId) {
         let (Some(tracked), Some(node)) = (self.requests.get_mut(id), self.nodes.get_mut(&node_id)) else {
             return;
