--- a/crates/policy/src/node.rs
+++ b/crates/policy/src/node.rs
@@ -1,5 +1,5 @@
-//! What this scheduler knows of a node, split by concern: health, attempts in flight, queue, period budget,
-//! admission history, queueing delay and slow start.
+//! The state of a node as this scheduler knows it, split by concern: health, attempts in flight, queue,
+//! period budget, admission history, queueing delay and slow start.
 
 use crate::api::{EndpointEntry, Micros, NodeStatus, Request, Settings, ShardId};
 use crate::node_ranking::{HealthTier, Rank};
@@ -23,7 +23,7 @@
 use period_budget::PeriodBudget;
 pub(crate) use queue::{NodeQueue, QueueEntry};
 
-/// A volume's session at a node closes after this many budget periods without a request.
+/// Number of budget periods without a request after which a volume's session at a node closes.
 const SESSION_IDLE_PERIODS: u64 = 20;
 
 /// The state of one node.
@@ -31,7 +31,7 @@
 pub(crate) struct Node {
     pub(crate) shard: ShardId,
     pub(crate) zone: u32,
-    /// The endpoint list has it [ready](crate::NodeState::Ready).
+    /// Whether the endpoint list has the node [ready](crate::NodeState::Ready).
     pub(crate) in_service: bool,
     pub(crate) health: NodeHealth,
     pub(crate) in_flight: InFlightAttempts,
@@ -43,7 +43,7 @@
 }
 
 impl Node {
-    /// A node that appears in the endpoint list for the first time.
+    /// Creates the state of a node that appears in the endpoint list for the first time.
     pub(crate) fn new(now: Micros, entry: &EndpointEntry, settings: &Settings) -> Self {
         Self {
             shard: entry.shard,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Takes in when the node started according to the endpoint list.
+    /// Records the start time that the endpoint list reports. A new start resets the node's token bucket.
     pub(crate) fn on_listed_start(&mut self, now: Micros, entry: &EndpointEntry, settings: &Settings) {
         if self.health.on_listed_start(entry.started_at) {
             self.slow_start = self.slow_start.restarted(now, entry.started_at, entry.shard, settings);
@@ -74,8 +74,8 @@
         self.record_peak();
     }
 
-    /// Counts an attempt that starts now. A streamed request occupies no units, as the node has no work
-    /// before the end of its body.
+    /// Records an attempt that starts now. A streamed request counts no units, as the node has no work before
+    /// the end of its body.
     pub(crate) fn start_attempt(&mut self, key: AttemptKey, request: &Request, mean_units: f64) {
         if !request.is_streaming {
             self.in_flight.start(key, f64::from(request.units));
@@ -91,8 +91,8 @@
         self.budget.record_open_units(self.in_flight.units() + self.queue.units());
     }
 
-    /// Closes the budget periods that have passed. Empty ones before the recent periods and the time in which
-    /// sessions become idle have no effect and are skipped.
+    /// Closes the budget periods that have ended. Empty periods that are older than both the recent periods
+    /// and the idle time of sessions have no effect and are skipped.
     pub(crate) fn close_periods(&mut self, now: Micros, period: Micros, mean_units: f64) {
         let idle_time = period * SESSION_IDLE_PERIODS;
         let max_history = (ADMISSION_LOOKBACK / period).max(1) as usize;
@@ -106,39 +106,40 @@
         }
     }
 
-    /// Whether a volume without an open session at this node is admitted: reserved units always are, others
-    /// unless the node is overloaded and one more session of the usual load exceeds its budget.
+    /// Returns whether a volume without an open session at this node is admitted. Reserved units are always
+    /// admitted; others are unless the node is overloaded and one more session of the usual load would exceed
+    /// its budget.
     pub(crate) fn admits_new_volume(&self, tier: QuotaTier) -> bool {
         tier == QuotaTier::Reserved
             || !self.budget.is_overloaded()
             || self.admission.has_capacity_for_new_session()
     }
 
-    /// How long a request would wait at the node, in microseconds: as its answers show, or as long as the
-    /// oldest attempt has been waiting.
+    /// Returns the estimated time that a request would wait at the node, in microseconds: the delay shown by
+    /// the node's answers, or the waiting time of its oldest attempt if that is longer.
     pub(crate) fn queueing_delay(&self, now: Micros, period: Micros, fleet: &FleetEstimate) -> f64 {
         let oldest = self.in_flight.informative(now, period).next();
         let waiting = oldest.map_or(0, |attempt| now.saturating_sub(attempt.sent_at));
         self.delay.decayed(now, fleet.delay(now)).max(waiting as f64 - fleet.expected_service_time())
     }
 
-    /// The load from this scheduler as a time in microseconds: the queueing delay and the service time of the
-    /// units in flight and queued.
+    /// Returns the load from this scheduler as a time in microseconds: the queueing delay plus the service
+    /// time of the units in flight and queued.
     pub(crate) fn load(&self, now: Micros, period: Micros, fleet: &FleetEstimate) -> f64 {
         let open_units = self.in_flight.informative_units(now, period) + self.queue.units();
         let open_time = open_units * fleet.unit_service_time();
         self.queueing_delay(now, period, fleet) + open_time
     }
 
-    /// Requests of mean size that all schedulers together may send within the overload window while the node
-    /// is or may be in slow start; `None` if it is not.
+    /// Returns the number of requests of mean size that all schedulers together may send within the overload
+    /// window while the node is or may be in slow start; `None` if it is not.
     pub(crate) fn slow_start_requests(&self, now: Micros, settings: &Settings) -> Option<f64> {
         let started_at = self.health.slow_start_origin(now, settings.slow_start_duration)?;
         let units = settings.slow_start_allowance(now.saturating_sub(started_at))?;
         Some(units / settings.mean_units)
     }
 
-    /// The node's position in the ranking by load.
+    /// Returns the values by which the node is ranked by load.
     pub(crate) fn rank(&self, now: Micros, settings: &Settings) -> Rank {
         let is_in_slow_start = self.slow_start_requests(now, settings).is_some();
         Rank {
@@ -150,12 +151,12 @@
         }
     }
 
-    /// Whether nothing is open at the node and it has not answered since.
+    /// Returns whether the node has no request in flight or queued and has not answered after `since`.
     pub(crate) fn is_unused_since(&self, since: Micros) -> bool {
         self.health.last_response() <= since && self.in_flight.is_empty() && self.queue.is_empty()
     }
 
-    /// How the node is treated.
+    /// Returns the node's status.
     pub(crate) fn status(&self, now: Micros) -> NodeStatus {
         NodeStatus {
             ready: self.in_service,
--- a/crates/policy/src/node/admission_history.rs
+++ b/crates/policy/src/node/admission_history.rs
@@ -1,31 +1,31 @@
-//! The load of the volumes that use a node, for the admission of further volumes.
+//! The load of the volumes that use a node, which decides on the admission of further volumes.
 //!
-//! A volume has a session at a node from its first request there until it has had none for a while.
+//! A volume has a session at a node from its first request there until it has sent none for the idle time.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::api::{Micros, VolumeId};
 
-/// Time over which the load of volumes is averaged: longer than a surge. What was not used within it, or
-/// twice that at most, is forgotten.
+/// Time over which the load of volumes is averaged, in microseconds; it is longer than a surge. Volumes and
+/// nodes that were not used within it are removed, after twice that time at the latest.
 pub(crate) const ADMISSION_LOOKBACK: Micros = 30_000_000;
-/// Fraction of the budget up to which volumes are admitted. Mean load of the whole budget would leave no room
-/// for variation.
+/// Fraction of the budget up to which volumes are admitted. A mean load of the full budget would leave no
+/// margin for variation.
 const MAX_ADMITTED_LOAD: f64 = 0.9;
 
 /// The volumes that use a node, and their mean load in past budget periods.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct AdmissionHistory {
-    /// Open sessions: volumes by the time of their latest request.
+    /// Open sessions: the time of each volume's latest request.
     sessions: BTreeMap<VolumeId, Micros>,
-    /// Peak load of each period for one session, as a fraction of the budget.
+    /// Peak load of each period divided by the number of sessions, as a fraction of the budget.
     session_loads: VecDeque<f64>,
     /// Sum of `session_loads`.
     load_sum: f64,
 }
 
 impl AdmissionHistory {
-    /// Opens the session of a request's volume or keeps it open.
+    /// Opens the session of a request's volume, or keeps it open.
     pub(crate) fn record_request(&mut self, now: Micros, volume: VolumeId) {
         self.sessions.insert(volume, now);
     }
@@ -38,7 +38,8 @@
         self.sessions.retain(|_, last_request| now.saturating_sub(*last_request) < idle_time);
     }
 
-    /// Takes in the peak load of a period as a fraction of the budget; keeps `max_periods` periods.
+    /// Records the peak load of a period as a fraction of the budget, and keeps the last `max_periods`
+    /// periods.
     pub(crate) fn record_period(&mut self, peak_fraction: f64, max_periods: usize) {
         if self.sessions.is_empty() {
             return;
@@ -51,7 +52,8 @@
         }
     }
 
-    /// Whether one more session of mean load stays within the budget. A node without a history has room.
+    /// Returns whether one more session of mean load stays within the budget. A node without a history has
+    /// capacity.
     pub(crate) fn has_capacity_for_new_session(&self) -> bool {
         if self.session_loads.is_empty() {
             return true;
--- a/crates/policy/src/node/health.rs
+++ b/crates/policy/src/node/health.rs
@@ -1,23 +1,26 @@
-//! Failure detection: whether a node is down or unresponsive, whether it returns errors, and when it started.
+//! Failure detection: whether a node is down, unresponsive or returning errors, and when it started.
 
 use crate::api::{AttemptEnd, Micros};
 
-/// How long a start that is presumed from an answer counts if the endpoint list does not confirm it.
+/// Time for which a start that is presumed from an answer is assumed without confirmation by the endpoint
+/// list.
 const UNANNOUNCED_START_LIFETIME: Micros = 6_000_000;
-/// Timeouts in a row after which a node is unresponsive.
+/// Number of consecutive timeouts after which a node is unresponsive.
 const UNRESPONSIVE_TIMEOUTS: u32 = 3;
-/// A node without an answer for this many budget periods is unresponsive and not just paused.
+/// Number of budget periods without an answer after which a node may count as unresponsive, rather than just
+/// paused.
 const UNRESPONSIVE_PERIODS: u64 = 7;
-/// Attempts in a row that a node leaves unanswered because of broken connections until it counts as down.
+/// Number of consecutive unanswered attempts, because of broken connections, after which a node counts as
+/// down.
 const DOWN_ATTEMPTS: u32 = 2;
-/// What an attempt without a connection counts against an attempt whose connection broke.
+/// Number of broken connections that an attempt without a connection counts as.
 const NO_CONNECTION_ATTEMPTS: u32 = 2;
-/// A timeout shorter than this many budget periods says nothing about the node.
+/// Minimum length of a timeout, in budget periods. A shorter one says nothing about the node.
 const MIN_TIMEOUT_PERIODS: u64 = 2;
-/// Errors in a row after which a node is unhealthy.
+/// Number of consecutive errors after which a node is unhealthy.
 const UNHEALTHY_ERRORS: u32 = 2;
 
-/// An attempt that has ended, as failure detection sees it.
+/// The end of an attempt, as observed by failure detection.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ObservedEnd {
     pub(crate) end: AttemptEnd,
@@ -25,33 +28,35 @@
     pub(crate) latency: Micros,
 }
 
-/// A transition of failure detection.
+/// A change of a node's state in failure detection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HealthChange {
-    /// It became unresponsive.
+    /// The node became unresponsive.
     Unresponsive,
-    /// It responds again.
+    /// The node responds again.
     Responsive,
 }
 
 /// The health of one node as this scheduler observes it.
 #[derive(Clone, Debug)]
 pub(crate) struct NodeHealth {
-    /// When it started, as listed.
+    /// Start time according to the endpoint list.
     started_at: Option<Micros>,
-    /// When it started, as presumed from an answer after it was unresponsive.
+    /// Start time presumed from an answer after the node was unresponsive.
     presumed_start: Option<Micros>,
-    /// Since when it is down or unresponsive. It may be in slow start when it answers again.
+    /// Time since which the node is down or unresponsive. It may be in slow start when it answers again.
     suspected_since: Option<Micros>,
     last_response: Micros,
-    /// Attempts since the last response that had none.
+    /// Number of unanswered attempts since the last response; an attempt without a connection counts as
+    /// [`NO_CONNECTION_ATTEMPTS`].
     unanswered: u32,
-    /// Errors in a row.
+    /// Number of consecutive errors and rejections; at least [`UNHEALTHY_ERRORS`] after an attempt without a
+    /// connection.
     consecutive_errors: u32,
 }
 
 impl NodeHealth {
-    /// A node that is listed for the first time.
+    /// Creates the state of a node that is listed for the first time.
     pub(crate) fn new(now: Micros) -> Self {
         Self {
             started_at: None,
@@ -63,7 +68,7 @@
         }
     }
 
-    /// Takes in a start that the endpoint list reports. Returns whether it is a new one.
+    /// Records the start time that the endpoint list reports. Returns whether it is later than the known one.
     pub(crate) fn on_listed_start(&mut self, started_at: Option<Micros>) -> bool {
         let is_new = started_at > self.started_at;
         if is_new {
@@ -73,7 +78,7 @@
         is_new
     }
 
-    /// Takes in the end of an attempt.
+    /// Records the end of an attempt. Returns the resulting change of the node's health, if any.
     pub(crate) fn on_attempt_end(
         &mut self,
         now: Micros,
@@ -98,7 +103,8 @@
     }
 
     fn on_response(&mut self, now: Micros, attempt: &ObservedEnd, period: Micros) {
-        // A node that was unresponsive for long may have restarted before the endpoint list reports it.
+        // A node that was unresponsive for a long time may have restarted without the endpoint list reporting
+        // it yet.
         let was_suspected = self.suspected_since.take().is_some();
         let presumed_start = (was_suspected && self.is_overdue(now, period)).then_some(attempt.sent_at);
         self.presumed_start = self.presumed_start.max(presumed_start);
@@ -108,22 +114,23 @@
         self.consecutive_errors = if is_served { 0 } else { self.consecutive_errors + 1 };
     }
 
-    /// A node that accepts no connection gets no request that any node may serve until it serves again.
+    /// Records an attempt without a connection. A node that accepts no connections receives no request that
+    /// any node may serve until it serves one again.
     fn on_no_connection(&mut self, now: Micros, period: Micros) {
         self.unanswered += NO_CONNECTION_ATTEMPTS;
         self.consecutive_errors = self.consecutive_errors.max(UNHEALTHY_ERRORS);
         self.mark_suspected_if(now, self.unanswered >= DOWN_ATTEMPTS && self.is_overdue(now, period));
     }
 
-    /// A single broken connection, or one to a node that answered a moment ago, does not mean that it is
-    /// down.
+    /// Records a broken connection. A single one, or one to a node that has just answered, does not mean that
+    /// the node is down.
     fn on_reset(&mut self, now: Micros, period: Micros) {
         self.unanswered += 1;
         self.mark_suspected_if(now, self.unanswered >= DOWN_ATTEMPTS && self.is_overdue(now, period));
     }
 
-    /// Single attempts hang on nodes that are healthy: a node is unresponsive after several in a row, with no
-    /// answer since they were sent.
+    /// Records a timeout. Single attempts may hang at healthy nodes: a node is unresponsive only after
+    /// several consecutive timeouts without an answer since the attempts were sent.
     fn on_timeout(&mut self, now: Micros, attempt: &ObservedEnd, period: Micros) {
         if self.last_response >= attempt.sent_at || attempt.latency < MIN_TIMEOUT_PERIODS * period {
             return;
@@ -140,20 +147,20 @@
         self.suspected_since = self.suspected_since.or(is_suspect.then_some(now));
     }
 
-    /// Discards a presumed start: the node answers at full speed, so that it was out of reach and did not
-    /// restart.
+    /// Discards a presumed start: a node that answers at full speed was unreachable and did not restart.
     pub(crate) fn discard_presumed_start(&mut self) {
         self.presumed_start = None;
     }
 
-    /// Since when the node may be in slow start: since it started, as listed or presumed, or since now if it
-    /// is suspected, as it may start at any time.
+    /// Returns the time since which the node may be in slow start: its listed or presumed start, or `now`
+    /// while it is suspected, as it may start at any time.
     pub(crate) fn slow_start_since(&self, now: Micros) -> Option<Micros> {
         self.latest_start(now).max(self.suspected_since.map(|_| now))
     }
 
-    /// The start by which slow start is counted. Unlike [`Self::slow_start_since`], a node that has been
-    /// suspected for the whole duration of slow start no longer counts as starting now.
+    /// Returns the start from which the duration of slow start is counted. Unlike in
+    /// [`Self::slow_start_since`], a node that has been suspected for the full duration of slow start no
+    /// longer counts as starting now.
     pub(crate) fn slow_start_origin(&self, now: Micros, slow_start_duration: Micros) -> Option<Micros> {
         let suspected = |since: Micros| now.saturating_sub(since) < slow_start_duration;
         if self.suspected_since.is_some_and(suspected) {
@@ -167,8 +174,8 @@
         self.started_at.max(self.presumed_start.filter(is_recent))
     }
 
-    /// Whether requests that any node may serve avoid it. A node that returns errors answers quickly and
-    /// would otherwise look like the least loaded one.
+    /// Returns whether requests that any node may serve avoid the node. A node that returns errors answers
+    /// quickly and would otherwise appear to be the least loaded one.
     pub(crate) fn is_unhealthy(&self) -> bool {
         self.suspected_since.is_some() || self.consecutive_errors >= UNHEALTHY_ERRORS
     }
--- a/crates/policy/src/node/in_flight.rs
+++ b/crates/policy/src/node/in_flight.rs
@@ -4,10 +4,10 @@
 
 use crate::api::{Micros, RequestId};
 
-/// Budget periods after which an attempt that was sent before an answered one counts as stuck.
+/// Number of budget periods after which an attempt that was sent before an answered one counts as stuck.
 const STUCK_PERIODS: u64 = 4;
 
-/// Identifies an attempt at a node; ordered by the time at which it was sent.
+/// Identifier of an attempt at a node, ordered by the time at which it was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct AttemptKey {
     pub(crate) sent_at: Micros,
@@ -16,7 +16,7 @@
 }
 
 impl AttemptKey {
-    /// The lowest key of attempts sent at or after a time.
+    /// Returns the lowest key of attempts sent at or after a time.
     fn first_at(sent_at: Micros) -> Self {
         Self { sent_at, request: RequestId(0), attempt: 0 }
     }
@@ -29,12 +29,12 @@
     pub(crate) units: f64,
 }
 
-/// The attempts in flight at a node, without those of streamed requests.
+/// The attempts in flight at a node, except those of streamed requests.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct InFlightAttempts {
     units_by_attempt: BTreeMap<AttemptKey, f64>,
     units: f64,
-    /// The latest time at which an attempt was sent that has been answered.
+    /// The latest send time of an answered attempt.
     latest_answered_send: Micros,
 }
 
@@ -50,20 +50,20 @@
         }
     }
 
-    /// Notes that the node has answered an attempt sent at this time.
+    /// Records that the node has answered an attempt sent at this time.
     pub(crate) fn on_answer(&mut self, sent_at: Micros) {
         self.latest_answered_send = self.latest_answered_send.max(sent_at);
     }
 
-    /// Whether an attempt sent later than this one has been answered, or this one itself.
+    /// Returns whether this attempt or one sent later has been answered.
     pub(crate) fn is_overtaken(&self, sent_at: Micros) -> bool {
         self.latest_answered_send >= sent_at
     }
 
-    /// Attempts that show how long the node takes, in the order in which they were sent. A node serves
-    /// requests in order of arrival: an attempt sent before an answered one is expensive, stuck or lost, and
-    /// no longer counts after some periods. At a node that serves out of order this may discard attempts that
-    /// wait.
+    /// Returns the attempts that indicate how long the node takes, in the order in which they were sent. A
+    /// node serves requests in order of arrival: an attempt sent before an answered one is expensive, stuck
+    /// or lost, and no longer counts after [`STUCK_PERIODS`]. At a node that serves out of order, this may
+    /// exclude attempts that are still waiting.
     pub(crate) fn informative(&self, now: Micros, period: Micros) -> impl Iterator<Item = OpenAttempt> + '_ {
         let not_stuck = now.saturating_sub(STUCK_PERIODS * period);
         let first = AttemptKey::first_at((self.latest_answered_send + 1).min(not_stuck));
@@ -71,19 +71,19 @@
         attempts.map(|(key, units)| OpenAttempt { sent_at: key.sent_at, units: *units })
     }
 
-    /// Units of [`Self::informative`] attempts.
+    /// Returns the units of [`Self::informative`] attempts.
     pub(crate) fn informative_units(&self, now: Micros, period: Micros) -> f64 {
         self.informative(now, period).map(|attempt| attempt.units).sum()
     }
 
-    /// Units of the attempts that were sent after every answered one. They remain informative until the next
-    /// event of the node.
+    /// Returns the units of the attempts that were sent after every answered one. They remain informative
+    /// until the node's next event.
     pub(crate) fn lasting_units(&self) -> f64 {
         let first = AttemptKey::first_at(self.latest_answered_send + 1);
         self.units_by_attempt.range(first..).map(|(_, units)| units).sum::<f64>()
     }
 
-    /// Units of all attempts.
+    /// Returns the units of all attempts.
     pub(crate) fn units(&self) -> f64 {
         self.units
     }
--- a/crates/policy/src/node/period_budget.rs
+++ b/crates/policy/src/node/period_budget.rs
@@ -1,10 +1,10 @@
-//! The budget of open units at a node, adjusted once a period by what the node served.
+//! The limit on a node's open units, adjusted once a period by the units that the node served.
 
 use std::collections::VecDeque;
 
 use crate::api::{Micros, Settings};
 
-/// Number of recent periods whose maximum of served units supports the budget. A scheduler that sends a node
+/// Number of recent periods over which the maximum of served units is taken. A scheduler that sends a node
 /// only a few of its requests has few answers in a single period.
 const RECENT_PERIODS: usize = 8;
 /// Minimum of the budget, in requests of mean size.
@@ -12,25 +12,25 @@
 /// Maximum of the budget, in requests of mean size.
 const MAX_BUDGET_REQUESTS: f64 = 32.0;
 
-/// The budget of one node and what happened in the current period.
+/// The budget of one node and its statistics of the current period.
 #[derive(Clone, Debug)]
 pub(crate) struct PeriodBudget {
-    /// The most units that may be open at a time.
+    /// Maximum number of units that may be open at a time.
     limit_units: f64,
     period_end: Micros,
-    /// The most units that were open at a time in this period.
+    /// Maximum number of units that were open at a time in this period.
     peak_units: f64,
     /// Units served in this period.
     served_units: f64,
-    /// The budget was used up in this period.
+    /// Whether the budget was used up in this period.
     is_filled: bool,
-    /// Answers past the latency objective, and rejections, in this period.
+    /// Number of rejections, and of answers later than the latency objective, in this period.
     late_answers: u32,
-    /// Answers within the latency objective in this period.
+    /// Number of answers within the latency objective in this period.
     timely_answers: u32,
     /// Units served in each of the recent periods.
     recent_served_units: VecDeque<f64>,
-    /// The last period was filled and had late answers.
+    /// Whether the last period was filled and had late answers.
     is_overloaded: bool,
 }
 
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Counts an answer.
+    /// Records an answer that served a request.
     pub(crate) fn record_served(&mut self, units: f64, latency: Micros, latency_objective: Micros) {
         self.served_units += units;
         if latency > latency_objective {
@@ -59,31 +59,32 @@
         }
     }
 
-    /// Counts a rejection: the node is full.
+    /// Records a rejection, which means that the node is full.
     pub(crate) fn record_rejection(&mut self) {
         self.late_answers += 1;
         self.is_filled = true;
     }
 
-    /// Notes that the budget is used up.
+    /// Records that the budget is used up.
     pub(crate) fn mark_filled(&mut self) {
         self.is_filled = true;
     }
 
-    /// Notes how many units are open.
+    /// Records the number of open units.
     pub(crate) fn record_open_units(&mut self, units: f64) {
         self.peak_units = self.peak_units.max(units);
     }
 
-    /// Leaves out periods before `from` less the recent ones.
+    /// Skips the periods that end before `from` minus the length of the recent periods.
     pub(crate) fn skip_empty_periods(&mut self, from: Micros, period: Micros) {
         let first_relevant = from.saturating_sub(period * RECENT_PERIODS as u64);
         self.period_end = self.period_end.max(first_relevant);
     }
 
-    /// Sets the budget by the period that ends: the most units served in a recent period if the node was
-    /// overloaded, one request more than that if it was filled and answered in time. It does not shrink while
-    /// this scheduler sends little.
+    /// Adjusts the budget at the end of a period. If the node was overloaded, the budget becomes the maximum
+    /// of units served in a recent period; if the budget was filled and there were timely answers, it grows
+    /// to one request of mean size more than the larger of that maximum and the budget. It does not shrink
+    /// while this scheduler sends little.
     pub(crate) fn adjust(&mut self, mean_units: f64) {
         self.recent_served_units.push_back(self.served_units);
         if self.recent_served_units.len() > RECENT_PERIODS {
@@ -100,7 +101,7 @@
         self.limit_units = self.limit_units.max(most_served).clamp(min, max);
     }
 
-    /// Starts the period after the one that ends, with the units that are open now.
+    /// Starts the next period with the units that are open now.
     pub(crate) fn start_next_period(&mut self, period: Micros, open_units: f64, has_queue: bool) {
         self.served_units = 0.0;
         self.late_answers = 0;
@@ -110,7 +111,7 @@
         self.period_end += period;
     }
 
-    /// The most units open at a time in this period, as a fraction of the budget.
+    /// Returns the maximum of open units in this period as a fraction of the budget.
     pub(crate) fn peak_fraction(&self) -> f64 {
         self.peak_units / self.limit_units
     }
@@ -123,7 +124,7 @@
         self.period_end
     }
 
-    /// Whether the last period was filled and had late answers.
+    /// Returns whether the last period was filled and had late answers.
     pub(crate) fn is_overloaded(&self) -> bool {
         self.is_overloaded
     }
--- a/crates/policy/src/node/queue.rs
+++ b/crates/policy/src/node/queue.rs
@@ -1,11 +1,11 @@
-//! The requests that wait in this scheduler for a node.
+//! The requests queued in this scheduler for a node.
 
 use std::collections::BTreeSet;
 use std::ops::Bound;
 
 use crate::api::{Micros, RequestId};
 
-/// A queued request; ordered by the time at which it is due, then by id.
+/// A queued request, ordered by due time, then by id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct QueueEntry {
     pub(crate) due: Micros,
@@ -31,7 +31,7 @@
         }
     }
 
-    /// The first entry after another, or the first of all.
+    /// Returns the first entry after `after`, or the first of the queue.
     pub(crate) fn next(&self, after: Option<QueueEntry>) -> Option<QueueEntry> {
         let from = after.map_or(Bound::Unbounded, Bound::Excluded);
         self.entries.range((from, Bound::Unbounded)).next().copied()
--- a/crates/policy/src/node_ranking.rs
+++ b/crates/policy/src/node_ranking.rs
@@ -1,17 +1,18 @@
-//! Nodes ordered by a lower bound of their load, for requests that any node may serve.
+//! A ranking of the nodes by a lower bound of their load, for requests that any node may serve.
 //!
-//! A node's score is its load (queueing delay and service time of the open units) plus noise, drawn evenly
-//! between 0 and the service time of one unit, so that nodes of similar load are chosen at random. The lowest
-//! score wins. The queueing delay decays into the fleet's: it is `delay x f + fleet_delay x (1 - f)`, where
-//! the freshness `f` falls from 1 to 0 with the age of the node's last observation. Nodes are kept in buckets
-//! by `delay x f`, `f` and open units, so that a bucket's bound holds whatever the fleet's delay becomes:
+//! A node's score is its load (queueing delay plus service time of the open units) plus noise, drawn
+//! uniformly between 0 and the service time of one unit, so that the choice among nodes of similar load is
+//! random. The lowest score wins. The queueing delay decays toward the fleet's: it is `delay x f +
+//! fleet_delay x (1 - f)`, where the freshness `f` falls from 1 to 0 with the age of the node's last
+//! observation. Nodes are kept in buckets by `delay x f`, `f` and open units, so that a bucket's bound holds
+//! for every value of the fleet's delay:
 //!
 //! - `f` only falls between two observations, which raises the fleet's part: the bound stays below the score.
 //! - `delay x f` falls as well: a node leaves its bucket when the value reaches the bucket's floor.
 //!
-//! A search draws the noise of a bucket's members from the lowest up, as order statistics, and visits nodes
-//! in order of bound plus noise. It ends when no other node can win, so that each node is chosen with the
-//! same probability as by visiting all nodes, unless [`MAX_VISITS`] ends it before.
+//! A search draws the noise of a bucket's members in ascending order, as order statistics, and visits nodes
+//! in order of bound plus noise. It ends when no other node can have a lower score, so that each node is
+//! chosen with the same probability as by visiting all nodes, unless [`MAX_VISITS`] is reached first.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -24,13 +25,13 @@
 pub(crate) use bucket::{HealthTier, Rank};
 use search::Search;
 
-/// Maximum number of nodes of a tier that one search visits. It matters where none of them has capacity.
+/// Maximum number of nodes of a tier that one search visits. It is reached only if few of them have capacity.
 pub(crate) const MAX_VISITS: usize = 64;
-/// Maximum number of nodes that are moved to a lower bucket at a time. A node that has to wait for its move
-/// is ranked by the longer delay of its old bucket.
+/// Maximum number of nodes that are moved to a lower bucket at a time. Until its move, a node is ranked by
+/// the longer delay of its old bucket.
 const MAX_MOVES: usize = 64;
 
-/// Where a node is kept.
+/// The position of a node in the buckets.
 #[derive(Clone, Copy, Debug)]
 struct Position {
     placement: Placement,
@@ -38,34 +39,34 @@
     index: usize,
 }
 
-/// The end of a node's placement.
+/// The time at which a node's placement expires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Expiry {
     at: Micros,
     node: NodeId,
 }
 
-/// A node as it is found when a search visits it.
+/// The state of a node that a search visits.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Candidate {
-    /// A request may be sent there now.
+    /// Whether the request may be sent to the node now.
     pub(crate) is_open: bool,
-    /// Its load in microseconds: the score without noise.
+    /// Load in microseconds: the score without noise.
     pub(crate) load: f64,
 }
 
 /// The result of a search.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct SearchResult {
-    /// The node with the lowest score among open ones or, if none is open, among all.
+    /// The node with the lowest score among the open nodes or, if none is open, among all.
     pub(crate) node: Option<NodeId>,
-    /// Nodes whose bound was well below their load.
+    /// Nodes whose bound was well below their load, and whose placement should be updated.
     pub(crate) outdated: Vec<NodeId>,
     /// Number of nodes visited.
     pub(crate) visits: usize,
 }
 
-/// A visited node.
+/// A visited node and its score.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 struct Scored {
     score: f64,
@@ -80,7 +81,7 @@
 }
 
 impl Lowest {
-    /// The score that decides in a tier: unhealthy nodes count as closed.
+    /// Returns the lowest score for nodes of a tier; unhealthy nodes count as closed.
     fn of_tier(&mut self, tier: HealthTier, is_open: bool) -> &mut Option<Scored> {
         if is_open && tier != HealthTier::Unhealthy {
             &mut self.open
@@ -95,7 +96,7 @@
     }
 }
 
-/// Nodes in service, in buckets.
+/// The nodes in service, in buckets by their placement.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct NodeRanking {
     positions: BTreeMap<NodeId, Position>,
@@ -104,7 +105,7 @@
 }
 
 impl NodeRanking {
-    /// Places a node by its rank.
+    /// Moves a node to the bucket for its rank.
     pub(crate) fn set(&mut self, now: Micros, node: NodeId, rank: &Rank) {
         let placement = rank.placement(now);
         let current = self.positions.get_mut(&node).map(|position| &mut position.placement);
@@ -146,14 +147,14 @@
         }
     }
 
-    /// The lower bound of a node's score.
+    /// Returns the lower bound of a node's score.
     #[cfg(test)]
     pub(crate) fn bound(&self, node: NodeId, fleet_delay: f64, unit_service_time: f64) -> Option<f64> {
         let position = self.positions.get(&node)?;
         Some(position.placement.bucket.bound(fleet_delay, unit_service_time))
     }
 
-    /// Nodes whose placement has expired, the most overdue first.
+    /// Returns the nodes whose placement has expired, the most overdue first; at most [`MAX_MOVES`].
     pub(crate) fn expired(&self, now: Micros) -> Vec<NodeId> {
         let expired = self.expiries.iter().take_while(|expiry| expiry.at <= now);
         expired.take(MAX_MOVES).map(|expiry| expiry.node).collect()
--- a/crates/policy/src/node_ranking/bucket.rs
+++ b/crates/policy/src/node_ranking/bucket.rs
@@ -1,22 +1,22 @@
-//! Buckets of nodes with nearly the same bound of their load.
+//! Buckets of nodes with nearly the same lower bound of their load.
 
 use crate::api::Micros;
 
-/// Floor of the second bucket by delay in microseconds; the first one starts at 0.
+/// Floor of the second bucket by delay, in microseconds; the floor of the first one is 0.
 pub(super) const FIRST_DELAY_US: f64 = 50.0;
-/// Factor from the floor of one bucket by delay to that of the next.
+/// Ratio of the floors of two adjacent buckets by delay.
 pub(super) const DELAY_STEP: f64 = 1.25;
 /// Number of buckets by freshness.
 pub(super) const FRESHNESS_STEPS: f64 = 16.0;
 
-/// Groups of nodes; a search visits them one after the other.
+/// Groups of nodes by health; a search visits them in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum HealthTier {
     /// Healthy and at full capacity.
     Healthy,
-    /// In slow start, or possibly: what it may be sent is often used up.
+    /// In slow start, or possibly so: the load that it may be sent is often used up.
     SlowStart,
-    /// Unresponsive or returning errors: the last choice.
+    /// Unresponsive or returning errors; chosen only if no other node is open.
     Unhealthy,
 }
 
@@ -30,21 +30,21 @@
     }
 }
 
-/// What a node is ranked by.
+/// The values by which a node is ranked.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Rank {
     pub(crate) tier: HealthTier,
     /// Queueing delay as of the last observation, in microseconds.
     pub(crate) delay: f64,
-    /// When the last observation was, if there was one.
+    /// Time of the last observation, if there is one.
     pub(crate) delay_updated_at: Option<Micros>,
     /// Time constant with which the delay decays, in microseconds.
     pub(crate) delay_time_constant: f64,
-    /// Open units that remain open until the node's next event.
+    /// Open units that remain in the estimate of the load until the node's next event.
     pub(crate) lasting_units: f64,
 }
 
-/// Nodes with nearly the same bound. The numbers are steps of the scales above.
+/// The key of a bucket; the numbers are steps on the scales above.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Bucket {
     tier: HealthTier,
@@ -53,15 +53,16 @@
     units: u8,
 }
 
-/// A bucket that a node belongs in for some time.
+/// The bucket of a node, and how long the node belongs in it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Placement {
     pub(super) bucket: Bucket,
-    /// When the bucket's floor no longer holds for the node.
+    /// Time from which the bucket's floor no longer holds for the node; `None` if it holds until the next
+    /// event.
     pub(super) expires_at: Option<Micros>,
 }
 
-/// The lower edge of a bucket by delay, in microseconds.
+/// Returns the lower edge of a bucket by delay, in microseconds.
 fn delay_floor(step: u8) -> f64 {
     if step == 0 {
         0.0
@@ -70,14 +71,14 @@
     }
 }
 
-/// The bucket for a delay.
+/// Returns the step of the bucket for a delay in microseconds.
 fn delay_step(delay: f64) -> u8 {
     if delay < FIRST_DELAY_US {
         return 0;
     }
     let steps = (delay / FIRST_DELAY_US).ln() / DELAY_STEP.ln();
     let step = (steps as u8).saturating_add(1);
-    // The logarithm may have been rounded up.
+    // The quotient of the logarithms may have been rounded up.
     if delay_floor(step) > delay {
         step - 1
     } else {
@@ -104,7 +105,7 @@
         Placement { bucket, expires_at: self.expiry(now, delay) }
     }
 
-    /// When the delay falls below its bucket's floor.
+    /// Returns the time at which the delay falls below its bucket's floor.
     fn expiry(&self, now: Micros, delay_step: u8) -> Option<Micros> {
         let updated_at = self.delay_updated_at.filter(|_| delay_step > 0)?;
         let elapsed = self.delay_time_constant * (self.delay / delay_floor(delay_step)).ln();
@@ -113,18 +114,18 @@
 }
 
 impl Bucket {
-    /// A lower bound of the members' scores.
+    /// Returns a lower bound of the members' scores, in microseconds.
     pub(super) fn bound(&self, fleet_delay: f64, unit_service_time: f64) -> f64 {
         let stale_part = 1.0 - f64::from(self.freshness) / FRESHNESS_STEPS;
         delay_floor(self.delay) + fleet_delay * stale_part + f64::from(self.units) * unit_service_time
     }
 
-    /// The first possible bucket of a tier.
+    /// Returns the lowest possible bucket of a tier.
     pub(super) fn first_of(tier: HealthTier) -> Self {
         Self { tier, delay: 0, freshness: 0, units: 0 }
     }
 
-    /// The last possible bucket of a tier.
+    /// Returns the highest possible bucket of a tier.
     pub(super) fn last_of(tier: HealthTier) -> Self {
         Self { tier, delay: u8::MAX, freshness: u8::MAX, units: u8::MAX }
     }
--- a/crates/policy/src/node_ranking/search.rs
+++ b/crates/policy/src/node_ranking/search.rs
@@ -1,4 +1,4 @@
-//! Visits the nodes of a tier in order of their bucket's bound plus random noise.
+//! A search that visits the nodes of a tier in order of their bucket's bound plus random noise.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -6,38 +6,38 @@
 use super::bucket::{Bucket, HealthTier};
 use crate::api::NodeId;
 
-/// Two members of a bucket that have changed positions.
+/// An exchange of two members of a bucket by the shuffle.
 #[derive(Clone, Copy, Debug)]
 struct Swap {
     position: usize,
     index: usize,
 }
 
-/// The members of one bucket in order of their noise.
+/// A draw of the members of one bucket, in ascending order of their noise.
 struct BucketDraw<'a> {
     members: &'a [NodeId],
     bound: f64,
     /// Noise of the next member, from 0 to 1.
     noise: f64,
-    /// Number of members drawn before it.
+    /// Number of members drawn so far.
     drawn: usize,
-    /// Members that a shuffle has exchanged with earlier ones; the list of members itself is not changed.
+    /// Exchanges made by the shuffle; the list of members itself is not changed.
     swaps: Vec<Swap>,
 }
 
 impl BucketDraw<'_> {
-    /// Index of the member that the shuffle has moved to a position.
+    /// Returns the index of the member that the shuffle has moved to a position.
     fn index_at(&self, position: usize) -> usize {
         self.swaps.iter().rev().find(|swap| swap.position == position).map_or(position, |swap| swap.index)
     }
 
-    /// Draws the lowest noise of the members that are left.
+    /// Draws the lowest noise of the remaining members.
     fn draw_noise(&mut self, random: &mut fastrand::Rng) {
         let remaining = (self.members.len() - self.drawn) as f64;
         self.noise = 1.0 - (1.0 - self.noise) * (1.0 - random.f64()).powf(1.0 / remaining);
     }
 
-    /// Draws the member with that noise, which is any of those that are left.
+    /// Draws the member with that noise, uniformly among the remaining ones.
     fn draw_member(&mut self, random: &mut fastrand::Rng) -> NodeId {
         let position = random.usize(self.drawn..self.members.len());
         let index = self.index_at(position);
@@ -52,24 +52,24 @@
     }
 }
 
-/// The next member of a bucket; ordered by the lowest score that it can have.
+/// The next member of a bucket, ordered by the lowest score that it can have.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct NextMember {
-    /// Bits of the score, which order like the score itself as it is not negative.
+    /// Bits of the score; they order like the score itself, which is not negative.
     lowest_score_bits: u64,
-    /// Its noise is drawn already, so that the score is not only a bound.
+    /// Whether the noise is already drawn, so that the score is exact and not just a bound.
     has_noise: bool,
     /// Index of the bucket.
     bucket: usize,
 }
 
-/// A node to visit.
+/// The node to visit next.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct DrawnNode {
     pub(super) node: NodeId,
-    /// Lower bound of its load.
+    /// Lower bound of the node's load, in microseconds.
     pub(super) bound: f64,
-    /// Noise to add to its load.
+    /// Noise to add to the node's load, in microseconds.
     pub(super) noise: f64,
 }
 
@@ -77,7 +77,7 @@
 pub(super) struct Search<'a> {
     buckets: Vec<BucketDraw<'a>>,
     next_members: BinaryHeap<Reverse<NextMember>>,
-    /// Maximum noise.
+    /// Service time of one unit in microseconds, which is the maximum noise.
     unit_service_time: f64,
 }
 
@@ -104,7 +104,7 @@
         Self { buckets, next_members, unit_service_time }
     }
 
-    /// The next node; `None` if no other can have a score below `to_beat`.
+    /// Returns the next node, or `None` if no other can have a score below `to_beat`.
     pub(super) fn next(&mut self, random: &mut fastrand::Rng, to_beat: Option<f64>) -> Option<DrawnNode> {
         loop {
             let Reverse(next) = self.next_members.pop()?;
@@ -127,7 +127,7 @@
         self.next_members.push(Reverse(with_noise));
     }
 
-    /// Draws a bucket's next member, and queues the one after it with this one's score as the lower bound.
+    /// Draws a bucket's next member, and queues the member after it with this one's score as the lower bound.
     fn draw_member(&mut self, random: &mut fastrand::Rng, next: NextMember) -> DrawnNode {
         let bucket = &mut self.buckets[next.bucket];
         let noise = bucket.noise * self.unit_service_time;
--- a/crates/policy/src/node_ranking/tests.rs
+++ b/crates/policy/src/node_ranking/tests.rs
@@ -1,5 +1,5 @@
-//! The ranking by itself; `scheduler/node_selection_tests.rs` compares its choices with a walk over all
-//! nodes.
+//! Tests of the ranking alone; `scheduler/node_selection_tests.rs` compares its choices with an exhaustive
+//! search over all nodes.
 
 use super::bucket::{DELAY_STEP, FIRST_DELAY_US};
 use super::*;
@@ -34,7 +34,7 @@
     ranking.set(1, NodeId(2), &rank(HealthTier::Unhealthy, 0.0));
     let candidates = [closed(0.0), open(90_000.0), open(0.0)];
     assert_eq!(find(&ranking, &candidates).node, Some(NodeId(1)));
-    // If no node is open, an unhealthy one counts as a closed one.
+    // If no node is open, an unhealthy node counts as a closed one.
     ranking.remove(NodeId(1));
     assert_eq!(find(&ranking, &[closed(90_000.0), open(0.0), open(0.0)]).node, Some(NodeId(2)));
 }
@@ -61,7 +61,7 @@
     assert_eq!(find(&ranking, &[closed(0.0); 5_000]).visits, MAX_VISITS);
 }
 
-/// Guards against a node that is ranked behind others for a delay that has decayed.
+/// Guards against a node that stays ranked behind others because of a delay that has since decayed.
 #[test]
 fn a_delay_that_decays_moves_a_node_forward() {
     let mut ranking = NodeRanking::default();
--- a/crates/policy/src/node_table.rs
+++ b/crates/policy/src/node_table.rs
@@ -1,4 +1,4 @@
-//! All nodes that this scheduler knows, with indexes over them, so that no event has to visit every node.
+//! The nodes known to this scheduler, with indexes over them, so that no event has to visit every node.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,9 +15,9 @@
     /// The node in service that holds each shard.
     pub(crate) shards: ShardIndex,
     out_of_service: BTreeSet<NodeId>,
-    /// How many nodes requests address.
+    /// Estimate of the number of nodes that requests address.
     demand: NodeDemand,
-    /// Nodes in service by load.
+    /// Ranking of the nodes in service by load.
     pub(crate) ranking: NodeRanking,
 }
 
@@ -39,7 +39,7 @@
         self.nodes.get_mut(id)
     }
 
-    /// Takes every node out of service, before a complete list is applied. Returns those that were in
+    /// Takes every node out of service, before a complete list is applied. Returns the nodes that were in
     /// service.
     pub(crate) fn take_all_out_of_service(&mut self) -> Vec<NodeId> {
         let mut taken_out = Vec::new();
@@ -70,13 +70,14 @@
         }
     }
 
-    /// Requests queued for those of the given nodes that are out of service.
+    /// Returns the requests queued for those of the given nodes that are out of service.
     pub(crate) fn queued_out_of_service(&self, among: &BTreeSet<NodeId>) -> Vec<RequestId> {
         let nodes = among.iter().filter_map(|id| self.nodes.get(id));
         nodes.filter(|node| !node.in_service).flat_map(|node| node.queue.requests()).collect()
     }
 
-    /// Removes nodes out of service that have nothing open and have not answered since.
+    /// Removes the nodes out of service that have no request in flight or queued and have not answered after
+    /// `since`.
     pub(crate) fn forget_unused(&mut self, since: Micros) {
         self.out_of_service.retain(|id| {
             let is_unused = self.nodes.get(id).is_none_or(|node| node.is_unused_since(since));
@@ -87,13 +88,13 @@
         });
     }
 
-    /// Counts a request for a node. Returns the probability that any one node is addressed
-    /// within `lifetime`.
+    /// Records a request for a node. Returns the probability that any one node is addressed within
+    /// `lifetime`.
     pub(crate) fn record_demand(&mut self, now: Micros, id: NodeId, lifetime: Micros) -> f64 {
         self.demand.record(now, id, self.shards.len(), lifetime)
     }
 
-    /// Brings the ranking up to date with a node's state.
+    /// Updates a node's position in the ranking.
     pub(crate) fn update_rank(&mut self, now: Micros, id: NodeId, settings: &Settings) {
         let Some(node) = self.nodes.get(&id) else { return };
         if node.in_service {
