--- a/crates/policy/src/key_queues.rs
+++ b/crates/policy/src/key_queues.rs
@@ -1,4 +1,4 @@
-//! Per-key ordering: requests with the same key are executed one at a time, in order of arrival, and a key
+//! Ordering by key: requests with the same key are executed one at a time, in order of arrival, and a key
 //! pauses after an attempt whose result is unknown.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -9,11 +9,11 @@
 #[derive(Clone, Debug, Default)]
 struct KeyQueue {
     requests: VecDeque<RequestId>,
-    /// The key is paused until this time.
+    /// Time until which the key is paused.
     cooling_until: Micros,
 }
 
-/// The end of a key's pause.
+/// The time at which a key's pause ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct CoolDownEnd {
     at: Micros,
@@ -43,14 +43,15 @@
         was_first
     }
 
-    /// Whether it is a request's turn. A retry does not wait for the pause that its own attempt caused.
+    /// Returns whether it is a request's turn. A retry does not wait for the pause that its own attempt
+    /// caused.
     pub(crate) fn is_turn(&self, now: Micros, key: KeyId, id: RequestId, is_retry: bool) -> bool {
         self.queues.get(&key).is_some_and(|queue| {
             queue.requests.front() == Some(&id) && (queue.cooling_until <= now || is_retry)
         })
     }
 
-    /// The first request of a key that is not paused. The queue of a key without requests is removed.
+    /// Returns the first request of a key that is not paused. The queue of a key without requests is removed.
     pub(crate) fn take_turn(&mut self, now: Micros, key: KeyId) -> Option<RequestId> {
         let queue = self.queues.get(&key).filter(|queue| queue.cooling_until <= now)?;
         let first = queue.requests.front().copied();
@@ -60,7 +61,7 @@
         first
     }
 
-    /// Pauses a key that has a queue.
+    /// Pauses a key until the given time; a key without a queue is ignored.
     pub(crate) fn start_cool_down(&mut self, key: KeyId, until: Micros) {
         let Some(queue) = self.queues.get_mut(&key) else { return };
         queue.cooling_until = until;
@@ -74,17 +75,17 @@
         Some(first.key)
     }
 
-    /// When the next pause ends.
+    /// Returns the time at which the next pause ends.
     pub(crate) fn next_cool_down_end(&self) -> Option<Micros> {
         self.cool_downs.first().map(|end| end.at)
     }
 
-    /// Number of keys with a queue.
+    /// Returns the number of keys with a queue.
     pub(crate) fn len(&self) -> usize {
         self.queues.len()
     }
 
-    /// Number of pauses whose end is to come.
+    /// Returns the number of pauses that have not been ended yet.
     pub(crate) fn cool_down_count(&self) -> usize {
         self.cool_downs.len()
     }
--- a/crates/policy/src/request/queued.rs
+++ b/crates/policy/src/request/queued.rs
@@ -1,11 +1,12 @@
-//! Which requests are queued, apart from the queues of the nodes themselves.
+//! The queued requests that any node may serve, and the nodes that have a queue; the queues themselves belong
+//! to the nodes.
 
 use std::collections::BTreeSet;
 
 use crate::api::{Micros, NodeId};
 use crate::node::QueueEntry;
 
-/// Queued requests that any node may serve, and the nodes that other requests are queued for.
+/// Queued requests that any node may serve, and the nodes with queued requests.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct QueuedRequests {
     pub(crate) unbound: BTreeSet<QueueEntry>,
@@ -14,7 +15,7 @@
 }
 
 impl QueuedRequests {
-    /// Whether all queues are to be examined now.
+    /// Returns whether a scan of all queues is due now.
     pub(crate) fn is_scan_due(&self, now: Micros) -> bool {
         now >= self.next_scan
     }
@@ -23,7 +24,7 @@
         self.next_scan = at;
     }
 
-    /// When all queues are to be examined next, if there is anything in them.
+    /// Returns the time of the next scan of all queues, or `None` if nothing is queued.
     pub(crate) fn next_scan(&self) -> Option<Micros> {
         let is_empty = self.unbound.is_empty() && self.nodes_with_queue.is_empty();
         (!is_empty).then_some(self.next_scan)
--- a/crates/policy/src/request/table.rs
+++ b/crates/policy/src/request/table.rs
@@ -1,4 +1,4 @@
-//! Requests by id, with an index by deadline.
+//! The open requests by id, with an index by deadline.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -37,12 +37,12 @@
         self.requests.get_mut(&id)
     }
 
-    /// Whether a request still needs a final answer.
+    /// Returns whether a request still needs a final answer.
     pub(crate) fn is_open(&self, id: RequestId) -> bool {
         self.get(id).is_some_and(|request| request.state != RequestState::Answered)
     }
 
-    /// Lifts a request's deadline.
+    /// Removes a request's deadline.
     pub(crate) fn clear_deadline(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get(&id) {
             self.deadlines.remove(&Self::deadline_of(request));
@@ -55,8 +55,8 @@
         self.requests.remove(&id)
     }
 
-    /// The next request that must be answered: at its deadline if an attempt is in flight, otherwise early
-    /// enough for a timer that fires late.
+    /// Returns the next request that must be answered: at its deadline if an attempt is in flight, otherwise
+    /// early enough for a timer that fires late.
     pub(crate) fn next_expiry(&self, timer_resolution: Micros) -> Option<Expiry> {
         let deadline = *self.deadlines.first()?;
         let is_in_flight = self.get(deadline.request).is_some_and(|request| !request.in_flight.is_empty());
@@ -64,7 +64,7 @@
         Some(Expiry { at: deadline.at.saturating_sub(margin), ..deadline })
     }
 
-    /// Number of entries of the larger collection, to monitor the memory that the table needs.
+    /// Returns the size of the larger collection, for monitoring memory usage.
     pub(crate) fn len(&self) -> usize {
         self.requests.len().max(self.deadlines.len())
     }
--- a/crates/policy/src/request/tracked.rs
+++ b/crates/policy/src/request/tracked.rs
@@ -3,27 +3,27 @@
 use crate::api::{Micros, NodeId, Request, RequestId};
 use crate::volume::QuotaTier;
 
-/// What a request waits for.
+/// The state of a request, by the event that it waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RequestState {
-    /// Its turn among the requests with the same key.
+    /// Waiting for its turn among the requests with the same key.
     WaitingForKey,
-    /// Capacity at a node, or at any node if it names none.
+    /// Waiting for capacity at this node, or at any node if it is `None`.
     Queued(Option<NodeId>),
-    /// The end of an attempt.
+    /// Waiting for the end of an attempt.
     InFlight,
-    /// Nothing: it has its final answer or needs none. Attempts may still be in flight.
+    /// Finished: the request has its final answer or needs none. Attempts may still be in flight.
     Answered,
 }
 
-/// When a request has to be answered.
+/// The due time and the deadline of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct RequestTiming {
-    /// When it should be answered. Queues are ordered by this time.
+    /// Time by which the request should be answered. Queues are ordered by this time.
     pub(crate) due: Micros,
-    /// When its client stops waiting.
+    /// Time at which the client stops waiting.
     pub(crate) deadline: Micros,
-    /// It arrived too late to meet its latency objective.
+    /// Whether it arrived too late to meet its latency objective.
     pub(crate) is_late: bool,
 }
 
@@ -55,8 +55,8 @@
     pub(crate) attempts_sent: u32,
     pub(crate) in_flight: Vec<RequestAttempt>,
     pub(crate) possible_execution: Option<PossibleExecution>,
-    /// A random number between 0 and 1, drawn once. It makes schedulers with similar requests decide
-    /// differently.
+    /// A random number between 0 and 1, drawn once per request. It makes schedulers with similar requests
+    /// decide differently.
     pub(crate) admission_draw: f64,
 }
 
@@ -85,22 +85,23 @@
         self.request.id
     }
 
-    /// Units of the request.
+    /// Returns the request's size in units.
     pub(crate) fn units(&self) -> f64 {
         f64::from(self.request.units)
     }
 
-    /// Whether its next attempt is a retry.
+    /// Returns whether the request's next attempt is a retry.
     pub(crate) fn is_retry(&self) -> bool {
         self.attempts_sent > 0
     }
 
-    /// Whether any node may serve it: it stores a new object, and no node may have stored it already.
+    /// Returns whether any node may serve the request: it stores a new object, and no node may have stored it
+    /// already.
     pub(crate) fn is_unbound(&self) -> bool {
         self.request.shard.is_none() && self.possible_execution.is_none()
     }
 
-    /// Whether a node has, or may have, received it without rejecting it.
+    /// Returns whether a node has, or may have, received the request without rejecting it.
     pub(crate) fn is_touched(&self) -> bool {
         self.possible_execution.is_some() || !self.in_flight.is_empty()
     }
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -1,9 +1,9 @@
-//! Slow start: how much each scheduler may send to a node that has just started, without communication
+//! Slow start: limits what each scheduler may send to a node that has just started, without communication
 //! between schedulers.
 //!
-//! [`allowance`] says how many units all schedulers together may send, [`TokenBucket`] which part of them
-//! this scheduler may send and when, and [`NodeDemand`] how likely it is that a token is used before it
-//! expires. `docs/design-slow-start.md` gives the reasons for this design.
+//! [`allowance`] computes the units that all schedulers together may send, [`TokenBucket`] this scheduler's
+//! part of them over time, and [`NodeDemand`] the probability that a token is used before it expires.
+//! `docs/design-slow-start.md` gives the reasons for this design.
 
 mod allowance;
 mod demand;
--- a/crates/policy/src/slow_start/allowance.rs
+++ b/crates/policy/src/slow_start/allowance.rs
@@ -1,18 +1,18 @@
-//! How much all schedulers together may send to a node in slow start.
+//! The load that all schedulers together may send to a node in slow start.
 
 use crate::api::{Micros, Settings};
 
-/// Load that schedulers send in total, as a fraction of the load at which the node fails. The rest is a
+/// Total load that the schedulers aim for, as a fraction of the load at which the node fails. The rest is a
 /// margin for random variation, for requests larger than the mean, and for schedulers that do not know when
 /// the node started.
 const TARGET_FRACTION: f64 = 0.5;
-/// Minimum fraction of its capacity that a node is taken to start with, so that it can be divided by.
+/// Minimum of the fraction of its capacity that a node is assumed to start with; prevents a division by zero.
 const MIN_START_FRACTION: f64 = 0.01;
 
 impl Settings {
-    /// Units that all schedulers together should send within the overload window to a node of this age. They
-    /// grow linearly with the node's capacity and are never less than what the settings say it can serve.
-    /// `None` if the node is not in slow start.
+    /// Returns the units that all schedulers together should send within the overload window to a node of
+    /// this age, or `None` if the node is not in slow start. They grow linearly with the node's capacity and
+    /// are never fewer than the node can serve according to the settings.
     pub(crate) fn slow_start_allowance(&self, age: Micros) -> Option<f64> {
         if age >= self.slow_start_duration || self.slow_start_units <= 0.0 {
             return None;
--- a/crates/policy/src/slow_start/demand.rs
+++ b/crates/policy/src/slow_start/demand.rs
@@ -1,42 +1,42 @@
-//! How many nodes this scheduler's requests address within the lifetime of a slow-start token.
+//! The number of nodes that this scheduler's requests address within the lifetime of a slow-start token.
 
 use std::collections::BTreeMap;
 
 use crate::api::{Micros, NodeId};
 use crate::recency::Recency;
 
-/// Lifetimes over which the number of nodes is averaged. They are also the length of the spans whose largest
-/// number is kept, of the current one and the one before.
+/// Number of token lifetimes over which the number of nodes is averaged, and length in lifetimes of the spans
+/// over which the maximum is taken. The maxima of the current and the previous span are kept.
 const AVERAGING_LIFETIMES: u32 = 4;
-/// A number that exceeds the mean by more than this many standard deviations is a surge.
+/// Number of standard deviations above the mean beyond which a maximum counts as a surge.
 const SURGE_DEVIATIONS: f64 = 2.0;
 /// Minimum number of nodes that requests are assumed to address. A scheduler whose requests address a single
 /// node cannot know whether those of all other schedulers address the same one.
 const MIN_NODES: f64 = 2.0;
 
-/// The nodes that requests addressed within one lifetime, and the usual number of them.
+/// The nodes that requests addressed within the last token lifetime, and statistics of their number.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct NodeDemand {
-    /// Nodes addressed within the last lifetime, by their latest request.
+    /// Nodes addressed within the last lifetime, ordered by their latest request.
     recent: Recency<NodeId>,
     /// Time of each node's latest request.
     latest_requests: BTreeMap<NodeId, Micros>,
-    /// Time of the first request of all.
+    /// Time of the first request recorded.
     first_request_at: Option<Micros>,
-    /// Exponentially weighted mean of the number of nodes, once a lifetime has passed since the first
+    /// Exponentially weighted mean of the number of nodes; `None` until a lifetime has passed since the first
     /// request.
     mean: Option<f64>,
     mean_updated_at: Micros,
-    /// The largest number of nodes in the current span of lifetimes.
+    /// Maximum number of nodes in the current span.
     largest: usize,
-    /// The same for the span before.
+    /// Maximum number of nodes in the previous span.
     previous_largest: usize,
     span_started_at: Micros,
 }
 
 impl NodeDemand {
-    /// Counts a request for a node, one of `nodes`. Returns the probability that any one node is addressed
-    /// within a lifetime, as it was before this request.
+    /// Records a request for a node, one of `nodes` nodes. Returns the estimated probability that any one
+    /// node is addressed within a lifetime, as of before this request.
     pub(crate) fn record(&mut self, now: Micros, node: NodeId, nodes: usize, lifetime: Micros) -> f64 {
         let first_request_at = *self.first_request_at.get_or_insert(now);
         self.expire(now, lifetime);
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Takes the current number of nodes into the mean, for the time up to `until`.
+    /// Updates the mean with the current number of nodes, which has applied up to `until`.
     fn update_mean(&mut self, until: Micros, lifetime: Micros) {
         let number = self.recent.len() as f64;
         let time_constant = f64::from(AVERAGING_LIFETIMES) * lifetime.max(1) as f64;
@@ -71,7 +71,7 @@
         self.mean_updated_at = until;
     }
 
-    /// Keeps the largest numbers of the current and the previous span.
+    /// Updates the maxima of the current and the previous span.
     fn update_largest(&mut self, now: Micros, lifetime: Micros) {
         if now >= self.span_started_at + Micros::from(AVERAGING_LIFETIMES) * lifetime {
             self.previous_largest = self.largest;
@@ -81,7 +81,8 @@
         self.largest = self.largest.max(self.recent.len());
     }
 
-    /// Within the first lifetime: the requests so far, and this one, are assumed to go on at the same rate.
+    /// Returns the probability within the first lifetime, on the assumption that requests continue at the
+    /// rate of those received, including this one.
     fn initial_probability(&self, elapsed: Micros, nodes: usize, lifetime: Micros) -> f64 {
         let number = ((self.recent.len() + 1) as f64).max(MIN_NODES);
         let fraction = (number / nodes.max(1) as f64).min(1.0);
@@ -89,8 +90,8 @@
         1.0 - (1.0 - fraction).powf(elapsed_per_lifetime)
     }
 
-    /// By the mean number of nodes or, if the largest one is a surge, by that: a surge comes to all
-    /// schedulers at once.
+    /// Returns the probability by the mean number of nodes or, if the maximum is a surge, by the maximum less
+    /// [`SURGE_DEVIATIONS`]: a surge reaches all schedulers at once.
     fn usual_probability(&self, nodes: usize) -> f64 {
         let nodes = nodes.max(1) as f64;
         let largest = (self.largest.max(self.previous_largest) as f64).min(nodes);
--- a/crates/policy/src/slow_start/demand/tests.rs
+++ b/crates/policy/src/slow_start/demand/tests.rs
@@ -3,8 +3,8 @@
 const LIFETIME: Micros = 1_000_000;
 const NODES: usize = 200;
 
-/// Probability as of the last of requests that come at a mean rate for some lifetimes; `node` draws each
-/// request's node.
+/// Returns the probability as of the last request, after requests at a mean rate for some lifetimes; `node`
+/// draws the node of each request.
 fn probability_after(
     lifetimes: u64,
     per_lifetime: f64,
@@ -26,7 +26,7 @@
     random.u32(0..NODES as u32)
 }
 
-/// Mean over some seeds of the probability after some lifetimes.
+/// Returns the mean over twenty seeds of the probability after some lifetimes.
 fn mean_probability(lifetimes: u64, per_lifetime: f64) -> f64 {
     (1..=20).map(|seed| probability_after(lifetimes, per_lifetime, seed, any_node)).sum::<f64>() / 20.0
 }
@@ -41,8 +41,8 @@
     }
 }
 
-/// A scheduler that addresses a few nodes in a lifetime does not assume that it addresses many; one that
-/// addresses fewer than two counts as addressing two.
+/// Guards against a probability that is too high: a scheduler that addresses a few nodes in a lifetime is not
+/// assumed to address many; one that addresses fewer than two counts as addressing two.
 #[test]
 fn rare_requests_give_a_low_probability() {
     for (per_lifetime, nodes) in [(4.0, 4.0), (0.1, 2.0)] {
@@ -53,12 +53,13 @@
     }
 }
 
-/// Guards against tokens that come far too fast in the first moments after a start.
+/// Guards against a probability that is far too low right after a start, with which tokens would accumulate
+/// too fast.
 #[test]
 fn the_probability_is_not_underestimated_right_after_a_start() {
     let mut demand = NodeDemand::default();
     let truth = 1.0 - (-1.0_f64).exp();
-    // A request every 5 ms, each for another node.
+    // One request every 5 ms, each for another node.
     for request in 0..200 {
         let now = 1_000 + u64::from(request) * 5_000;
         let probability = demand.record(now, NodeId(request), NODES, LIFETIME);
@@ -66,7 +67,7 @@
     }
 }
 
-/// A surge that comes to all schedulers at once counts by its largest number, though the mean is low.
+/// A surge reaches all schedulers at once, so its maximum number of nodes counts even if the mean is low.
 #[test]
 fn surges_count_by_their_largest_number_of_nodes() {
     let mut demand = NodeDemand::default();
--- a/crates/policy/src/slow_start/token_bucket.rs
+++ b/crates/policy/src/slow_start/token_bucket.rs
@@ -1,31 +1,31 @@
-//! The token buckets by which schedulers divide what a node in slow start may be sent.
+//! The token buckets by which schedulers divide the load that a node in slow start may be sent.
 //!
-//! What all schedulers together may send is a rate of whole requests (`allowance.rs`). Each scheduler has a
-//! token bucket for the node that is filled at an even part of that rate. In a large fleet this part is far
-//! below one request, so the buckets start at different levels between 0 and 1, by scheduler and shard,
-//! evenly spread over the fleet. Whole tokens then come to one scheduler after another, and the sum over all
-//! schedulers within any time is the rate times that time, plus or minus one.
+//! All schedulers together may send at a rate of whole requests (`allowance.rs`). Each scheduler has a token
+//! bucket for the node that is filled at an even part of that rate. In a large fleet this part is far below
+//! one request, so the buckets start at different levels between 0 and 1, by scheduler and shard, evenly
+//! spread over the fleet. Schedulers then get whole tokens one after another, and the sum over all schedulers
+//! in any period is the rate times its length, plus or minus one.
 //!
 //! A scheduler that gets a whole token may have nothing to send. A whole token therefore remains valid for a
-//! part of the window and then expires. To make up for expired tokens, buckets fill faster by the inverse of
-//! the probability that a token is used, which each scheduler estimates from its own demand. The mean of what
-//! is sent is then the allowed rate.
+//! part of the window and then expires. To compensate for expired tokens, buckets fill faster by the inverse
+//! of the probability that a token is used, which each scheduler estimates from its own demand. The mean of
+//! the load sent is then the allowed rate.
 
 use crate::api::{Micros, Settings, ShardId};
 
-/// How long a whole token remains valid, as a fraction of the overload window. All tokens of a window and
-/// those that are still valid at its beginning may be used within it; with the target fraction of
-/// `allowance.rs` this is less than what makes the node fail.
+/// Lifetime of a whole token, as a fraction of the overload window. All tokens of a window and those that are
+/// still valid at its beginning may be used within it; with the target fraction of `allowance.rs` this is
+/// less than the load that makes the node fail.
 const TOKEN_LIFETIME_WINDOWS: f64 = 0.5;
-/// Fraction of the tokens of a lifetime that requests of the lowest priority leave to others.
+/// Fraction of the tokens of one lifetime that requests of the lowest priority leave to other requests.
 const LOW_PRIORITY_RESERVE: f64 = 0.5;
-/// Minimum of the random factor on the tokens that have come. It is 1 on average.
+/// Minimum of the random factor applied to gained tokens. The factor is 1 on average.
 const MIN_REFILL_FACTOR: f64 = 0.5;
 
-/// The token bucket of this scheduler for one node. A token is a request of mean size.
+/// The token bucket of this scheduler for one node. A token stands for one request of mean size.
 ///
-/// In all methods `allowance` is what all schedulers together may send, in requests of mean size within the
-/// overload window.
+/// In all methods, `allowance` is the number of requests of mean size that all schedulers together may send
+/// within the overload window.
 #[derive(Clone, Debug)]
 pub(crate) struct TokenBucket {
     tokens: f64,
@@ -35,9 +35,9 @@
 }
 
 impl TokenBucket {
-    /// A bucket at this scheduler's starting level for the shard. If the node has started already, the bucket
-    /// has been filled since; its whole tokens are taken as used, as a restarted scheduler does not know
-    /// whether it used them.
+    /// Creates a bucket at this scheduler's initial level for the shard. If the node has already started, the
+    /// bucket has been filled since then; its whole tokens count as used, as a restarted scheduler does not
+    /// know whether it used them.
     pub(crate) fn new(now: Micros, started_at: Option<Micros>, shard: ShardId, settings: &Settings) -> Self {
         let schedulers = f64::from(settings.schedulers);
         let shard_offset = fastrand::Rng::with_seed(u64::from(shard.0)).f64();
@@ -54,7 +54,7 @@
         }
     }
 
-    /// The bucket for the same node after a restart.
+    /// Returns the bucket for the same node after a restart of the node.
     pub(crate) fn restarted(
         &self,
         now: Micros,
@@ -65,7 +65,7 @@
         Self { use_probability: self.use_probability, ..Self::new(now, started_at, shard, settings) }
     }
 
-    /// Takes in a request for the node. `allowance` is `None` if the node is not in slow start; `draw` is
+    /// Records a request for the node. `allowance` is `None` if the node is not in slow start; `draw` is
     /// random between 0 and 1.
     pub(crate) fn on_request(
         &mut self,
@@ -81,8 +81,8 @@
         }
     }
 
-    /// Brings the tokens up to date. What has come since is multiplied by a random factor between a half and
-    /// one and a half: otherwise requests at a fixed interval could find every token, or none.
+    /// Updates the tokens to `now`. The tokens gained since the last update are multiplied by a random factor
+    /// between 0.5 and 1.5: otherwise requests at a fixed interval could find every token, or none.
     fn refill(&mut self, now: Micros, allowance: f64, draw: f64, settings: &Settings) {
         let gained = self.gained(now, allowance, settings);
         let tokens = self.tokens + gained * (MIN_REFILL_FACTOR + draw);
@@ -90,38 +90,38 @@
         self.updated_at = now;
     }
 
-    /// Tokens that come within an overload window.
+    /// Returns the tokens gained within one overload window.
     fn rate(&self, allowance: f64, settings: &Settings) -> f64 {
         let use_probability = self.use_probability.max(f64::MIN_POSITIVE);
         (allowance / (f64::from(settings.schedulers) * use_probability)).min(allowance)
     }
 
-    /// Tokens that have come since the last update.
+    /// Returns the tokens gained since the last update.
     fn gained(&self, now: Micros, allowance: f64, settings: &Settings) -> f64 {
         let elapsed = now.saturating_sub(self.updated_at);
         self.rate(allowance, settings) * windows(elapsed, settings)
     }
 
-    /// Tokens that come within the lifetime of a token.
+    /// Returns the tokens gained within the lifetime of a token.
     fn tokens_per_lifetime(&self, allowance: f64, settings: &Settings) -> f64 {
         TOKEN_LIFETIME_WINDOWS * self.rate(allowance, settings)
     }
 
-    /// The most tokens that can be valid at a time.
+    /// Returns the maximum number of tokens that can be valid at a time.
     fn capacity(&self, allowance: f64, settings: &Settings) -> f64 {
         1.0 + self.tokens_per_lifetime(allowance, settings)
     }
 
-    /// Tokens that are valid now.
+    /// Returns the number of tokens that are valid now.
     fn available(&self, now: Micros, allowance: f64, settings: &Settings) -> f64 {
         let gained = self.gained(now, allowance, settings);
         without_expired(self.tokens + gained, self.capacity(allowance, settings))
     }
 
-    /// Whether a request may be sent. One of a priority below 1 leaves a part of the bucket to others. One
-    /// that any node may serve looks for a node with a token and would find all tokens that were added for
-    /// the probability of use; `unsharded_draw`, its random draw between 0 and 1, lets it use them with that
-    /// probability.
+    /// Returns whether a request may be sent. A request of a priority below 1 leaves a part of the bucket to
+    /// others. A request that any node may serve looks for a node with a token, and would find all tokens
+    /// that were added because of the probability of use; it may use them only with that probability, decided
+    /// by `unsharded_draw`, its random number between 0 and 1.
     pub(crate) fn allows(
         &self,
         now: Micros,
@@ -136,25 +136,25 @@
         is_drawn && self.available(now, allowance, settings) >= 1.0 + left_to_others
     }
 
-    /// Takes the tokens of a request that is sent.
+    /// Removes the tokens of a request that is sent.
     pub(crate) fn spend(&mut self, now: Micros, allowance: f64, units: f64, settings: &Settings) {
         self.tokens = self.available(now, allowance, settings) - units / settings.mean_units;
         self.updated_at = now;
     }
 }
 
-/// A duration in overload windows.
+/// Returns a duration as a number of overload windows.
 fn windows(duration: Micros, settings: &Settings) -> f64 {
     duration as f64 / settings.overload_window.max(1) as f64
 }
 
-/// Removes the whole tokens that exceed the most that can be valid.
+/// Removes the whole tokens that exceed the capacity.
 fn without_expired(tokens: f64, capacity: f64) -> f64 {
     tokens - (tokens - capacity).ceil().max(0.0)
 }
 
 impl Settings {
-    /// How long a whole slow-start token remains valid.
+    /// Returns the lifetime of a whole slow-start token, in microseconds.
     pub(crate) fn token_lifetime(&self) -> Micros {
         (TOKEN_LIFETIME_WINDOWS * self.overload_window as f64) as Micros
     }
--- a/crates/policy/src/slow_start/token_bucket/tests.rs
+++ b/crates/policy/src/slow_start/token_bucket/tests.rs
@@ -20,7 +20,7 @@
     }
 }
 
-/// A scheduler's bucket for the node.
+/// A scheduler of the fleet with its bucket for the node.
 struct Member {
     settings: Settings,
     bucket: TokenBucket,
@@ -50,7 +50,7 @@
         is_allowed
     }
 
-    /// Sends requests until the bucket allows no more; returns their number.
+    /// Sends requests until the bucket allows no more. Returns their number.
     fn send_all(&mut self, now: Micros, priority: f64) -> u32 {
         let mut sent = 0;
         while self.try_send(now, priority) {
@@ -60,12 +60,13 @@
     }
 }
 
-/// A fleet's buckets for one node; `index` gives the index by which each scheduler takes its starting level.
+/// Creates a fleet's buckets for one node; `index` returns the index that gives each scheduler its initial
+/// level.
 fn fleet(schedulers: u32, index: impl Fn(u32) -> u32) -> Vec<Member> {
     (0..schedulers).map(|scheduler| Member::new(schedulers, index(scheduler))).collect()
 }
 
-/// Requests that are sent in each step if every scheduler always has one.
+/// Returns the number of requests sent in each step if every scheduler always has requests.
 fn sent_under_full_load(fleet: &mut [Member], windows: u64) -> Vec<u32> {
     let mut sent = Vec::new();
     for now in (0..windows * WINDOW).step_by(STEP as usize) {
@@ -93,14 +94,15 @@
     }
 }
 
-/// The test above would notice a fleet whose tokens come at one moment.
+/// Shows that the test above detects a fleet whose schedulers all get their tokens at the same moment.
 #[test]
 fn schedulers_with_the_same_starting_level_exceed_the_allowance() {
     let sent = sent_under_full_load(&mut fleet(300, |_| 0), 10);
     assert!(f64::from(most_in_a_window(&sent)) > 2.0 * ALLOWANCE);
 }
 
-/// Guards against tokens that accumulate while there are no requests and are all used at one moment.
+/// Guards against tokens that accumulate while there are no requests and are then all used at the same
+/// moment.
 #[test]
 fn unused_tokens_expire() {
     for schedulers in [1, 2, 7, 30, 300, 4_500] {
@@ -115,8 +117,8 @@
     }
 }
 
-/// As tokens come faster by the inverse of the probability that one is used, the allowance is used even if
-/// each scheduler has a request only now and then, and is not exceeded by more than random variation.
+/// Buckets fill faster by the inverse of the probability that a token is used: the allowance is used even if
+/// each scheduler rarely has a request, and is not exceeded by more than random variation.
 #[test]
 fn the_allowance_is_used_however_rarely_each_scheduler_has_a_request() {
     for probability in [0.5, 0.1, 0.02] {
@@ -147,13 +149,13 @@
     }
 }
 
-/// Guards against a client whose requests come in step with the tokens and miss each of them.
+/// Guards against a client whose requests have the same phase relative to the tokens and miss each of them.
 #[test]
 fn requests_at_a_fixed_interval_get_their_tokens() {
     for scheduler in 0..100 {
         let mut member = Member::new(100, scheduler);
         let mut random = fastrand::Rng::with_seed(u64::from(scheduler));
-        // Eight requests per token, so that each comes at the same place between two tokens.
+        // Eight requests per token, so that every eighth request comes at the same phase between two tokens.
         let interval = (WINDOW as f64 / (8.0 * ALLOWANCE / 100.0)) as Micros;
         let sent = (1..=200).filter(|number| {
             let now = number * interval;
@@ -188,7 +190,7 @@
     assert!(sent > 0, "it gets its part");
 }
 
-/// A request that any node may serve would find every token that was added for the probability of use.
+/// A request that any node may serve would find every token that was added because of the probability of use.
 #[test]
 fn unsharded_requests_use_tokens_with_the_probability_of_use() {
     let mut member = Member::new(1, 0);
--- a/crates/policy/src/volume.rs
+++ b/crates/policy/src/volume.rs
@@ -1,7 +1,8 @@
-//! What this scheduler knows of a volume: its demand here and in the whole fleet, and its quotas.
+//! The state of a volume as this scheduler knows it: its demand here and over the whole fleet, and its
+//! quotas.
 //!
-//! A plan's quotas hold for a volume over all schedulers. They do not communicate: each estimates the
-//! fraction of the volume's demand that comes through it, and keeps token buckets for that fraction.
+//! A plan's quotas apply to a volume over all schedulers. Schedulers do not communicate: each estimates the
+//! fraction of the volume's demand that it receives, and keeps token buckets for that fraction.
 
 use crate::api::{Micros, PlanId, PlanSettings, Request};
 
@@ -11,18 +12,18 @@
 use demand::{FleetUsage, LocalDemand};
 pub(crate) use quota::{PlanQuota, QuotaBucket, QuotaTier};
 
-/// Weight of the newest estimate in the smoothed fraction of the demand that comes through this scheduler.
+/// Weight of the latest estimate in the smoothed fraction of the demand that comes through this scheduler.
 const LOCAL_FRACTION_WEIGHT: f64 = 0.2;
-/// Minimum of that fraction, in even fractions of all the volume's schedulers.
+/// Minimum of that fraction, as a multiple of an even share among all the volume's schedulers.
 const MIN_LOCAL_FRACTION: f64 = 0.5;
-/// Demand below this rate, in units a second, counts as this rate, so that it can be divided by.
+/// Minimum demand in units a second; prevents a division by zero.
 const MIN_DEMAND: f64 = 1e-9;
 
 /// The state of one volume.
 #[derive(Clone, Debug)]
 pub(crate) struct Volume {
     pub(crate) plan: PlanId,
-    /// When a request for the volume arrived last.
+    /// Time of the latest request for the volume.
     pub(crate) requested_at: Micros,
     /// Number of schedulers through which the volume's requests come.
     schedulers: u32,
@@ -39,8 +40,8 @@
 }
 
 impl Volume {
-    /// A volume whose first request arrives now. The rate limit's bucket was empty when the scheduler
-    /// started, as a restarted scheduler does not know what it had used.
+    /// Creates a volume whose first request arrives now. The bucket of its rate limit is taken to have been
+    /// empty when the scheduler started, as a restarted scheduler does not know what it had used.
     pub(crate) fn new(
         now: Micros,
         scheduler_started_at: Micros,
@@ -60,8 +61,8 @@
         }
     }
 
-    /// Counts a request. Returns the estimated demand for the volume over all schedulers before this request,
-    /// in units a second.
+    /// Records a request. Returns the estimated demand for the volume over all schedulers before this
+    /// request, in units a second.
     pub(crate) fn record_request(&mut self, now: Micros, request: &Request, plan: &PlanSettings) -> f64 {
         self.schedulers = self.schedulers.max(request.schedulers).max(1);
         self.demand.decay(now);
@@ -71,9 +72,9 @@
         fleet_demand
     }
 
-    /// The demand over all schedulers: what nodes report to have served, which is late, divided by the
-    /// fraction of requests that was sent here. Until nodes report, every scheduler is assumed to have the
-    /// same demand.
+    /// Returns the estimated demand over all schedulers, in units a second: the served rate that nodes
+    /// report, which lags, divided by the fraction of requests that was sent here. Until nodes report, every
+    /// scheduler is assumed to have the same demand.
     fn fleet_demand(&self, plan: &PlanSettings) -> f64 {
         let schedulers = f64::from(self.schedulers);
         let even_rate = plan.usual_rate / schedulers;
@@ -90,8 +91,8 @@
     }
 
     /// Takes a request's units from the first quota that covers them. A bucket that holds only a part of the
-    /// units covers them by chance, by `draw` between 0 and `units`, so that the small parts of many
-    /// schedulers add up. The reserved quota also covers a volume whose whole demand is within it.
+    /// units covers them at random, by `draw` between 0 and `units`, so that the small parts of many
+    /// schedulers add up. The reserved quota also covers a volume whose total demand is within it.
     pub(crate) fn take_quota(
         &mut self,
         now: Micros,
@@ -119,7 +120,7 @@
         QuotaTier::Excess
     }
 
-    /// Units that this scheduler's even part of the rate limit allows now.
+    /// Returns the units that this scheduler's even part of the rate limit allows now.
     pub(crate) fn units_within_limit(&self, now: Micros, plan: &PlanSettings) -> f64 {
         let schedulers = f64::from(self.schedulers);
         self.rate_limit.clone().refill(now, plan.rate_limit / schedulers, plan.burst / schedulers)
@@ -130,7 +131,7 @@
         self.rate_limit = QuotaBucket::new(now, self.units_within_limit(now, plan) - units);
     }
 
-    /// Whether the rate limit's bucket is not full, so that the volume must not be forgotten.
+    /// Returns whether the rate limit's bucket is not full, in which case the volume must not be removed.
     pub(crate) fn has_spent_limit(&self, now: Micros, plan: &PlanSettings) -> bool {
         plan.rate_limit > 0.0 && self.units_within_limit(now, plan) < plan.burst / f64::from(self.schedulers)
     }
--- a/crates/policy/src/volume_table.rs
+++ b/crates/policy/src/volume_table.rs
@@ -1,4 +1,4 @@
-//! The volumes that this scheduler knows, with an index by their latest request.
+//! The volumes known to this scheduler, with an index by their latest request.
 
 use std::collections::BTreeMap;
 
@@ -26,7 +26,7 @@
         self.volumes.get_mut(id)
     }
 
-    /// The volume of a request that arrives now, made by `new` if it is not known yet.
+    /// Returns the volume of a request that arrives now, created by `new` if it is not known yet.
     pub(crate) fn on_request(
         &mut self,
         now: Micros,
