--- a/crates/policy/src/api/settings.rs
+++ b/crates/policy/src/api/settings.rs
@@ -189,11 +189,11 @@
     }
 
     fn check_required(&self) -> Result<(), SettingsError> {
-        let no_time = |class: &ClassSettings| class.latency_objective == 0 || class.deadline == 0;
+        let lacks_time_limit = |class: &ClassSettings| class.latency_objective == 0 || class.deadline == 0;
         let missing = [
             (self.schedulers == 0, "hosts"),
             (self.classes.is_empty(), "classes"),
-            (self.classes.iter().any(no_time), "a class's aim or deadline"),
+            (self.classes.iter().any(lacks_time_limit), "a class's aim or deadline"),
             (self.plans.is_empty(), "plans"),
             (self.mean_units == 0.0, "mean_units"),
         ];
@@ -231,7 +231,7 @@
 
 impl PlanSettings {
     fn is_in_range(&self) -> bool {
-        let figures = [
+        let values = [
             self.usual_rate,
             self.reserved_rate,
             self.shared_weight,
@@ -239,7 +239,7 @@
             self.rate_limit,
             self.burst,
         ];
-        figures.into_iter().all(is_non_negative)
+        values.into_iter().all(is_non_negative)
     }
 }
 
--- a/crates/policy/src/endpoint_subscription.rs
+++ b/crates/policy/src/endpoint_subscription.rs
@@ -46,8 +46,8 @@
     }
 
     fn back_off(&mut self, now: Micros, max_interval: Micros, random: &mut fastrand::Rng) {
-        let most = MAX_BACKOFF.min(max_interval / 4).max(1);
-        let backoff = (MIN_BACKOFF << self.failures.min(MAX_DOUBLINGS)).min(most);
+        let max_backoff = MAX_BACKOFF.min(max_interval / 4).max(1);
+        let backoff = (MIN_BACKOFF << self.failures.min(MAX_DOUBLINGS)).min(max_backoff);
         self.failures += 1;
         self.next_attempt = Some(now + random.u64(backoff / 2..=backoff));
     }
--- a/crates/policy/src/key_queues.rs
+++ b/crates/policy/src/key_queues.rs
@@ -10,7 +10,7 @@
 struct KeyQueue {
     requests: VecDeque<RequestId>,
     /// Time until which the key is paused.
-    cooling_until: Micros,
+    cool_down_until: Micros,
 }
 
 /// The time at which a key's pause ends.
@@ -32,7 +32,7 @@
     pub(crate) fn push(&mut self, now: Micros, key: KeyId, id: RequestId) -> bool {
         let queue = self.queues.entry(key).or_default();
         queue.requests.push_back(id);
-        queue.requests.len() == 1 && queue.cooling_until <= now
+        queue.requests.len() == 1 && queue.cool_down_until <= now
     }
 
     /// Removes a request from its key's queue. Returns whether it was the first one.
@@ -47,13 +47,13 @@
     /// caused.
     pub(crate) fn is_turn(&self, now: Micros, key: KeyId, id: RequestId, is_retry: bool) -> bool {
         self.queues.get(&key).is_some_and(|queue| {
-            queue.requests.front() == Some(&id) && (queue.cooling_until <= now || is_retry)
+            queue.requests.front() == Some(&id) && (queue.cool_down_until <= now || is_retry)
         })
     }
 
     /// Returns the first request of a key that is not paused. The queue of a key without requests is removed.
-    pub(crate) fn take_turn(&mut self, now: Micros, key: KeyId) -> Option<RequestId> {
-        let queue = self.queues.get(&key).filter(|queue| queue.cooling_until <= now)?;
+    pub(crate) fn next_ready(&mut self, now: Micros, key: KeyId) -> Option<RequestId> {
+        let queue = self.queues.get(&key).filter(|queue| queue.cool_down_until <= now)?;
         let first = queue.requests.front().copied();
         if first.is_none() {
             self.queues.remove(&key);
@@ -64,7 +64,7 @@
     /// Pauses a key until the given time; a key without a queue is ignored.
     pub(crate) fn start_cool_down(&mut self, key: KeyId, until: Micros) {
         let Some(queue) = self.queues.get_mut(&key) else { return };
-        queue.cooling_until = until;
+        queue.cool_down_until = until;
         self.cool_downs.insert(CoolDownEnd { at: until, key });
     }
 
--- a/crates/policy/src/node/delay.rs
+++ b/crates/policy/src/node/delay.rs
@@ -20,11 +20,11 @@
 const EXPECTED_SERVICE_UNITS: f64 = 4.0;
 /// Latency of an answer before the rest counts as queueing, as a multiple of the mean service time of its
 /// units. It allows for varying service times.
-const EXPECTED_SERVICE_TIMES: f64 = 1.5;
+const EXPECTED_SERVICE_TIME_MULTIPLE: f64 = 1.5;
 /// Factor applied to the estimated service time after a faster answer.
-const FASTER_STEP: f64 = 0.98;
+const FASTER_ANSWER_FACTOR: f64 = 0.98;
 /// Factor applied to the estimated service time after a slower answer.
-const SLOWER_STEP: f64 = 1.02;
+const SLOWER_ANSWER_FACTOR: f64 = 1.02;
 
 /// The estimated queueing delay at one node. It is based on the node's own answers while there are any, and
 /// decays toward the mean delay of all nodes without them.
@@ -124,16 +124,16 @@
 
     /// Returns the part of an answer's latency that counts as queueing, in microseconds.
     pub(crate) fn queueing_delay_of(&self, latency: Micros, units: f64) -> f64 {
-        (latency as f64 - EXPECTED_SERVICE_TIMES * units * self.unit_service_time).max(0.0)
+        (latency as f64 - EXPECTED_SERVICE_TIME_MULTIPLE * units * self.unit_service_time).max(0.0)
     }
 
     /// Moves the service time toward an answer's time per unit, so that it follows the median of answers
     /// without queueing. Slower answers count only if the node had no queue.
     pub(crate) fn observe_service_time(&mut self, time_per_unit: f64, is_unqueued: bool) {
         if time_per_unit < self.unit_service_time {
-            self.unit_service_time *= FASTER_STEP;
+            self.unit_service_time *= FASTER_ANSWER_FACTOR;
         } else if is_unqueued {
-            self.unit_service_time *= SLOWER_STEP;
+            self.unit_service_time *= SLOWER_ANSWER_FACTOR;
         }
     }
 }
--- a/crates/policy/src/node/health.rs
+++ b/crates/policy/src/node/health.rs
@@ -143,8 +143,8 @@
         now.saturating_sub(self.last_response) >= UNRESPONSIVE_PERIODS * period
     }
 
-    fn mark_suspected_if(&mut self, now: Micros, is_suspect: bool) {
-        self.suspected_since = self.suspected_since.or(is_suspect.then_some(now));
+    fn mark_suspected_if(&mut self, now: Micros, is_suspected: bool) {
+        self.suspected_since = self.suspected_since.or(is_suspected.then_some(now));
     }
 
     /// Discards a presumed start: a node that answers at full speed was unreachable and did not restart.
@@ -162,8 +162,8 @@
     /// [`Self::slow_start_since`], a node that has been suspected for the full duration of slow start no
     /// longer counts as starting now.
     pub(crate) fn slow_start_origin(&self, now: Micros, slow_start_duration: Micros) -> Option<Micros> {
-        let suspected = |since: Micros| now.saturating_sub(since) < slow_start_duration;
-        if self.suspected_since.is_some_and(suspected) {
+        let is_recently_suspected = |since: Micros| now.saturating_sub(since) < slow_start_duration;
+        if self.suspected_since.is_some_and(is_recently_suspected) {
             return Some(now);
         }
         self.latest_start(now)
--- a/crates/policy/src/node/in_flight.rs
+++ b/crates/policy/src/node/in_flight.rs
@@ -35,7 +35,7 @@
     units_by_attempt: BTreeMap<AttemptKey, f64>,
     units: f64,
     /// The latest send time of an answered attempt.
-    latest_answered_send: Micros,
+    latest_answered_sent_at: Micros,
 }
 
 impl InFlightAttempts {
@@ -52,12 +52,12 @@
 
     /// Records that the node has answered an attempt sent at this time.
     pub(crate) fn on_answer(&mut self, sent_at: Micros) {
-        self.latest_answered_send = self.latest_answered_send.max(sent_at);
+        self.latest_answered_sent_at = self.latest_answered_sent_at.max(sent_at);
     }
 
     /// Returns whether this attempt or one sent later has been answered.
     pub(crate) fn is_overtaken(&self, sent_at: Micros) -> bool {
-        self.latest_answered_send >= sent_at
+        self.latest_answered_sent_at >= sent_at
     }
 
     /// Returns the attempts that indicate how long the node takes, in the order in which they were sent. A
@@ -65,8 +65,8 @@
     /// or lost, and no longer counts after [`STUCK_PERIODS`]. At a node that serves out of order, this may
     /// exclude attempts that are still waiting.
     pub(crate) fn informative(&self, now: Micros, period: Micros) -> impl Iterator<Item = OpenAttempt> + '_ {
-        let not_stuck = now.saturating_sub(STUCK_PERIODS * period);
-        let first = AttemptKey::first_at((self.latest_answered_send + 1).min(not_stuck));
+        let stuck_before = now.saturating_sub(STUCK_PERIODS * period);
+        let first = AttemptKey::first_at((self.latest_answered_sent_at + 1).min(stuck_before));
         let attempts = self.units_by_attempt.range(first..);
         attempts.map(|(key, units)| OpenAttempt { sent_at: key.sent_at, units: *units })
     }
@@ -79,7 +79,7 @@
     /// Returns the units of the attempts that were sent after every answered one. They remain informative
     /// until the node's next event.
     pub(crate) fn lasting_units(&self) -> f64 {
-        let first = AttemptKey::first_at(self.latest_answered_send + 1);
+        let first = AttemptKey::first_at(self.latest_answered_sent_at + 1);
         self.units_by_attempt.range(first..).map(|(_, units)| units).sum::<f64>()
     }
 
--- a/crates/policy/src/node/period_budget.rs
+++ b/crates/policy/src/node/period_budget.rs
@@ -90,15 +90,15 @@
         if self.recent_served_units.len() > RECENT_PERIODS {
             self.recent_served_units.pop_front();
         }
-        let most_served = self.recent_served_units.iter().copied().fold(0.0, f64::max);
+        let max_served_units = self.recent_served_units.iter().copied().fold(0.0, f64::max);
         self.is_overloaded = self.is_filled && self.late_answers > 0;
         if self.is_overloaded {
-            self.limit_units = most_served;
+            self.limit_units = max_served_units;
         } else if self.is_filled && self.timely_answers > 0 {
-            self.limit_units = self.limit_units.max(most_served) + mean_units;
+            self.limit_units = self.limit_units.max(max_served_units) + mean_units;
         }
         let (min, max) = (MIN_BUDGET_REQUESTS * mean_units, MAX_BUDGET_REQUESTS * mean_units);
-        self.limit_units = self.limit_units.max(most_served).clamp(min, max);
+        self.limit_units = self.limit_units.max(max_served_units).clamp(min, max);
     }
 
     /// Starts the next period with the units that are open now.
--- a/crates/policy/src/node_ranking.rs
+++ b/crates/policy/src/node_ranking.rs
@@ -68,21 +68,21 @@
 
 /// A visited node and its score.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
-struct Scored {
+struct ScoredNode {
     score: f64,
     node: NodeId,
 }
 
 /// The lowest scores found so far.
 #[derive(Clone, Copy, Debug, Default)]
-struct Lowest {
-    open: Option<Scored>,
-    closed: Option<Scored>,
+struct LowestScores {
+    open: Option<ScoredNode>,
+    closed: Option<ScoredNode>,
 }
 
-impl Lowest {
+impl LowestScores {
     /// Returns the lowest score for nodes of a tier; unhealthy nodes count as closed.
-    fn of_tier(&mut self, tier: HealthTier, is_open: bool) -> &mut Option<Scored> {
+    fn for_tier(&mut self, tier: HealthTier, is_open: bool) -> &mut Option<ScoredNode> {
         if is_open && tier != HealthTier::Unhealthy {
             &mut self.open
         } else {
@@ -90,8 +90,8 @@
         }
     }
 
-    fn add(&mut self, tier: HealthTier, is_open: bool, scored: Scored) {
-        let lowest = self.of_tier(tier, is_open);
+    fn add(&mut self, tier: HealthTier, is_open: bool, scored: ScoredNode) {
+        let lowest = self.for_tier(tier, is_open);
         *lowest = lowest.filter(|lowest| *lowest < scored).or(Some(scored));
     }
 }
@@ -171,21 +171,21 @@
         mut visit: impl FnMut(NodeId) -> Option<Candidate>,
     ) -> SearchResult {
         let mut result = SearchResult::default();
-        let mut lowest = Lowest::default();
+        let mut lowest = LowestScores::default();
         for tier in [HealthTier::Healthy, HealthTier::SlowStart, HealthTier::Unhealthy] {
             if tier == HealthTier::Unhealthy && lowest.open.is_some() {
                 break;
             }
             let mut search = Search::new(&self.buckets, tier, fleet_delay, unit_service_time);
             for _ in 0..MAX_VISITS {
-                let to_beat = lowest.of_tier(tier, true).map(|scored| scored.score);
-                let Some(drawn) = search.next(random, to_beat) else { break };
+                let score_limit = lowest.for_tier(tier, true).map(|scored| scored.score);
+                let Some(drawn) = search.next(random, score_limit) else { break };
                 result.visits += 1;
                 let Some(candidate) = visit(drawn.node) else { continue };
                 if candidate.load > drawn.bound + unit_service_time / FRESHNESS_STEPS {
                     result.outdated.push(drawn.node);
                 }
-                let scored = Scored { score: candidate.load + drawn.noise, node: drawn.node };
+                let scored = ScoredNode { score: candidate.load + drawn.noise, node: drawn.node };
                 lowest.add(tier, candidate.is_open, scored);
             }
         }
--- a/crates/policy/src/node_ranking/bucket.rs
+++ b/crates/policy/src/node_ranking/bucket.rs
@@ -116,8 +116,8 @@
 impl Bucket {
     /// Returns a lower bound of the members' scores, in microseconds.
     pub(super) fn bound(&self, fleet_delay: f64, unit_service_time: f64) -> f64 {
-        let stale_part = 1.0 - f64::from(self.freshness) / FRESHNESS_STEPS;
-        delay_floor(self.delay) + fleet_delay * stale_part + f64::from(self.units) * unit_service_time
+        let stale_fraction = 1.0 - f64::from(self.freshness) / FRESHNESS_STEPS;
+        delay_floor(self.delay) + fleet_delay * stale_fraction + f64::from(self.units) * unit_service_time
     }
 
     /// Returns the lowest possible bucket of a tier.
--- a/crates/policy/src/node_ranking/search.rs
+++ b/crates/policy/src/node_ranking/search.rs
@@ -88,7 +88,7 @@
         fleet_delay: f64,
         unit_service_time: f64,
     ) -> Self {
-        let of_tier = buckets.range(Bucket::first_of(tier)..=Bucket::last_of(tier));
+        let tier_buckets = buckets.range(Bucket::first_of(tier)..=Bucket::last_of(tier));
         let draw = |(bucket, members): (&Bucket, &'a Vec<NodeId>)| BucketDraw {
             members: members.as_slice(),
             bound: bucket.bound(fleet_delay, unit_service_time).max(0.0),
@@ -96,7 +96,7 @@
             drawn: 0,
             swaps: Vec::new(),
         };
-        let buckets: Vec<BucketDraw> = of_tier.map(draw).collect();
+        let buckets: Vec<BucketDraw> = tier_buckets.map(draw).collect();
         let first = |(index, bucket): (usize, &BucketDraw)| {
             Reverse(NextMember { lowest_score_bits: bucket.bound.to_bits(), has_noise: false, bucket: index })
         };
@@ -105,10 +105,10 @@
     }
 
     /// Returns the next node, or `None` if no other can have a score below `to_beat`.
-    pub(super) fn next(&mut self, random: &mut fastrand::Rng, to_beat: Option<f64>) -> Option<DrawnNode> {
+    pub(super) fn next(&mut self, random: &mut fastrand::Rng, score_limit: Option<f64>) -> Option<DrawnNode> {
         loop {
             let Reverse(next) = self.next_members.pop()?;
-            if to_beat.is_some_and(|to_beat| f64::from_bits(next.lowest_score_bits) >= to_beat) {
+            if score_limit.is_some_and(|score_limit| f64::from_bits(next.lowest_score_bits) >= score_limit) {
                 return None;
             }
             if next.has_noise {
--- a/crates/policy/src/node_ranking/tests.rs
+++ b/crates/policy/src/node_ranking/tests.rs
@@ -4,11 +4,11 @@
 use super::bucket::{DELAY_STEP, FIRST_DELAY_US};
 use super::*;
 
-const LIFETIME: f64 = 1e6;
+const TIME_CONSTANT_US: f64 = 1e6;
 const UNIT_SERVICE_TIME: f64 = 10_000.0;
 
 fn rank(tier: HealthTier, delay: f64) -> Rank {
-    Rank { tier, delay, delay_updated_at: Some(1), delay_time_constant: LIFETIME, lasting_units: 0.0 }
+    Rank { tier, delay, delay_updated_at: Some(1), delay_time_constant: TIME_CONSTANT_US, lasting_units: 0.0 }
 }
 
 fn open(load: f64) -> Candidate {
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_search_ends_when_no_other_node_can_win() {
+fn a_search_ends_when_no_other_node_can_have_a_lower_score() {
     let mut ranking = NodeRanking::default();
     let mut candidates = vec![];
     for node in 0..5_000 {
@@ -72,9 +72,9 @@
             ranking.set(now, node, &rank);
         }
         let bound = ranking.bound(NodeId(0), 0.0, UNIT_SERVICE_TIME).expect("placed");
-        let delay = 80_000.0 * (-((now - 1) as f64) / LIFETIME).exp();
+        let delay = 80_000.0 * (-((now - 1) as f64) / TIME_CONSTANT_US).exp();
         let upper = bound.max(FIRST_DELAY_US) * DELAY_STEP * DELAY_STEP;
-        assert!(bound <= delay && delay <= upper, "{bound} for {delay}");
+        assert!(bound <= delay && delay <= upper, "bound {bound} for a delay of {delay}");
     }
-    assert!(ranking.expiries.is_empty(), "a delay that has decayed waits for nothing");
+    assert!(ranking.expiries.is_empty(), "a fully decayed delay has no expiry");
 }
--- a/crates/policy/src/node_table.rs
+++ b/crates/policy/src/node_table.rs
@@ -78,7 +78,7 @@
 
     /// Removes the nodes out of service that have no request in flight or queued and have not answered after
     /// `since`.
-    pub(crate) fn forget_unused(&mut self, since: Micros) {
+    pub(crate) fn remove_unused(&mut self, since: Micros) {
         self.out_of_service.retain(|id| {
             let is_unused = self.nodes.get(id).is_none_or(|node| node.is_unused_since(since));
             if is_unused {
--- a/crates/policy/src/request/tracked.rs
+++ b/crates/policy/src/request/tracked.rs
@@ -102,7 +102,7 @@
     }
 
     /// Returns whether a node has, or may have, received the request without rejecting it.
-    pub(crate) fn is_touched(&self) -> bool {
+    pub(crate) fn may_have_reached_node(&self) -> bool {
         self.possible_execution.is_some() || !self.in_flight.is_empty()
     }
 }
--- a/crates/policy/src/scheduler.rs
+++ b/crates/policy/src/scheduler.rs
@@ -170,8 +170,9 @@
     fn clean_up(&mut self, now: Micros) {
         let since = now.saturating_sub(ADMISSION_LOOKBACK);
         let plans = &self.settings.plans;
-        self.volumes.forget_idle(since, |volume| volume.has_spent_limit(now, &plans[volume.plan.0 as usize]));
-        self.nodes.forget_unused(since);
+        self.volumes
+            .remove_idle(since, |volume| volume.has_used_rate_limit(now, &plans[volume.plan.0 as usize]));
+        self.nodes.remove_unused(since);
     }
 
     /// Closes the budget periods of a node that have ended.
--- a/crates/policy/src/scheduler/admission.rs
+++ b/crates/policy/src/scheduler/admission.rs
@@ -45,8 +45,8 @@
     /// Returns whether the request is beyond its reserved quota and the node's queueing delay exceeds its
     /// limit.
     fn exceeds_delay_limit(&self, now: Micros, tracked: &TrackedRequest, node: &Node) -> bool {
-        let limit =
-            self.request_delay_limit(now, tracked) * (1.0 - self.stale_estimate_draw(now, tracked, node));
+        let limit = self.request_delay_limit(now, tracked)
+            * (1.0 - self.stale_estimate_reduction(now, tracked, node));
         tracked.quota_tier != QuotaTier::Reserved && self.queueing_delay(now, node) > limit
     }
 
--- a/crates/policy/src/scheduler/arrival.rs
+++ b/crates/policy/src/scheduler/arrival.rs
@@ -22,7 +22,7 @@
         let priority = self.priority(&request, quota_tier, timing.is_late);
         let draw = self.random.decisions.f64();
         self.requests.insert(TrackedRequest::new(request, timing, quota_tier, priority, draw));
-        if self.takes_turn(now, request.id) {
+        if self.enqueue_for_key(now, request.id) {
             self.admit(now, request.id, actions);
         }
     }
@@ -73,7 +73,7 @@
 
     /// Appends a request to its key's queue if its class is ordered by key. Returns whether the request may
     /// proceed at once.
-    fn takes_turn(&mut self, now: Micros, id: RequestId) -> bool {
+    fn enqueue_for_key(&mut self, now: Micros, id: RequestId) -> bool {
         let Some(tracked) = self.requests.get_mut(id) else { return false };
         let class = &self.settings.classes[tracked.request.class.0 as usize];
         let Some(key) = tracked.request.key.filter(|_| class.ordered_per_key) else { return true };
--- a/crates/policy/src/scheduler/capacity.rs
+++ b/crates/policy/src/scheduler/capacity.rs
@@ -31,9 +31,9 @@
         // overload the node whenever its delay falls. Lower priorities may use a smaller part.
         let delay_margin = 1.0 - delay / self.request_delay_limit(now, tracked);
         let is_reserved = tracked.quota_tier == QuotaTier::Reserved;
-        let budget_part = if is_reserved { delay_margin } else { delay_margin * tracked.priority };
-        let is_held_back = self.stale_estimate_draw(now, tracked, node) > delay_margin;
-        if is_held_back || exceeds(budget_part * node.budget.limit_units()) {
+        let budget_fraction = if is_reserved { delay_margin } else { delay_margin * tracked.priority };
+        let is_held_back = self.stale_estimate_reduction(now, tracked, node) > delay_margin;
+        if is_held_back || exceeds(budget_fraction * node.budget.limit_units()) {
             return SendDecision::NotYet;
         }
         SendDecision::Allowed
@@ -41,7 +41,7 @@
 
     /// Returns the fraction by which the delay limit is reduced for a request: random, and larger the older
     /// the estimate of the node's delay is.
-    pub(super) fn stale_estimate_draw(&self, now: Micros, tracked: &TrackedRequest, node: &Node) -> f64 {
+    pub(super) fn stale_estimate_reduction(&self, now: Micros, tracked: &TrackedRequest, node: &Node) -> f64 {
         STALE_ESTIMATE_JITTER * tracked.admission_draw * (1.0 - node.delay.freshness(now))
     }
 
--- a/crates/policy/src/scheduler/dispatch.rs
+++ b/crates/policy/src/scheduler/dispatch.rs
@@ -52,8 +52,8 @@
         if now + service_time > entry.due {
             return true;
         }
-        let reserve = tracked.request.time_budget / 2 + self.period / EARLY_ANSWER_PERIOD_DIVISOR;
-        tracked.attempts_sent == 0 && now >= tracked.timing.deadline.saturating_sub(reserve)
+        let margin = tracked.request.time_budget / 2 + self.period / EARLY_ANSWER_PERIOD_DIVISOR;
+        tracked.attempts_sent == 0 && now >= tracked.timing.deadline.saturating_sub(margin)
     }
 
     /// Answers the requests whose deadline has come.
@@ -67,13 +67,13 @@
     /// Starts the next request of each ordered key whose pause has ended.
     pub(super) fn end_cool_downs(&mut self, now: Micros, actions: &mut Vec<Action>) {
         while let Some(key) = self.key_queues.end_cool_down(now) {
-            self.start_next_of_key(now, key, actions);
+            self.start_next_for_key(now, key, actions);
         }
     }
 
     /// Admits the first request in an ordered key's queue if it is waiting for its turn.
-    pub(super) fn start_next_of_key(&mut self, now: Micros, key: KeyId, actions: &mut Vec<Action>) {
-        let Some(id) = self.key_queues.take_turn(now, key) else { return };
+    pub(super) fn start_next_for_key(&mut self, now: Micros, key: KeyId, actions: &mut Vec<Action>) {
+        let Some(id) = self.key_queues.next_ready(now, key) else { return };
         let Some(tracked) = self.requests.get_mut(id) else { return };
         if tracked.state == RequestState::WaitingForKey {
             tracked.state = RequestState::Queued(None);
--- a/crates/policy/src/scheduler/final_answers.rs
+++ b/crates/policy/src/scheduler/final_answers.rs
@@ -54,10 +54,10 @@
         if !self.may_client_retry(tracked) || now >= tracked.timing.deadline {
             return Some(Action::Fail { request: id });
         }
-        let max_hint = self.settings.max_retry_after;
+        let max_retry_after = self.settings.max_retry_after;
         let is_reserved = tracked.quota_tier == QuotaTier::Reserved;
-        let hint = if is_reserved { self.period.min(max_hint) } else { max_hint };
-        Some(Action::Shed { request: id, retry_after: (hint > 0).then_some(hint) })
+        let retry_after = if is_reserved { self.period.min(max_retry_after) } else { max_retry_after };
+        Some(Action::Shed { request: id, retry_after: (retry_after > 0).then_some(retry_after) })
     }
 
     /// Returns whether a retry by the client has no second effect, whichever scheduler receives it.
@@ -66,9 +66,9 @@
         match class.idempotency {
             Idempotency::Idempotent => true,
             Idempotency::WithKey => {
-                !tracked.is_touched() || class.deduplication_scope == DeduplicationScope::AllNodes
+                !tracked.may_have_reached_node() || class.deduplication_scope == DeduplicationScope::AllNodes
             }
-            Idempotency::NotIdempotent => !tracked.is_touched(),
+            Idempotency::NotIdempotent => !tracked.may_have_reached_node(),
         }
     }
 
@@ -95,7 +95,7 @@
         }
         self.requests.remove(id);
         if let Some(key) = key.filter(|key| self.key_queues.remove(*key, id)) {
-            self.start_next_of_key(now, key, actions);
+            self.start_next_for_key(now, key, actions);
         }
     }
 }
--- a/crates/policy/src/scheduler/node_selection_tests.rs
+++ b/crates/policy/src/scheduler/node_selection_tests.rs
@@ -1,5 +1,5 @@
-//! The search for the node of a request that any node may serve, compared with a walk over all nodes: the
-//! same choice with the same probabilities, and the number of nodes that it visits.
+//! Compares the search for the node of a request that any node may serve with an exhaustive search over all
+//! nodes: both must choose each node with the same probability, and the number of visited nodes is bounded.
 
 use std::collections::BTreeMap;
 
@@ -68,49 +68,50 @@
     }
 }
 
-/// The state of the fleet.
+/// State of the simulated fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fleet {
     /// All nodes answer without queueing.
     Idle,
     /// Delays differ, some nodes return errors, some are down, some are in slow start.
     Mixed,
-    /// As idle, and all nodes are in slow start.
+    /// All nodes are in slow start and answer without queueing.
     SlowStart,
 }
 
-/// A node's place in a walk over all nodes: the lowest one is chosen.
+/// Rank of a node in an exhaustive search; the node with the lowest rank is chosen.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
-struct WalkRank {
-    /// The request cannot be sent there now, or the node is unhealthy.
+struct ExhaustiveRank {
+    /// Whether the request cannot be sent to the node now, or the node is unhealthy.
     is_last: bool,
-    /// Score; without noise unless it is added.
+    /// Score; it includes noise only while a node is being chosen.
     score: f64,
 }
 
-/// How often a node was chosen.
+/// Numbers of times a node was chosen, by the search and by an exhaustive search.
 #[derive(Clone, Copy, Debug, Default)]
 struct Choices {
     found: u32,
-    walked: u32,
+    exhaustive: u32,
 }
 
-struct Bench {
+struct Harness {
     scheduler: Scheduler,
     now: Micros,
     random: fastrand::Rng,
     next_id: u64,
 }
 
-impl Bench {
-    /// A scheduler that was given `arrivals` requests, one a millisecond, most of them answered.
+impl Harness {
+    /// Creates a scheduler that has received `arrivals` requests, one every millisecond, most of which were
+    /// answered.
     fn new(nodes: u32, fleet: Fleet, seed: u64, arrivals: u64) -> Self {
         let scheduler = Scheduler::new(settings(), seed).expect("valid settings");
-        let mut bench = Self { scheduler, now: START, random: fastrand::Rng::with_seed(seed), next_id: 0 };
+        let mut harness = Self { scheduler, now: START, random: fastrand::Rng::with_seed(seed), next_id: 0 };
         let mut entries = Vec::new();
         for number in 0..nodes {
             let is_mixed = fleet == Fleet::Mixed;
-            let is_starting = fleet == Fleet::SlowStart || is_mixed && bench.random.u32(0..10) == 0;
+            let is_starting = fleet == Fleet::SlowStart || is_mixed && harness.random.u32(0..10) == 0;
             entries.push(EndpointEntry {
                 node: NodeId(number),
                 shard: ShardId(number),
@@ -119,14 +120,14 @@
                 started_at: is_starting.then_some(START),
             });
         }
-        bench.handle(Event::EndpointUpdate { kind: EndpointUpdateKind::Snapshot, entries });
+        harness.handle(Event::EndpointUpdate { kind: EndpointUpdateKind::Snapshot, entries });
         for _ in 0..arrivals {
-            bench.step(nodes, fleet);
+            harness.step(nodes, fleet);
         }
-        bench
+        harness
     }
 
-    /// Passes an event to the scheduler; returns the attempts that it starts.
+    /// Passes an event to the scheduler. Returns the attempts that it starts.
     fn handle(&mut self, event: Event) -> Vec<(RequestId, NodeId)> {
         let mut actions = Vec::new();
         self.scheduler.handle(self.now, event, &mut actions);
@@ -168,7 +169,7 @@
         }
     }
 
-    /// Adds a request for any node that nothing has been decided on.
+    /// Adds a request that any node may serve, without deciding on it.
     fn add_request(&mut self, quota_tier: QuotaTier, admission_draw: f64) -> RequestId {
         self.next_id += 1;
         let request = request(self.next_id, 2, None);
@@ -189,8 +190,8 @@
         self.scheduler.search(self.now, id, &mut self.random)
     }
 
-    /// A node's rank without noise; `None` if the request must never be sent there.
-    fn rank(&self, id: RequestId, node_id: NodeId) -> Option<WalkRank> {
+    /// Returns a node's rank without noise, or `None` if the request must never be sent to the node.
+    fn rank(&self, id: RequestId, node_id: NodeId) -> Option<ExhaustiveRank> {
         let scheduler = &self.scheduler;
         let node = scheduler.nodes.get(&node_id)?;
         let decision = scheduler.check_send(self.now, id, node_id);
@@ -198,25 +199,26 @@
         let open_units = node.in_flight.informative_units(now, period) + node.queue.units();
         let delay = node.queueing_delay(now, period, &scheduler.fleet);
         let is_unhealthy = node.health.suspected_since().is_some() || node.health.consecutive_errors() > 1;
-        let rank = WalkRank {
+        let rank = ExhaustiveRank {
             is_last: decision != SendDecision::Allowed || is_unhealthy,
             score: delay + open_units * self.unit_service_time(),
         };
         (decision != SendDecision::Never).then_some(rank)
     }
 
-    /// Ranks of all nodes that the request may be sent to.
-    fn ranks(&self, id: RequestId) -> BTreeMap<NodeId, WalkRank> {
+    /// Returns the ranks of all nodes that the request may be sent to.
+    fn ranks(&self, id: RequestId) -> BTreeMap<NodeId, ExhaustiveRank> {
         let ids = self.scheduler.nodes.ids();
         ids.filter_map(|node| Some((node, self.rank(id, node)?))).collect()
     }
 
-    /// Chooses by a walk over all nodes; random among nodes whose loads differ by less than a unit's time.
-    fn walk(&mut self, ranks: &BTreeMap<NodeId, WalkRank>) -> Option<NodeId> {
-        let mut lowest: Option<(WalkRank, NodeId)> = None;
+    /// Chooses a node by an exhaustive search; the choice is random among nodes whose loads differ by less
+    /// than the service time of one unit.
+    fn search_exhaustively(&mut self, ranks: &BTreeMap<NodeId, ExhaustiveRank>) -> Option<NodeId> {
+        let mut lowest: Option<(ExhaustiveRank, NodeId)> = None;
         for (node, rank) in ranks {
             let score = rank.score + self.unit_service_time() * self.random.f64();
-            let candidate = (WalkRank { score, ..*rank }, *node);
+            let candidate = (ExhaustiveRank { score, ..*rank }, *node);
             lowest = lowest.filter(|lowest| *lowest < candidate).or(Some(candidate));
         }
         lowest.map(|(_, node)| node)
@@ -227,103 +229,110 @@
     }
 }
 
-/// Each node is chosen as often as by the walk.
+/// Guards against a search whose probability of choosing a node differs from an exhaustive search.
 #[rstest]
-fn a_search_chooses_each_node_as_often_as_a_walk(
+fn search_chooses_each_node_as_often_as_an_exhaustive_search(
     #[values(Fleet::Idle, Fleet::Mixed, Fleet::SlowStart)] fleet: Fleet,
     #[values(3, 40, 60)] nodes: u32,
     #[values(1, 2)] seed: u64,
 ) {
     const DRAWS: u32 = 4_000;
-    let mut bench = Bench::new(nodes, fleet, seed, 1_500);
-    let id = bench.add_request(QuotaTier::Shared, 0.5);
-    let ranks = bench.ranks(id);
+    let mut harness = Harness::new(nodes, fleet, seed, 1_500);
+    let id = harness.add_request(QuotaTier::Shared, 0.5);
+    let ranks = harness.ranks(id);
     let mut choices: BTreeMap<NodeId, Choices> = BTreeMap::new();
     for _ in 0..DRAWS {
-        let (found, walked) = (bench.search(id).node, bench.walk(&ranks));
+        let (found, exhaustive) = (harness.search(id).node, harness.search_exhaustively(&ranks));
         choices.entry(found.expect("a node")).or_default().found += 1;
-        choices.entry(walked.expect("a node")).or_default().walked += 1;
+        choices.entry(exhaustive.expect("a node")).or_default().exhaustive += 1;
     }
-    for (node, Choices { found, walked }) in choices {
-        let (found, walked) = (f64::from(found), f64::from(walked));
-        let error = (found + walked).sqrt().max(1.0);
-        assert!((found - walked).abs() <= 5.0 * error, "{node:?}: {found} times, {walked} by a walk");
+    for (node, Choices { found, exhaustive }) in choices {
+        let (found, exhaustive) = (f64::from(found), f64::from(exhaustive));
+        let error = (found + exhaustive).sqrt().max(1.0);
+        assert!(
+            (found - exhaustive).abs() <= 5.0 * error,
+            "{node:?}: {found} times, {exhaustive} by an exhaustive search"
+        );
     }
 }
 
-/// Also if there are more nodes than a search visits: it finds an open node if there is one, and none that is
-/// worse than the best by more than the noise.
+/// With more nodes than a search visits, it still finds an open node if there is one, and none whose score
+/// exceeds the best by more than the noise.
 #[rstest]
-fn a_search_passes_over_no_better_node(
+fn search_misses_no_better_node(
     #[values(Fleet::Idle, Fleet::Mixed)] fleet: Fleet,
     #[values(1, 2, 3)] seed: u64,
 ) {
-    let mut bench = Bench::new(800, fleet, seed, 3_000);
-    let (mut found, mut walked) = (0.0, 0.0);
+    let mut harness = Harness::new(800, fleet, seed, 3_000);
+    let (mut found, mut exhaustive) = (0.0, 0.0);
     let rounds = 60;
     for _ in 0..rounds {
-        bench.step(800, fleet);
-        let draw = bench.random.f64();
-        let id = bench.add_request(QuotaTier::Shared, draw);
-        let ranks = bench.ranks(id);
+        harness.step(800, fleet);
+        let draw = harness.random.f64();
+        let id = harness.add_request(QuotaTier::Shared, draw);
+        let ranks = harness.ranks(id);
         let best = ranks.values().copied().reduce(|a, b| if b < a { b } else { a }).expect("nodes");
-        let rank = ranks[&bench.search(id).node.expect("a node")];
-        assert_eq!(rank.is_last, best.is_last, "a node without capacity, where others have it");
-        let worst_score = best.score + bench.unit_service_time();
-        assert!(rank.score <= worst_score, "{}, {} at the best", rank.score, best.score);
+        let rank = ranks[&harness.search(id).node.expect("a node")];
+        assert_eq!(rank.is_last, best.is_last, "chose a node without capacity although others have some");
+        let worst_score = best.score + harness.unit_service_time();
+        assert!(rank.score <= worst_score, "score {}, best score {}", rank.score, best.score);
         found += rank.score;
-        walked += ranks[&bench.walk(&ranks).expect("a node")].score;
-        bench.scheduler.requests.remove(id);
+        exhaustive += ranks[&harness.search_exhaustively(&ranks).expect("a node")].score;
+        harness.scheduler.requests.remove(id);
     }
-    let (found, walked) = (found / f64::from(rounds), walked / f64::from(rounds));
-    let noise = bench.unit_service_time();
-    assert!((found - walked).abs() < 0.1 * noise, "{found} in the mean, {walked} by a walk");
+    let (found, exhaustive) = (found / f64::from(rounds), exhaustive / f64::from(rounds));
+    let noise = harness.unit_service_time();
+    assert!(
+        (found - exhaustive).abs() < 0.1 * noise,
+        "mean score {found}, {exhaustive} by an exhaustive search"
+    );
 }
 
-/// The ranking is right whatever happens: no bound lies above its node's score.
+/// Guards against an outdated ranking: at no time does a bound exceed its node's score.
 #[rstest]
-fn bounds_stay_below_scores(#[values(Fleet::Idle, Fleet::Mixed, Fleet::SlowStart)] fleet: Fleet) {
-    let mut bench = Bench::new(50, fleet, 5, 0);
+fn bounds_never_exceed_scores(#[values(Fleet::Idle, Fleet::Mixed, Fleet::SlowStart)] fleet: Fleet) {
+    let mut harness = Harness::new(50, fleet, 5, 0);
     for round in 0..3_000u64 {
-        bench.step(50, fleet);
+        harness.step(50, fleet);
         if round % 10 == 0 {
-            bench.now += bench.random.u64(0..400_000);
-            bench.handle(Event::TimerFired { token: 0 });
-            let id = bench.add_request(QuotaTier::Reserved, 0.5);
-            bench.search(id);
-            let fleet_delay = bench.scheduler.fleet.delay(bench.now);
-            for (node, WalkRank { score, .. }) in bench.ranks(id) {
-                let bound = bench.scheduler.nodes.ranking.bound(node, fleet_delay, bench.unit_service_time());
-                let bound = bound.expect("nodes in service have a place");
-                assert!(bound <= score + 1e-6, "{node:?}: a bound of {bound} over a score of {score}");
+            harness.now += harness.random.u64(0..400_000);
+            harness.handle(Event::TimerFired { token: 0 });
+            let id = harness.add_request(QuotaTier::Reserved, 0.5);
+            harness.search(id);
+            let fleet_delay = harness.scheduler.fleet.delay(harness.now);
+            for (node, ExhaustiveRank { score, .. }) in harness.ranks(id) {
+                let bound =
+                    harness.scheduler.nodes.ranking.bound(node, fleet_delay, harness.unit_service_time());
+                let bound = bound.expect("nodes in service are ranked");
+                assert!(bound <= score + 1e-6, "{node:?}: bound {bound} exceeds score {score}");
             }
-            bench.scheduler.requests.remove(id);
+            harness.scheduler.requests.remove(id);
         }
     }
 }
 
 fn mean_visits(nodes: u32, fleet: Fleet) -> f64 {
-    // A few nodes in slow start soon leave many requests queued, and each step examines all of them.
+    // With a few nodes in slow start, many requests are soon queued, and each step examines all of them.
     let arrivals = if fleet == Fleet::SlowStart { 500 } else { 5_000 };
-    let mut bench = Bench::new(nodes, fleet, 3, arrivals);
+    let mut harness = Harness::new(nodes, fleet, 3, arrivals);
     let (rounds, mut visits) = (100, 0);
     for _ in 0..rounds {
-        bench.step(nodes, fleet);
-        let draw = bench.random.f64();
-        let id = bench.add_request(QuotaTier::Shared, draw);
-        let found = bench.search(id);
+        harness.step(nodes, fleet);
+        let draw = harness.random.f64();
+        let id = harness.add_request(QuotaTier::Shared, draw);
+        let found = harness.search(id);
         visits += found.visits;
         for node in found.outdated {
-            bench.scheduler.update_rank(bench.now, node);
+            harness.scheduler.update_rank(harness.now, node);
         }
-        bench.scheduler.requests.remove(id);
+        harness.scheduler.requests.remove(id);
     }
     visits as f64 / f64::from(rounds)
 }
 
-/// Guards against a walk over all nodes for each request.
+/// Guards against a search that visits all nodes for each request.
 #[rstest]
-fn a_search_among_5100_nodes_visits_at_most_three_times_as_many_as_among_100(
+fn search_among_5100_nodes_visits_at_most_three_times_as_many_as_among_100(
     #[values(Fleet::Idle, Fleet::Mixed, Fleet::SlowStart)] fleet: Fleet,
 ) {
     let (few, many) = (mean_visits(100, fleet), mean_visits(5_100, fleet));
--- a/crates/policy/src/scheduler/outcomes.rs
+++ b/crates/policy/src/scheduler/outcomes.rs
@@ -7,9 +7,9 @@
 use crate::request::PossibleExecution;
 
 /// Estimated queueing delay, in budget periods, below which a node counts as having no queue.
-const UNQUEUED_PERIODS: f64 = 0.2;
+const MAX_UNQUEUED_DELAY_PERIODS: f64 = 0.2;
 /// Queueing delay that a rejection counts as, as a multiple of the maximum delay.
-const REJECTION_DELAYS: f64 = 2.0;
+const REJECTION_DELAY_MULTIPLE: f64 = 2.0;
 /// Minimum number of unanswered attempts at a node for a timeout to count as a queueing delay.
 const MIN_UNANSWERED: u32 = 2;
 
@@ -135,7 +135,7 @@
             node.health.discard_presumed_start();
         }
         let delay = node.delay.decayed(now, self.fleet.delay(now));
-        let is_unqueued = delay < UNQUEUED_PERIODS * self.period as f64;
+        let is_unqueued = delay < MAX_UNQUEUED_DELAY_PERIODS * self.period as f64;
         self.fleet.observe_service_time(time_per_unit, is_unqueued);
     }
 
@@ -147,8 +147,10 @@
         let estimate = node.delay.decayed(now, fleet_delay);
         let observed = match outcome.end {
             AttemptEnd::Served => Some(self.fleet.queueing_delay_of(outcome.latency, attempt.units)),
-            AttemptEnd::Rejected => Some(estimate.max(REJECTION_DELAYS * max_delay)),
-            AttemptEnd::TimedOut => timeout_delay(node, attempt, outcome.latency).filter(|d| *d > estimate),
+            AttemptEnd::Rejected => Some(estimate.max(REJECTION_DELAY_MULTIPLE * max_delay)),
+            AttemptEnd::TimedOut => {
+                timeout_delay(node, attempt, outcome.latency).filter(|delay| *delay > estimate)
+            }
             _ => None,
         };
         let Some(delay) = observed else { return };
--- a/crates/policy/src/scheduler/send_rules.rs
+++ b/crates/policy/src/scheduler/send_rules.rs
@@ -127,7 +127,7 @@
             return SendDecision::Allowed;
         }
         let Some(volume) = self.volumes.get(&tracked.request.volume) else { return SendDecision::Never };
-        let is_within = volume.units_within_limit(candidate.now, plan) >= tracked.units();
+        let is_within = volume.units_within_rate_limit(candidate.now, plan) >= tracked.units();
         allowed_or(SendDecision::NotYet, is_within)
     }
 
--- a/crates/policy/src/scheduler/sending.rs
+++ b/crates/policy/src/scheduler/sending.rs
@@ -52,7 +52,7 @@
             }
         } else if let Some(volume) = self.volumes.get_mut(&tracked.request.volume) {
             let plan = &self.settings.plans[tracked.request.plan.0 as usize];
-            volume.spend_limit(now, plan, tracked.units());
+            volume.spend_rate_limit(now, plan, tracked.units());
             volume.demand.decay(now);
             volume.demand.record_send(tracked.units());
         }
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -38,15 +38,16 @@
     /// # Errors
     ///
     /// Returns the first value that is missing or invalid.
-    pub fn read(from: &impl SettingsSource) -> Result<Self, ConfigError> {
-        let classes = read_classes(from)?;
-        let plans = read_plans(from)?;
-        let settings = read_policy(from, classes.items, plans.items)?;
-        let class_writes = read_class_writes(from, classes.names.len());
-        let connect_timeout = from.duration_from_ms("limits.connectTimeoutMs")?;
-        let idle_timeout = from.duration_from_ms("limits.idleCloseMs")?;
+    pub fn read(source: &impl SettingsSource) -> Result<Self, ConfigError> {
+        let classes = read_classes(source)?;
+        let plans = read_plans(source)?;
+        let settings = read_policy(source, classes.items, plans.items)?;
+        let class_writes = read_class_writes(source, classes.names.len());
+        let connect_timeout = source.duration_from_ms("limits.connectTimeoutMs")?;
+        let idle_timeout = source.duration_from_ms("limits.idleCloseMs")?;
         let drain_grace = "safety.stopSendingWithinMs";
-        let drain_grace = from.get(drain_grace).map(|_| from.duration_from_ms(drain_grace)).transpose()?;
+        let drain_grace =
+            source.get(drain_grace).map(|_| source.duration_from_ms(drain_grace)).transpose()?;
         Ok(Self {
             settings,
             class_names: classes.names,
@@ -67,37 +68,37 @@
 
 /// Reads a list; `read` reads one item, given the common prefix of the names of its values.
 fn read_list<T>(
-    from: &impl SettingsSource,
+    source: &impl SettingsSource,
     list: &str,
     read: impl Fn(&str) -> Result<T, ConfigError>,
 ) -> Result<NamedItems<T>, ConfigError> {
     let (mut names, mut items) = (Vec::new(), Vec::new());
-    for index in 0..from.whole_number(&format!("{list}.count"))? {
+    for index in 0..source.whole_number(&format!("{list}.count"))? {
         let prefix = format!("{list}.{index}");
-        names.push(from.required(&format!("{prefix}.name"))?.into_owned());
+        names.push(source.required(&format!("{prefix}.name"))?.into_owned());
         items.push(read(&prefix)?);
     }
     Ok(NamedItems { names, items })
 }
 
-fn read_classes(from: &impl SettingsSource) -> Result<NamedItems<ClassSettings>, ConfigError> {
-    read_list(from, "lanes", |prefix| {
+fn read_classes(source: &impl SettingsSource) -> Result<NamedItems<ClassSettings>, ConfigError> {
+    read_list(source, "lanes", |prefix| {
         let at = |name: &str| format!("{prefix}.{name}");
         Ok(ClassSettings {
-            latency_objective: from.duration_from_ms(&at("aimMs"))?,
-            deadline: from.duration_from_ms(&at("deadlineMs"))?,
-            priority_weight: from.non_negative(&at("credit"))?,
-            late_weight_fraction: from.non_negative(&at("lateWorth"))?,
-            idempotency: read_idempotency(from, &at("repeat"))?,
-            deduplication_scope: read_deduplication_scope(from, &at("dedupScope"))?,
-            deduplication_window: from.duration_from_ms(&at("dedupWindowMs"))?,
-            ordered_per_key: from.flag(&at("inTurn"))?,
+            latency_objective: source.duration_from_ms(&at("aimMs"))?,
+            deadline: source.duration_from_ms(&at("deadlineMs"))?,
+            priority_weight: source.non_negative(&at("credit"))?,
+            late_weight_fraction: source.non_negative(&at("lateWorth"))?,
+            idempotency: read_idempotency(source, &at("repeat"))?,
+            deduplication_scope: read_deduplication_scope(source, &at("dedupScope"))?,
+            deduplication_window: source.duration_from_ms(&at("dedupWindowMs"))?,
+            ordered_per_key: source.flag(&at("inTurn"))?,
         })
     })
 }
 
-fn read_idempotency(from: &impl SettingsSource, name: &str) -> Result<Idempotency, ConfigError> {
-    match from.get(name).as_deref().unwrap_or("single_shot") {
+fn read_idempotency(source: &impl SettingsSource, name: &str) -> Result<Idempotency, ConfigError> {
+    match source.get(name).as_deref().unwrap_or("single_shot") {
         "free" => Ok(Idempotency::Idempotent),
         "guarded" => Ok(Idempotency::WithKey),
         "single_shot" => Ok(Idempotency::NotIdempotent),
@@ -106,10 +107,10 @@
 }
 
 fn read_deduplication_scope(
-    from: &impl SettingsSource,
+    source: &impl SettingsSource,
     name: &str,
 ) -> Result<DeduplicationScope, ConfigError> {
-    match from.get(name).as_deref().unwrap_or("cell") {
+    match source.get(name).as_deref().unwrap_or("cell") {
         "all" => Ok(DeduplicationScope::AllNodes),
         "zone" => Ok(DeduplicationScope::Zone),
         "cell" => Ok(DeduplicationScope::Shard),
@@ -117,48 +118,52 @@
     }
 }
 
-fn read_plans(from: &impl SettingsSource) -> Result<NamedItems<PlanSettings>, ConfigError> {
-    read_list(from, "contracts", |prefix| {
-        let figure = |name: &str| from.non_negative(&format!("{prefix}.{name}"));
+fn read_plans(source: &impl SettingsSource) -> Result<NamedItems<PlanSettings>, ConfigError> {
+    read_list(source, "contracts", |prefix| {
+        let number = |name: &str| source.non_negative(&format!("{prefix}.{name}"));
         Ok(PlanSettings {
-            usual_rate: figure("usualRate")?,
-            reserved_rate: figure("reserve")?,
-            shared_weight: figure("parts")?,
-            priority_factor: figure("price")?,
-            rate_limit: figure("ceilingRate")?,
-            burst: figure("burst")?,
+            usual_rate: number("usualRate")?,
+            reserved_rate: number("reserve")?,
+            shared_weight: number("parts")?,
+            priority_factor: number("price")?,
+            rate_limit: number("ceilingRate")?,
+            burst: number("burst")?,
         })
     })
 }
 
 fn read_policy(
-    from: &impl SettingsSource,
+    source: &impl SettingsSource,
     classes: Vec<ClassSettings>,
     plans: Vec<PlanSettings>,
 ) -> Result<Settings, ConfigError> {
-    let retry_budget = read_retry_budget(from)?;
-    let endpoint_list_mode = read_endpoint_list_mode(from)?;
-    let has_retry_after = from.flag("limits.retryAfter")?;
+    let retry_budget = read_retry_budget(source)?;
+    let endpoint_list_mode = read_endpoint_list_mode(source)?;
+    let has_retry_after = source.flag("limits.retryAfter")?;
     Ok(Settings {
-        schedulers: from.whole_number("balancers")?,
-        scheduler_index: from.whole_number("slotNo")?,
+        schedulers: source.whole_number("balancers")?,
+        scheduler_index: source.whole_number("slotNo")?,
         classes,
         plans,
-        mean_units: from.non_negative("familyInfo.unitMean")?,
-        max_units: from.non_negative("familyInfo.maxUnits")?.ceil() as u32,
-        shared_tier_weight: from.non_negative("familyInfo.withinShare")?,
-        excess_tier_weight: from.non_negative("familyInfo.spareWorth")?,
-        usage_period: from.duration_from_ms("familyInfo.meterPeriodMs")?,
-        max_attempts: from.whole_number("limits.sendCap")?,
-        max_retry_after: if has_retry_after { from.duration_from_ms("limits.maxRetryAfterMs")? } else { 0 },
-        client_retries: read_client_retries(from)?,
-        timer_resolution: from.duration_from_ms("resolutionMs")?,
-        slow_start_units: from.non_negative("familyInfo.youngLimit")?,
-        slow_start_fraction: from.non_negative("safety.coldShare")?,
-        slow_start_duration: from.duration_from_ms("safety.coldMs")?,
-        overload_window: from.duration_from_ms("safety.fallMs")?,
-        overload_multiple: from.non_negative("safety.tipMultiple")?,
-        key_cool_down: from.duration_from_ms("safety.keyQuietMs")?,
+        mean_units: source.non_negative("familyInfo.unitMean")?,
+        max_units: source.non_negative("familyInfo.maxUnits")?.ceil() as u32,
+        shared_tier_weight: source.non_negative("familyInfo.withinShare")?,
+        excess_tier_weight: source.non_negative("familyInfo.spareWorth")?,
+        usage_period: source.duration_from_ms("familyInfo.meterPeriodMs")?,
+        max_attempts: source.whole_number("limits.sendCap")?,
+        max_retry_after: if has_retry_after {
+            source.duration_from_ms("limits.maxRetryAfterMs")?
+        } else {
+            0
+        },
+        client_retries: read_client_retries(source)?,
+        timer_resolution: source.duration_from_ms("resolutionMs")?,
+        slow_start_units: source.non_negative("familyInfo.youngLimit")?,
+        slow_start_fraction: source.non_negative("safety.coldShare")?,
+        slow_start_duration: source.duration_from_ms("safety.coldMs")?,
+        overload_window: source.duration_from_ms("safety.fallMs")?,
+        overload_multiple: source.non_negative("safety.tipMultiple")?,
+        key_cool_down: source.duration_from_ms("safety.keyQuietMs")?,
         retry_budget,
         endpoint_list_mode,
     })
@@ -166,35 +171,35 @@
 
 /// Reads how retries are recognized. Retries count as unmarked only if the settings say so: in the protocol,
 /// a time budget below the class's deadline is usual for a first request.
-fn read_client_retries(from: &impl SettingsSource) -> Result<ClientRetries, ConfigError> {
+fn read_client_retries(source: &impl SettingsSource) -> Result<ClientRetries, ConfigError> {
     let name = "clients.marksRetry";
-    let is_unmarked = from.get(name).is_some() && !from.flag(name)?;
+    let is_unmarked = source.get(name).is_some() && !source.flag(name)?;
     Ok(if is_unmarked { ClientRetries::Unmarked } else { ClientRetries::Marked })
 }
 
 /// Reads the retry budget; there is none if its window is 0.
-fn read_retry_budget(from: &impl SettingsSource) -> Result<Option<RetryBudget>, ConfigError> {
+fn read_retry_budget(source: &impl SettingsSource) -> Result<Option<RetryBudget>, ConfigError> {
     let budget = RetryBudget {
-        free_retries: from.non_negative("safety.budgetFree")?,
-        retries_per_request: from.non_negative("safety.extraRatio")?,
-        window: from.duration_from_ms("safety.budgetSpanMs")?,
+        free_retries: source.non_negative("safety.budgetFree")?,
+        retries_per_request: source.non_negative("safety.extraRatio")?,
+        window: source.duration_from_ms("safety.budgetSpanMs")?,
     };
     Ok((budget.window > 0).then_some(budget))
 }
 
-fn read_endpoint_list_mode(from: &impl SettingsSource) -> Result<EndpointListMode, ConfigError> {
-    match from.get("discovery").as_deref().unwrap_or("pushed") {
+fn read_endpoint_list_mode(source: &impl SettingsSource) -> Result<EndpointListMode, ConfigError> {
+    match source.get("discovery").as_deref().unwrap_or("pushed") {
         "pushed" => Ok(EndpointListMode::Streamed),
         "on_request" => {
-            Ok(EndpointListMode::Polled { max_interval: from.duration_from_ms("safety.mustAskInMs")? })
+            Ok(EndpointListMode::Polled { max_interval: source.duration_from_ms("safety.mustAskInMs")? })
         }
         other => Err(ConfigError::invalid("discovery", other)),
     }
 }
 
 /// Reads which classes change data, as a list of flags separated by commas; classes beyond its end do not.
-fn read_class_writes(from: &impl SettingsSource, classes: usize) -> Vec<bool> {
-    let listed = from.get("familyInfo.changesData").unwrap_or_default();
+fn read_class_writes(source: &impl SettingsSource, classes: usize) -> Vec<bool> {
+    let listed = source.get("familyInfo.changesData").unwrap_or_default();
     let listed = listed.split(',').map(|flag| flag == "true" || flag == "1");
     listed.chain(std::iter::repeat(false)).take(classes).collect()
 }
--- a/crates/policy/src/settings/source.rs
+++ b/crates/policy/src/settings/source.rs
@@ -132,11 +132,11 @@
 impl SettingsSource for JsonSource<'_> {
     fn get(&self, name: &str) -> Option<Cow<'_, str>> {
         let mut value = self.0;
-        for step in name.split('.') {
+        for segment in name.split('.') {
             value = match value {
-                Value::Object(object) => object.get(step)?,
-                Value::Array(items) if step == "count" => return Some(items.len().to_string().into()),
-                Value::Array(items) => items.get(step.parse::<usize>().ok()?)?,
+                Value::Object(object) => object.get(segment)?,
+                Value::Array(items) if segment == "count" => return Some(items.len().to_string().into()),
+                Value::Array(items) => items.get(segment.parse::<usize>().ok()?)?,
                 _ => return None,
             };
         }
--- a/crates/policy/src/slow_start/demand.rs
+++ b/crates/policy/src/slow_start/demand.rs
@@ -28,9 +28,9 @@
     mean: Option<f64>,
     mean_updated_at: Micros,
     /// Maximum number of nodes in the current span.
-    largest: usize,
+    span_max: usize,
     /// Maximum number of nodes in the previous span.
-    previous_largest: usize,
+    previous_span_max: usize,
     span_started_at: Micros,
 }
 
@@ -48,7 +48,7 @@
         };
         let previous = self.latest_requests.insert(node, now);
         self.recent.touch(previous.unwrap_or(now), now, node);
-        self.update_largest(now, lifetime);
+        self.update_span_max(now, lifetime);
         probability
     }
 
@@ -63,29 +63,31 @@
 
     /// Updates the mean with the current number of nodes, which has applied up to `until`.
     fn update_mean(&mut self, until: Micros, lifetime: Micros) {
-        let number = self.recent.len() as f64;
+        let addressed_nodes = self.recent.len() as f64;
         let time_constant = f64::from(AVERAGING_LIFETIMES) * lifetime.max(1) as f64;
         let elapsed = until.saturating_sub(self.mean_updated_at) as f64;
         let old_weight = (-elapsed / time_constant).exp();
-        self.mean = Some(self.mean.map_or(number, |mean| number + (mean - number) * old_weight));
+        self.mean = Some(
+            self.mean.map_or(addressed_nodes, |mean| addressed_nodes + (mean - addressed_nodes) * old_weight),
+        );
         self.mean_updated_at = until;
     }
 
     /// Updates the maxima of the current and the previous span.
-    fn update_largest(&mut self, now: Micros, lifetime: Micros) {
+    fn update_span_max(&mut self, now: Micros, lifetime: Micros) {
         if now >= self.span_started_at + Micros::from(AVERAGING_LIFETIMES) * lifetime {
-            self.previous_largest = self.largest;
-            self.largest = 0;
+            self.previous_span_max = self.span_max;
+            self.span_max = 0;
             self.span_started_at = now;
         }
-        self.largest = self.largest.max(self.recent.len());
+        self.span_max = self.span_max.max(self.recent.len());
     }
 
     /// Returns the probability within the first lifetime, on the assumption that requests continue at the
     /// rate of those received, including this one.
     fn initial_probability(&self, elapsed: Micros, nodes: usize, lifetime: Micros) -> f64 {
-        let number = ((self.recent.len() + 1) as f64).max(MIN_NODES);
-        let fraction = (number / nodes.max(1) as f64).min(1.0);
+        let addressed_nodes = ((self.recent.len() + 1) as f64).max(MIN_NODES);
+        let fraction = (addressed_nodes / nodes.max(1) as f64).min(1.0);
         let elapsed_per_lifetime = lifetime as f64 / elapsed.max(1) as f64;
         1.0 - (1.0 - fraction).powf(elapsed_per_lifetime)
     }
@@ -94,10 +96,10 @@
     /// [`SURGE_DEVIATIONS`]: a surge reaches all schedulers at once.
     fn usual_probability(&self, nodes: usize) -> f64 {
         let nodes = nodes.max(1) as f64;
-        let largest = (self.largest.max(self.previous_largest) as f64).min(nodes);
-        let deviation = (largest * (1.0 - largest / nodes)).sqrt();
-        let number = self.mean.unwrap_or(0.0).max(largest - SURGE_DEVIATIONS * deviation);
-        (number.max(MIN_NODES) / nodes).min(1.0)
+        let max_nodes = (self.span_max.max(self.previous_span_max) as f64).min(nodes);
+        let deviation = (max_nodes * (1.0 - max_nodes / nodes)).sqrt();
+        let addressed_nodes = self.mean.unwrap_or(0.0).max(max_nodes - SURGE_DEVIATIONS * deviation);
+        (addressed_nodes.max(MIN_NODES) / nodes).min(1.0)
     }
 }
 
--- a/crates/policy/src/slow_start/token_bucket.rs
+++ b/crates/policy/src/slow_start/token_bucket.rs
@@ -46,7 +46,7 @@
         let first_allowance = settings.slow_start_allowance(0).unwrap_or(0.0);
         let last_allowance = settings.slow_start_allowance(age).unwrap_or(0.0);
         let mean_allowance = 0.5 * (first_allowance + last_allowance) / settings.mean_units;
-        let level = initial_level + mean_allowance / schedulers * windows(age, settings);
+        let level = initial_level + mean_allowance / schedulers * overload_windows(age, settings);
         Self {
             tokens: level.fract(),
             updated_at: started_at.map_or(now, |started_at| now.max(started_at)),
@@ -84,27 +84,27 @@
     /// Updates the tokens to `now`. The tokens gained since the last update are multiplied by a random factor
     /// between 0.5 and 1.5: otherwise requests at a fixed interval could find every token, or none.
     fn refill(&mut self, now: Micros, allowance: f64, draw: f64, settings: &Settings) {
-        let gained = self.gained(now, allowance, settings);
+        let gained = self.gained_tokens(now, allowance, settings);
         let tokens = self.tokens + gained * (MIN_REFILL_FACTOR + draw);
         self.tokens = without_expired(tokens, self.capacity(allowance, settings));
         self.updated_at = now;
     }
 
     /// Returns the tokens gained within one overload window.
-    fn rate(&self, allowance: f64, settings: &Settings) -> f64 {
+    fn tokens_per_window(&self, allowance: f64, settings: &Settings) -> f64 {
         let use_probability = self.use_probability.max(f64::MIN_POSITIVE);
         (allowance / (f64::from(settings.schedulers) * use_probability)).min(allowance)
     }
 
     /// Returns the tokens gained since the last update.
-    fn gained(&self, now: Micros, allowance: f64, settings: &Settings) -> f64 {
+    fn gained_tokens(&self, now: Micros, allowance: f64, settings: &Settings) -> f64 {
         let elapsed = now.saturating_sub(self.updated_at);
-        self.rate(allowance, settings) * windows(elapsed, settings)
+        self.tokens_per_window(allowance, settings) * overload_windows(elapsed, settings)
     }
 
     /// Returns the tokens gained within the lifetime of a token.
     fn tokens_per_lifetime(&self, allowance: f64, settings: &Settings) -> f64 {
-        TOKEN_LIFETIME_WINDOWS * self.rate(allowance, settings)
+        TOKEN_LIFETIME_WINDOWS * self.tokens_per_window(allowance, settings)
     }
 
     /// Returns the maximum number of tokens that can be valid at a time.
@@ -113,8 +113,8 @@
     }
 
     /// Returns the number of tokens that are valid now.
-    fn available(&self, now: Micros, allowance: f64, settings: &Settings) -> f64 {
-        let gained = self.gained(now, allowance, settings);
+    fn valid_tokens(&self, now: Micros, allowance: f64, settings: &Settings) -> f64 {
+        let gained = self.gained_tokens(now, allowance, settings);
         without_expired(self.tokens + gained, self.capacity(allowance, settings))
     }
 
@@ -131,20 +131,20 @@
         settings: &Settings,
     ) -> bool {
         let tokens_per_lifetime = self.tokens_per_lifetime(allowance, settings);
-        let left_to_others = LOW_PRIORITY_RESERVE * tokens_per_lifetime * (1.0 - priority);
+        let tokens_left_to_others = LOW_PRIORITY_RESERVE * tokens_per_lifetime * (1.0 - priority);
         let is_drawn = unsharded_draw.is_none_or(|draw| draw <= self.use_probability);
-        is_drawn && self.available(now, allowance, settings) >= 1.0 + left_to_others
+        is_drawn && self.valid_tokens(now, allowance, settings) >= 1.0 + tokens_left_to_others
     }
 
     /// Removes the tokens of a request that is sent.
     pub(crate) fn spend(&mut self, now: Micros, allowance: f64, units: f64, settings: &Settings) {
-        self.tokens = self.available(now, allowance, settings) - units / settings.mean_units;
+        self.tokens = self.valid_tokens(now, allowance, settings) - units / settings.mean_units;
         self.updated_at = now;
     }
 }
 
 /// Returns a duration as a number of overload windows.
-fn windows(duration: Micros, settings: &Settings) -> f64 {
+fn overload_windows(duration: Micros, settings: &Settings) -> f64 {
     duration as f64 / settings.overload_window.max(1) as f64
 }
 
--- a/crates/policy/src/volume.rs
+++ b/crates/policy/src/volume.rs
@@ -85,8 +85,8 @@
     }
 
     fn update_local_fraction(&mut self, fleet_demand: f64) {
-        let least = MIN_LOCAL_FRACTION / f64::from(self.schedulers);
-        let fraction = (self.demand.requested_rate / fleet_demand).clamp(least, 1.0);
+        let min_fraction = MIN_LOCAL_FRACTION / f64::from(self.schedulers);
+        let fraction = (self.demand.requested_rate / fleet_demand).clamp(min_fraction, 1.0);
         self.local_fraction += LOCAL_FRACTION_WEIGHT * (fraction - self.local_fraction);
     }
 
@@ -121,18 +121,19 @@
     }
 
     /// Returns the units that this scheduler's even part of the rate limit allows now.
-    pub(crate) fn units_within_limit(&self, now: Micros, plan: &PlanSettings) -> f64 {
+    pub(crate) fn units_within_rate_limit(&self, now: Micros, plan: &PlanSettings) -> f64 {
         let schedulers = f64::from(self.schedulers);
         self.rate_limit.clone().refill(now, plan.rate_limit / schedulers, plan.burst / schedulers)
     }
 
     /// Takes a request's units from the rate limit.
-    pub(crate) fn spend_limit(&mut self, now: Micros, plan: &PlanSettings, units: f64) {
-        self.rate_limit = QuotaBucket::new(now, self.units_within_limit(now, plan) - units);
+    pub(crate) fn spend_rate_limit(&mut self, now: Micros, plan: &PlanSettings, units: f64) {
+        self.rate_limit = QuotaBucket::new(now, self.units_within_rate_limit(now, plan) - units);
     }
 
     /// Returns whether the rate limit's bucket is not full, in which case the volume must not be removed.
-    pub(crate) fn has_spent_limit(&self, now: Micros, plan: &PlanSettings) -> bool {
-        plan.rate_limit > 0.0 && self.units_within_limit(now, plan) < plan.burst / f64::from(self.schedulers)
+    pub(crate) fn has_used_rate_limit(&self, now: Micros, plan: &PlanSettings) -> bool {
+        plan.rate_limit > 0.0
+            && self.units_within_rate_limit(now, plan) < plan.burst / f64::from(self.schedulers)
     }
 }
--- a/crates/policy/src/volume/quota.rs
+++ b/crates/policy/src/volume/quota.rs
@@ -34,7 +34,7 @@
 impl PlanQuota {
     /// Returns the quotas of a volume with this plan.
     pub(crate) fn new(settings: &Settings, plan: &PlanSettings) -> Self {
-        let sum = |of: fn(&PlanSettings) -> f64| settings.plans.iter().map(of).sum::<f64>();
+        let sum = |value: fn(&PlanSettings) -> f64| settings.plans.iter().map(value).sum::<f64>();
         let total_weight = sum(|plan| plan.shared_weight).max(MIN_TOTAL_WEIGHT);
         Self {
             reserved_rate: plan.reserved_rate,
--- a/crates/policy/src/volume_table.rs
+++ b/crates/policy/src/volume_table.rs
@@ -41,7 +41,7 @@
 
     /// Removes volumes that were last requested at `until` or before, except those to keep. Only these
     /// volumes are visited.
-    pub(crate) fn forget_idle(&mut self, until: Micros, keep: impl Fn(&Volume) -> bool) {
+    pub(crate) fn remove_idle(&mut self, until: Micros, keep: impl Fn(&Volume) -> bool) {
         let idle: Vec<LastUse<VolumeId>> = self.by_last_request.until(until).collect();
         for last_request in idle {
             if !self.volumes.get(&last_request.key).is_some_and(&keep) {
