--- a/crates/policy/tests/admission.rs
+++ b/crates/policy/tests/admission.rs
@@ -19,14 +19,14 @@
         }
         let is_send = |timed: &&TimedAction| matches!(timed.action, Action::Send { .. });
         let sent = 2 * harness.actions.iter().filter(is_send).count();
-        // Four seconds at half the rate, and nothing that a former incarnation may have spent already.
+        // Four seconds at half the rate, without the burst, which an earlier process may already have used.
         assert!(sent as f64 <= 4.1 * 10.0, "incarnation {incarnation}: {sent} units");
         assert!(sent >= 30, "incarnation {incarnation}: {sent} units");
     }
 }
 
-/// Many schedulers: as the estimate of a long delay gets old, they send a request a few at a time, and not
-/// all at one moment.
+/// Guards against many schedulers that all send at the same moment as their estimate of a long delay becomes
+/// old: they must send a few requests at a time.
 #[test]
 fn schedulers_with_an_old_estimate_of_a_long_delay_do_not_all_send_at_once() {
     let sent_after = |elapsed| {
@@ -46,13 +46,14 @@
     };
     let sent: Vec<usize> = (0..16).map(|step| sent_after(1_500_000 + step * 50_000)).collect();
     assert!(sent[0] < 20 && sent[15] > 80, "{sent:?} of 100 schedulers, every 50 ms");
-    // Some 200 ms between the first and the last of them: by then a node that is full again has answered so.
+    // The first and the last scheduler send about 200 ms apart: by then, a node that is full again has shown
+    // this by its answers.
     let partly = sent.iter().filter(|count| (5..95).contains(*count)).count();
     assert!(partly >= 4, "{sent:?} of 100 schedulers, every 50 ms");
 }
 
-/// Guards against delays at other nodes that close a node which has had no request: a scheduler of many sends
-/// most nodes a request only rarely, and estimates their delay by the fleet's.
+/// Guards against shedding requests for a node without earlier requests because of delays at other nodes: a
+/// scheduler of a large fleet rarely sends to most nodes, and estimates their delay by the fleet's.
 #[test]
 fn half_of_the_delay_limit_at_other_nodes_sheds_nothing_at_an_unknown_node() {
     let mut sent = 0;
@@ -63,7 +64,7 @@
         harness.set_endpoints(&[1, 2]);
         for id in 1..=20 {
             harness.submit(sample_request(id));
-            // The delay limit of a request in the shared quota is a bit over twice as long.
+            // The delay limit of a request in the shared quota is slightly more than twice as long.
             harness.end_attempt(id, 0, 1, AttemptEnd::Served, true, 120_000);
             harness.advance(200_000);
         }
@@ -73,8 +74,8 @@
     assert!(sent >= 36, "{sent} of 40 were sent to a node with nothing in flight");
 }
 
-/// Guards against a volume without a reserved rate whose usual traffic counts as beyond its shared quota, and
-/// is shed for a delay with which it would meet its objective.
+/// Guards against a volume without a reserved rate whose usual traffic counts as exceeding its shared quota,
+/// and is shed at a delay with which it would meet its latency objective.
 #[test]
 fn a_volume_slightly_above_its_usual_rate_stays_within_its_shared_quota() {
     let mut settings = settings();
@@ -83,7 +84,7 @@
     let mut harness = Harness::with_nodes(settings, &[1]);
     let mut sent = 0;
     for id in 1..=30 {
-        // Five units a second, each after a delay between the limits of excess and shared quota.
+        // Five units a second, at a delay between the limits of the excess and the shared quota.
         sent += harness.submit(sample_request(id)).len();
         harness.end_attempt(id, 0, 1, AttemptEnd::Served, true, 216_000);
         harness.advance(400_000);
--- a/crates/policy/tests/bounded_memory.rs
+++ b/crates/policy/tests/bounded_memory.rs
@@ -1,20 +1,22 @@
-//! A long run in virtual time of ids, volumes and nodes that come and go: what the policy keeps of them is
-//! bounded by what is recent, and falls back to what is listed. Entries are counted, not bytes. Seeded.
+//! A long run in virtual time with request ids, volumes and nodes that come and go: the number of entries
+//! that the policy keeps is bounded by the recent ones, and falls back to the listed nodes. Entries are
+//! counted, not bytes. The run is seeded.
 #![cfg(test)]
 
 mod common;
 use common::{endpoint, sample_request, settings, Harness};
 use heathward_policy::*;
 
-/// What has not been used for this time, or twice as long at most, is forgotten.
+/// Time without use after which an entry is removed, or twice that at most, in microseconds.
 const LOOKBACK: Micros = 30_000_000;
 const STEP: Micros = 20_000;
 const RUN: Micros = 20 * 60 * 1_000_000;
-/// Nodes in service at a time.
+/// Number of nodes in service at a time.
 const LISTED: u32 = 8;
-/// How often a node is replaced under a new id.
+/// Interval at which a node is replaced under a new id, in microseconds.
 const REPLACEMENT_INTERVAL: Micros = 2_000_000;
-/// Requests open at a time at most: each waits no longer than its latency objective, of fifteen steps.
+/// Maximum number of requests open at a time: each waits no longer than its latency objective, which is
+/// fifteen steps.
 const OPEN: usize = 16;
 
 fn entry(node: u32, state: NodeState) -> EndpointEntry {
@@ -30,7 +32,7 @@
     }
 }
 
-/// The traffic and the replacements of nodes.
+/// The harness of the run, with its traffic and replacements of nodes.
 struct Run {
     harness: Harness,
     random: fastrand::Rng,
@@ -38,7 +40,7 @@
     listed: Vec<u32>,
     newest_node: u32,
     requests: u64,
-    /// The largest number of entries of each kind.
+    /// Maximum number of entries of each kind.
     max: EntryCounts,
 }
 
@@ -97,7 +99,7 @@
         self.max.nodes = self.max.nodes.max(counts.nodes);
     }
 
-    /// Keeps the timers that were set last, which the harness needs.
+    /// Removes all actions except the timers that were set last, which the harness needs.
     fn discard_old_actions(&mut self) {
         let actions = &mut self.harness.actions;
         actions.retain(|timed| matches!(timed.action, Action::SetTimer { .. }));
@@ -122,7 +124,7 @@
     let recent = LISTED as usize + (2 * LOOKBACK / REPLACEMENT_INTERVAL) as usize;
     assert!(max.nodes <= recent + 2, "{} nodes kept", max.nodes);
     assert!(max.requests <= OPEN, "{} requests kept", max.requests);
-    // Nothing more comes; attempts in flight end, and the lookback passes.
+    // No more requests arrive, the attempts in flight end, and the lookback time passes.
     for _ in 0..8 {
         end_all(&mut harness, || AttemptEnd::Served);
         harness.advance(LOOKBACK / 2);
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -1,11 +1,13 @@
-//! Shared set-up of the tests: settings, requests, endpoints, and a harness that plays a scheduler's caller.
+//! Shared fixtures of the tests: settings, requests, endpoints, and a harness that acts as a scheduler's
+//! caller.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
 
 use heathward_policy::*;
 
-/// Three classes (idempotent, not idempotent, with key) and one plan that reserves more than any test uses.
+/// Returns settings with three classes (idempotent, not idempotent, with idempotency key) and one plan, whose
+/// reserved rate is higher than any test uses.
 pub fn settings() -> Settings {
     let class = ClassSettings {
         latency_objective: 300_000,
@@ -40,7 +42,7 @@
     }
 }
 
-/// A plan of weight 1 with these rates in units a second.
+/// Returns a plan of weight 1 with these rates in units a second.
 pub fn plan(usual_rate: f64, reserved_rate: f64) -> PlanSettings {
     PlanSettings {
         usual_rate,
@@ -51,7 +53,7 @@
     }
 }
 
-/// The settings above with ordered keys, a retry budget and a plan with a rate limit.
+/// Returns [`settings`] with ordered keys, a retry budget and a plan with a rate limit.
 pub fn settings_with_every_rule() -> Settings {
     let mut settings = settings();
     settings.classes[2].ordered_per_key = true;
@@ -105,13 +107,13 @@
     "safety": {"coldShare": 0.16, "coldMs": 14000, "fallMs": 2000, "tipMultiple": 2,
         "stopSendingWithinMs": 1000}}"#;
 
-/// The policy's part of a deployment's settings.
+/// Returns the policy's part of a deployment's settings, given as JSON.
 pub fn deployment(text: &str) -> Settings {
     let json = miniserde::json::from_str(text).expect("JSON");
     settings::Deployment::read(&settings::JsonSource(&json)).expect("valid settings").settings
 }
 
-/// A node in service that holds the shard of its own number.
+/// Returns a node in service that holds the shard of its own number.
 pub fn endpoint(node: u32) -> EndpointEntry {
     EndpointEntry {
         node: NodeId(node),
@@ -122,7 +124,7 @@
     }
 }
 
-/// A request of mean size for shard 1.
+/// Returns a request of mean size for shard 1.
 pub fn sample_request(id: u64) -> Request {
     Request {
         id: RequestId(id),
@@ -139,7 +141,7 @@
     }
 }
 
-/// The outcome of a first attempt that was served and closes its request.
+/// Returns the outcome of a first attempt that was served and closes its request.
 pub fn served(request: RequestId, node: NodeId, latency: Micros) -> AttemptOutcome {
     AttemptOutcome {
         request,
@@ -162,21 +164,21 @@
     pub node: u32,
 }
 
-/// An action and when it was taken.
+/// An action of the scheduler and its time.
 #[derive(Clone, Debug)]
 pub struct TimedAction {
     pub at: Micros,
     pub action: Action,
 }
 
-/// The caller of a scheduler: keeps the time, fires timers, and records what the scheduler does.
+/// The caller of a scheduler: keeps the time, fires timers, and records the scheduler's actions.
 pub struct Harness {
     pub scheduler: Scheduler,
     pub now: Micros,
-    /// Every action so far.
+    /// All actions, unless a test removes them.
     pub actions: Vec<TimedAction>,
     pub in_flight: Vec<InFlight>,
-    /// Number of actions before the last event or step.
+    /// Number of actions before the last event or advance of time.
     mark: usize,
     /// Token of the timer that fired last.
     fired: Option<u64>,
@@ -201,7 +203,7 @@
         }
     }
 
-    /// A scheduler that knows these nodes.
+    /// Creates a harness whose scheduler knows these nodes.
     pub fn with_nodes(settings: Settings, nodes: &[u32]) -> Self {
         let mut harness = Self::new(settings);
         harness.set_endpoints(nodes);
@@ -227,7 +229,7 @@
         }
     }
 
-    /// Replaces the endpoint list by a cached one of these nodes.
+    /// Replaces the endpoint list by a cached list of these nodes.
     pub fn set_endpoints(&mut self, nodes: &[u32]) {
         let entries = nodes.iter().map(|node| endpoint(*node)).collect();
         self.update_endpoints(EndpointUpdateKind::Cached, entries);
@@ -237,7 +239,7 @@
         self.handle(Event::EndpointUpdate { kind, entries });
     }
 
-    /// Passes a request; returns the nodes that it is sent to at once.
+    /// Passes a request to the scheduler. Returns the nodes that it is sent to at once.
     pub fn submit(&mut self, request: Request) -> Vec<NodeId> {
         self.handle(Event::RequestArrived(request));
         let sent = self.sent_since_mark().filter(|(id, _)| *id == request.id.0);
@@ -275,7 +277,7 @@
         }
     }
 
-    /// Lets time pass and fires the timers that become due.
+    /// Advances the time and fires the timers that become due.
     pub fn advance(&mut self, duration: Micros) {
         let end = self.now + duration;
         self.mark = self.actions.len();
@@ -303,29 +305,29 @@
         })
     }
 
-    /// Requests sent in answer to the last event or step.
+    /// Returns the requests sent since the last event or advance of time.
     pub fn last_sent_requests(&self) -> Vec<u64> {
         self.sent_since_mark().map(|(request, _)| request).collect()
     }
 
-    /// Nodes that requests were sent to in answer to the last event or step.
+    /// Returns the nodes that requests were sent to since the last event or advance of time.
     pub fn last_sent_nodes(&self) -> Vec<NodeId> {
         self.sent_since_mark().map(|(_, node)| node).collect()
     }
 
-    /// How often a request was shed.
+    /// Returns the number of times a request was shed.
     pub fn shed_count(&self, id: u64) -> usize {
         let is_shed = |action: &Action| matches!(action, Action::Shed { request, .. } if request.0 == id);
         self.actions.iter().filter(|timed| is_shed(&timed.action)).count()
     }
 
-    /// How often a request failed.
+    /// Returns the number of times a request failed.
     pub fn failure_count(&self, id: u64) -> usize {
         let failure = Action::Fail { request: RequestId(id) };
         self.actions.iter().filter(|timed| timed.action == failure).count()
     }
 
-    /// How often a request was answered by the scheduler.
+    /// Returns the number of times a request was answered by the scheduler.
     pub fn answer_count(&self, id: u64) -> usize {
         self.shed_count(id) + self.failure_count(id)
     }
--- a/crates/policy/tests/common/simulated_day.rs
+++ b/crates/policy/tests/common/simulated_day.rs
@@ -1,5 +1,6 @@
-//! A seeded day in virtual time: requests, ends of attempts, changes of the endpoint list, clients that
-//! disconnect, and timers. The same seed gives the same events as long as the actions are the same.
+//! A seeded workload in virtual time: requests, ends of attempts, changes of the endpoint list, clients that
+//! disconnect, and timers. The same seed gives the same events as long as the scheduler's actions are the
+//! same.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -8,12 +9,12 @@
 
 const SECOND: Micros = 1_000_000;
 const START: Micros = 40 * SECOND;
-/// Volumes that have requests all day.
+/// Number of volumes that have requests all the time.
 const STEADY_VOLUMES: u64 = 150;
-/// Volumes that have a request again after up to two lookbacks.
+/// Number of volumes whose requests are rare: up to two lookback times apart.
 const RARE_VOLUMES: u64 = 2_000;
 
-/// What a day looks like.
+/// The parameters of a day.
 #[derive(Clone)]
 pub struct DayPlan {
     pub name: &'static str,
@@ -25,13 +26,13 @@
     pub rate: f64,
     /// Fraction of requests that any node may serve.
     pub unsharded_fraction: f64,
-    /// Fraction of nodes that have just started when the day begins.
+    /// Fraction of nodes that have just started at the beginning of the day.
     pub starting_fraction: f64,
     /// Whether the client of each first request waits for the deadline of its class.
     pub has_full_deadlines: bool,
 }
 
-/// An event to come.
+/// A scheduled event.
 #[derive(Clone, Debug)]
 enum Upcoming {
     Request,
@@ -49,26 +50,26 @@
     end: AttemptEnd,
 }
 
-/// How an attempt goes on.
+/// The end of an attempt and its time, drawn when the attempt starts.
 struct Course {
     end: AttemptEnd,
     done_at: Micros,
 }
 
-/// The world around one scheduler.
+/// A simulation of the clients, nodes and discovery around one scheduler.
 pub struct SimulatedDay {
     plan: DayPlan,
     random: fastrand::Rng,
     pub scheduler: Scheduler,
     pub now: Micros,
-    /// Times and numbers of the events to come.
+    /// Times and numbers of the scheduled events.
     queue: BinaryHeap<Reverse<(Micros, u64)>>,
     upcoming: BTreeMap<u64, Upcoming>,
     scheduled: u64,
     requests: BTreeMap<u64, Request>,
     attempts: BTreeMap<(u64, u32), Attempt>,
     sends: BTreeMap<u64, u32>,
-    /// When each node has done what it was sent.
+    /// Time at which each node will have completed its accepted requests.
     free_at: BTreeMap<NodeId, Micros>,
     endpoints: BTreeMap<NodeId, EndpointEntry>,
     next_id: u64,
@@ -110,7 +111,7 @@
         entry
     }
 
-    /// Plays the day; `observe` gets the number of each event, the time and the action.
+    /// Runs the day; `observe` receives the number of each event, the time and each action.
     pub fn play(&mut self, mut observe: impl FnMut(usize, Micros, &Action)) {
         let entries = self.endpoints.values().copied().collect();
         let mut event = Event::EndpointUpdate { kind: EndpointUpdateKind::Cached, entries };
@@ -131,7 +132,7 @@
         self.queue.push(Reverse((at.max(self.now), self.scheduled)));
     }
 
-    /// Does what the scheduler asks for.
+    /// Performs an action of the scheduler.
     fn perform(&mut self, action: Action) {
         match action {
             Action::Send { request, node, timeout } => self.start_attempt(request.0, node, timeout),
@@ -164,7 +165,7 @@
         let mut done_at = start + service as Micros;
         let (mut end, draw) = (AttemptEnd::Served, self.random.u32(0..1_000));
         let queueing = start - self.now;
-        // One node in sixteen has a fault for ten seconds at a time.
+        // At any time, one node in sixteen is faulty, for ten seconds at a time.
         let is_faulty = (self.now / (10 * SECOND) + u64::from(node.0)).is_multiple_of(16);
         if queueing > 3 * latency_objective {
             (end, done_at) = (AttemptEnd::Rejected, self.now + 500);
@@ -188,7 +189,7 @@
         Course { end, done_at }
     }
 
-    /// Half of the clients that have time left retry after the hint.
+    /// Half of the clients with enough time left retry after the Retry-After time.
     fn on_shed(&mut self, request: u64, retry_after: Option<Micros>) {
         let Some(request) = self.requests.remove(&request) else { return };
         let after = retry_after.unwrap_or(100_000);
@@ -237,7 +238,7 @@
     }
 
     fn request(&mut self) -> Event {
-        // Ten seconds in each forty are a surge.
+        // The last ten of every forty seconds are a surge.
         let is_surge = (self.now - START) % (40 * SECOND) > 30 * SECOND;
         let rate = self.plan.rate * if is_surge { 4.0 } else { 1.0 };
         let pause = -(1.0 - self.random.f64()).ln() / rate * 1e6;
@@ -308,8 +309,8 @@
         }))
     }
 
-    /// Some nodes drain, start, or are replaced under a new number; at times there is a snapshot, or an
-    /// update that failed.
+    /// Lets some nodes drain, restart, or be replaced under a new id, and returns the endpoint update: at
+    /// times a snapshot, or a failed update.
     fn endpoint_update(&mut self) -> Event {
         let at = self.now + self.random.u64(SECOND..4 * SECOND);
         self.schedule(at, Upcoming::EndpointUpdate);
--- a/crates/policy/tests/endpoints.rs
+++ b/crates/policy/tests/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: nodes that leave service, and the subscription.
+//! The endpoint list: nodes that leave service, and the subscription to the list.
 #![cfg(test)]
 
 mod common;
--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! A hundred schedulers and sixty storage nodes in virtual time: what the schedulers do must add up. Seeded;
-//! the totals are compared with plain arithmetic for one node.
+//! A hundred schedulers and sixty storage nodes in virtual time: the total load from all schedulers is
+//! compared with the capacity of a node. The runs are seeded.
 #![cfg(test)]
 
 mod common;
@@ -10,7 +10,7 @@
 
 const SCHEDULERS: u32 = 100;
 const NODES: u32 = 60;
-/// Nodes that start at the same time.
+/// Number of nodes that start at the same time.
 const STARTING_NODES: u32 = NODES * 6 / 10;
 const WINDOW: Micros = 2_000_000;
 const SLOW_START: Micros = 16_000_000;
@@ -20,14 +20,14 @@
 const START_UNITS: f64 = 24.0;
 /// Multiple of its capacity at which a node in slow start fails.
 const OVERLOAD_MULTIPLE: f64 = 4.0;
-/// What a node may be sent at most, as a multiple of its capacity: four fifths of N + 2 x root of N + 2
-/// requests of two units, at which it fails, N being 48 when it starts, and more later.
+/// Maximum load that a node may be sent, as a multiple of its capacity: four fifths of N + 2 x root of N + 2
+/// requests of two units, at which it fails, where N is 48 when the node starts, and more later.
 const MAX_LOAD: f64 = 4.2;
 const SCHEDULERS_START: Micros = 10_000_000;
 const START: Micros = 20_000_000;
 const STEP: Micros = 20_000;
 
-/// A scheduler through which a volume's requests for a shard come.
+/// A scheduler that receives a volume's requests for a shard.
 #[derive(Clone, Copy, Debug)]
 struct Source {
     scheduler: usize,
@@ -43,7 +43,7 @@
     units: f64,
 }
 
-/// How an attempt ends.
+/// The end of an attempt.
 #[derive(Clone, Copy, Debug)]
 struct Ending {
     end: AttemptEnd,
@@ -58,7 +58,8 @@
 }
 
 impl Fleet {
-    /// Twenty volumes to a node, each through one to three schedulers, as on the platform.
+    /// Creates a fleet with seven volumes per node, each with requests through one to three schedulers for
+    /// three shards per scheduler, as on the platform.
     fn new(seed: u64) -> Self {
         let settings = |scheduler_index| Settings {
             schedulers: SCHEDULERS,
@@ -92,8 +93,8 @@
         }
     }
 
-    /// One step in which each source has a request with a probability; returns what was sent. Each attempt
-    /// ends at once as `ending` has it for its scheduler and shard.
+    /// Runs one step in which each source has a request with a probability. Returns the requests that were
+    /// sent. Each attempt ends at once as `ending` returns for its scheduler and shard.
     fn step(&mut self, now: Micros, probability: f64, ending: impl Fn(usize, u32) -> Ending) -> Vec<Sent> {
         let (mut sent, mut actions) = (Vec::new(), Vec::new());
         for index in 0..self.sources.len() {
@@ -117,7 +118,7 @@
                     sent.push(Sent { scheduler, shard, units: f64::from(units) });
                     Event::AttemptEnded(AttemptOutcome { end, ..served(request.id, node, latency) })
                 }
-                // Queued or shed: its client disconnects.
+                // The request was queued or shed: its client disconnects.
                 None => Event::ClientDisconnected { request: request.id },
             };
             self.schedulers[scheduler].handle(now, event, &mut actions);
@@ -131,7 +132,7 @@
     Ending { end: AttemptEnd::Served, latency: 10_000 }
 }
 
-/// A fleet that has run until [`START`].
+/// Returns a fleet that has run until [`START`].
 fn running_fleet(seed: u64, probability: f64) -> Fleet {
     let mut fleet = Fleet::new(seed);
     let all: Vec<_> = (0..NODES).map(endpoint).collect();
@@ -142,8 +143,8 @@
     fleet
 }
 
-/// Six in ten nodes start at once while all schedulers have requests; returns what these are sent in each
-/// step.
+/// Starts six in ten nodes at once while all schedulers have requests. Returns the requests sent to these
+/// nodes in each step.
 fn start_nodes(seed: u64, probability: f64) -> Vec<Vec<Sent>> {
     let mut fleet = running_fleet(seed, probability);
     let starting: Vec<_> =
@@ -157,7 +158,7 @@
     (0..SLOW_START / 2 / STEP).map(&mut step).collect()
 }
 
-/// Load on the starting nodes within a window, relative to their capacity.
+/// Maximum and mean load on the starting nodes within a window, relative to their capacity.
 struct Loads {
     max: f64,
     mean: f64,
@@ -182,8 +183,8 @@
     Loads { max, mean: sum / f64::from(count) }
 }
 
-/// Guards against parts so small, or turns so rare, that nodes with capacity are idle; and against a total
-/// beyond the rule if many schedulers have more than enough requests.
+/// Guards against parts of the allowance so small, or tokens so rare, that nodes with capacity are idle; and
+/// against a total load above the limit if many schedulers have more than enough requests.
 #[test]
 fn a_hundred_schedulers_use_nodes_in_slow_start_and_overload_none() {
     for seed in [1, 2, 3] {
@@ -194,8 +195,8 @@
     }
 }
 
-/// Guards against a node that accepted no connections for a moment, and that a scheduler of many, which
-/// rarely has a request for it, then takes for one that is down and does not try again for long.
+/// Guards against a node that accepted no connections for a short time and is then not tried again for long:
+/// a scheduler of a large fleet rarely has a request for it and counts it as down.
 #[test]
 fn schedulers_use_a_node_again_that_accepted_no_connections_for_a_while() {
     let mut fleet = running_fleet(4, 0.02);
@@ -217,18 +218,19 @@
         let sent = fleet.step(restart + step * STEP, 0.02, served_fast);
         for sent in sent.into_iter().filter(|sent| sent.shard == 0) {
             back.insert(sent.scheduler);
-            // As far as these schedulers know, it has just started.
+            // As far as these schedulers know, the node has just started.
             units += if step < WINDOW / STEP { sent.units } else { 0.0 };
         }
     }
     let (back, all) = (back.len(), with_requests.len());
     println!("{back} of {all} schedulers back, {units} units in the first window");
-    // Four windows, in each of which the node can serve twelve requests.
+    // The observed time is four windows, in each of which the node can serve twelve requests.
     assert!(back * 10 >= all * 8, "{back} of {all} schedulers back");
     assert!(units < OVERLOAD_MULTIPLE * START_UNITS, "{units} units at once on a node that may be starting");
 }
 
-/// Sends and sources, by whether they are for the slow node and for one of the few schedulers.
+/// Numbers of requests or sources, by whether they are for the slow node and whether they come from one of
+/// the few schedulers.
 #[derive(Clone, Copy, Debug, Default)]
 struct Counts {
     counts: [[f64; 2]; 2],
@@ -244,7 +246,7 @@
     }
 }
 
-/// Guards against a node that is slow for a few schedulers and that others then leave idle.
+/// Guards against a node that is slow for a few schedulers and is then left idle by the others.
 #[test]
 fn a_node_that_is_slow_for_a_few_schedulers_is_used_by_the_others() {
     let mut fleet = running_fleet(5, 0.02);
--- a/crates/policy/tests/invalid_input.rs
+++ b/crates/policy/tests/invalid_input.rs
@@ -1,4 +1,4 @@
-//! Events that refer to nothing known, and settings that are invalid.
+//! Events that refer to unknown entities, and settings that are invalid.
 #![cfg(test)]
 
 mod common;
--- a/crates/policy/tests/invariants.rs
+++ b/crates/policy/tests/invariants.rs
@@ -1,5 +1,5 @@
-//! Arbitrary valid sequences of events with fixed seeds: the rules hold whatever happens, with the settings
-//! of each deployment and with settings that switch on every rule.
+//! Random valid sequences of events with fixed seeds: the rules hold in every state, with the settings of
+//! each deployment and with settings that enable every rule.
 #![cfg(test)]
 
 mod common;
@@ -24,7 +24,7 @@
     plan: PlanId,
 }
 
-/// A request as its client and the nodes see it.
+/// A request as seen by its client and the nodes.
 struct Observed {
     deadline: Micros,
     class: ClassSettings,
@@ -52,7 +52,7 @@
     token: u64,
 }
 
-/// The world around a scheduler.
+/// A simulation of the clients and nodes around one scheduler, which checks every action.
 struct World {
     settings: Settings,
     scheduler: Scheduler,
@@ -69,7 +69,7 @@
     sent: u64,
 }
 
-/// Whose settings.
+/// The settings that a run uses.
 #[derive(Clone, Copy, Debug)]
 enum Of {
     EveryRule,
@@ -227,7 +227,7 @@
         self.handle(Event::RequestArrived(request));
     }
 
-    /// Requests with an attempt in flight that fulfil a condition.
+    /// Returns the requests with an attempt in flight that fulfil a condition.
     fn in_flight(&self, condition: impl Fn(&Observed) -> bool) -> Vec<u64> {
         let matching = self.requests.iter().filter(|(_, r)| !r.in_flight.is_empty() && condition(r));
         matching.map(|(id, _)| *id).collect()
@@ -272,7 +272,7 @@
         }));
     }
 
-    /// Attempts in flight at the client's deadline time out.
+    /// Times out the attempts in flight whose client's deadline has passed.
     fn time_out_attempts(&mut self) {
         let now = self.now;
         for id in self.in_flight(|request| request.deadline <= now) {
@@ -300,7 +300,7 @@
         self.handle(Event::TimerFired { token: timer.token });
     }
 
-    /// Lets time pass, with the timers that fire meanwhile.
+    /// Advances the time and fires the timers that become due.
     fn advance(&mut self, until: Micros) {
         while let Some(timer) = self.timers.first().copied().filter(|timer| timer.at <= until) {
             self.now = self.now.max(timer.at);
@@ -311,7 +311,7 @@
         self.time_out_attempts();
     }
 
-    /// Lets time pass until every request has ended.
+    /// Advances the time until every request has ended.
     fn finish(&mut self) {
         while self.requests.values().any(|request| !request.is_ended || !request.in_flight.is_empty()) {
             self.now += 2_000;
--- a/crates/policy/tests/node_health.rs
+++ b/crates/policy/tests/node_health.rs
@@ -1,19 +1,20 @@
-//! What the ends of attempts show about a node: whether it is down, unresponsive, restarted or full.
+//! Conclusions about a node from the ends of attempts: whether it is down, unresponsive, restarted or full.
 #![cfg(test)]
 
 mod common;
 use common::*;
 use heathward_policy::*;
 
-/// Longer than two units take at full speed: such answers do not show that a node has its full capacity.
+/// Latency that is longer than two units take at full speed, in microseconds: such answers do not show that a
+/// node has its full capacity.
 const SLOW_START_LATENCY: Micros = 60_000;
 
-/// Settings in which no request is within a reserved or shared quota once its volume has sent one.
+/// Returns settings in which no request is within a reserved or shared quota once its volume has sent one.
 fn settings_without_quota() -> Settings {
     Settings { plans: vec![plan(1e-3, 0.0)], ..settings() }
 }
 
-/// Submits requests that are each served at once with a latency; returns how many were sent.
+/// Submits requests that are each served at once with a latency. Returns the number of requests sent.
 fn count_sent(harness: &mut Harness, ids: std::ops::Range<u64>, latency: Micros) -> usize {
     let is_sent = |id: &u64| {
         let is_sent = !harness.submit(sample_request(*id)).is_empty();
@@ -23,13 +24,13 @@
     ids.filter(is_sent).count()
 }
 
-/// Guards against taking the latency of one attempt that hangs for the queueing delay of the node.
+/// Guards against counting the latency of a single hanging attempt as the queueing delay of the node.
 #[test]
 fn one_attempt_that_hangs_tells_no_queueing_delay() {
     for (hanging, shed) in [(1, 0), (2, 1)] {
         let mut harness = Harness::with_nodes(settings_without_quota(), &[1]);
         harness.advance(5_000_000);
-        // One volume each, as the bucket of a volume covers its first request.
+        // Each request has a volume of its own, as the quota bucket of a volume covers its first request.
         let request = |id| Request { volume: VolumeId(id), units: 1, ..sample_request(id) };
         harness.submit(request(1));
         harness.end_attempt(1, 0, 1, AttemptEnd::Served, true, 1_000);
@@ -46,8 +47,8 @@
     }
 }
 
-/// Guards against taking a healthy node for one that has restarted because of one broken connection; and
-/// against the opposite, if it had been silent before.
+/// Guards against treating a healthy node as restarted because of a broken connection, and against the
+/// opposite if the node had been silent before.
 #[test]
 fn a_node_that_answered_just_before_and_after_a_reset_is_not_in_slow_start() {
     for (silence, is_in_slow_start) in [(100_000, false), (3_000_000, true)] {
@@ -64,12 +65,12 @@
             assert_eq!(harness.in_flight, [retry], "a broken connection is no answer: there is a retry");
         }
         harness.end_attempt(2, 2, 1, AttemptEnd::Served, true, SLOW_START_LATENCY);
-        // Far more than a node in slow start can serve.
+        // Far more requests than a node in slow start can serve.
         let sent = count_sent(&mut harness, 3..23, SLOW_START_LATENCY);
         assert_eq!(sent < 20, is_in_slow_start, "after {silence} us of silence");
-        // A start that the endpoint list would have reported by now did not happen.
+        // By now the endpoint list would have reported a start, so there was none.
         harness.advance(6_100_000);
-        // All but what is shed at random because the estimate of the delay is old.
+        // All are sent, except a few that are shed at random because the estimate of the delay is old.
         assert!(count_sent(&mut harness, 30..50, SLOW_START_LATENCY) >= 19);
     }
 }
@@ -87,14 +88,16 @@
         sent += harness.submit(sample_request(id)).len() * 2;
         harness.serve_all_after(SLOW_START_LATENCY);
     }
-    // It can serve two requests within the overload window: one is sent now, the next half a window later.
+    // The node can serve two requests within the overload window: one is sent now, the next half a window
+    // later.
     assert_eq!(sent, 2);
 }
 
-/// Incident ie1244d: because of single attempts that hung, schedulers took healthy nodes for restarted ones.
+/// Incident ie1244d: because of single attempts that hung, schedulers treated healthy nodes as restarted.
 #[test]
 fn a_node_is_unresponsive_after_three_timeouts_in_a_row_and_not_after_one() {
-    // The last: in a pause shorter than 7 periods a burst of three times out together, which proves nothing.
+    // In the last case, three attempts time out together in a pause shorter than 7 periods, which proves
+    // nothing.
     for (lost, timeout, has_full_capacity) in
         [(1, 1_300_000, true), (3, 1_300_000, false), (3, 600_000, true)]
     {
@@ -116,8 +119,8 @@
             sent += harness.last_sent_requests().len() * 2;
             harness.serve_all_after(SLOW_START_LATENCY);
         }
-        // In slow start: four in a window, what is left from the one before, and what a request exceeds it
-        // by.
+        // A node in slow start is sent four units in a window, the rest of the window before, and the excess
+        // of one request.
         let is_more = sent > 8;
         assert_eq!(
             is_more, has_full_capacity,
@@ -127,7 +130,7 @@
     }
 }
 
-/// Incident i144574: nodes that return errors at once looked idle and were sent all new objects.
+/// Incident i144574: nodes that returned errors at once appeared idle and were sent all new objects.
 #[test]
 fn new_objects_avoid_a_node_that_keeps_returning_errors() {
     let mut harness = Harness::with_nodes(settings(), &[1, 2]);
@@ -147,7 +150,7 @@
     assert!(nodes.contains(&NodeId(1)), "it serves again: {nodes:?}");
 }
 
-/// Guards against a zone that is cut off, and by whose silence the nodes of all others are taken for full.
+/// Guards against a zone that is cut off and whose timeouts make the nodes of all other zones appear full.
 #[test]
 fn unresponsive_nodes_tell_no_delay_of_other_nodes() {
     let mut harness = Harness::with_nodes(settings_without_quota(), &(1..=14).collect::<Vec<_>>());
@@ -166,8 +169,8 @@
     assert_eq!(sent, 10, "no request is queued at these nodes");
 }
 
-/// Guards against nodes that were cut off for a while, did not restart, and are taken for starting ones once
-/// they answer; one whose answers take as long as those of a starting one is taken for one.
+/// Guards against treating nodes that were unreachable for a while, without restarting, as starting ones once
+/// they answer. A node whose answers take as long as those of a starting one is treated as one.
 #[test]
 fn a_node_that_answers_at_full_speed_did_not_restart() {
     for (latency, sent) in [(20_000, 8..=8), (160_000, 0..=2)] {
--- a/crates/policy/tests/period_budget.rs
+++ b/crates/policy/tests/period_budget.rs
@@ -6,10 +6,10 @@
 use heathward_policy::*;
 use rstest::rstest;
 
-/// Length of a budget period with the tests' settings.
+/// Length of a budget period with the tests' settings, in microseconds.
 const PERIOD: Micros = 150_000;
 
-/// Submits requests until no more are sent at once; returns how many are in flight.
+/// Submits sixty requests, more than are sent at once. Returns the number in flight.
 fn fill(harness: &mut Harness, first_id: u64) -> usize {
     for id in first_id..first_id + 60 {
         harness.submit(sample_request(id));
@@ -17,7 +17,7 @@
     harness.in_flight.len()
 }
 
-/// Serves all attempts in flight, then those of the queued requests, until nothing is left.
+/// Serves all attempts in flight, including those of queued requests that follow, until none is left.
 fn drain(harness: &mut Harness) {
     while !harness.in_flight.is_empty() {
         harness.serve_all();
@@ -82,8 +82,8 @@
     harness.submit(sample_request(1));
     harness.advance(10_000);
     harness.end_attempt(1, 0, 1, AttemptEnd::Served, true, 200_000);
-    // There is a queueing delay: a first request within the reserved rate is sent, a late retry is shed at
-    // once.
+    // There is a queueing delay: a first request within the reserved rate is sent, but a late retry is shed
+    // at once.
     harness.submit(Request { time_budget: 500_000, is_client_retry, ..sample_request(2) });
     assert_eq!(harness.shed_count(2), 1);
     assert_eq!(harness.submit(sample_request(3)).len(), 1);
--- a/crates/policy/tests/queueing.rs
+++ b/crates/policy/tests/queueing.rs
@@ -1,4 +1,4 @@
-//! How requests are sent, queued and answered in time.
+//! Sending and queueing of requests, and their answers in time.
 #![cfg(test)]
 
 mod common;
@@ -74,15 +74,15 @@
     harness.advance(1_000);
     harness.submit(sample_request(5));
     harness.end_attempt(5, 0, 1, AttemptEnd::Served, true, 5_000);
-    // Three of the four places are taken by attempts that were sent before an answered one.
+    // Three of the four requests that the budget allows are attempts sent before an answered one.
     harness.advance(700_000);
     let sent: usize = (6..=9).map(|id| harness.submit(sample_request(id)).len()).sum();
     assert_eq!(sent, 4);
 }
 
-/// Guards against a client with little time whose request is kept until that is nearly over and then shed
-/// with nothing sent: by half of its time it can still turn to another scheduler. One with more time is kept
-/// until its latency objective.
+/// Guards against a request with a short time budget that is queued until that is nearly over and then shed
+/// without an attempt: if it is shed by half of its time budget, its client can still try another scheduler.
+/// A request with a longer time budget is queued until its latency objective.
 #[test]
 fn a_request_that_was_never_sent_is_shed_by_half_of_its_time() {
     for (time_budget, answered_by) in [(200_000, 100_000), (1_000_000, 300_000)] {
@@ -99,7 +99,7 @@
     }
 }
 
-/// How long a request is queued at a busy node before it is shed.
+/// Returns the time for which a request is queued at a busy node before it is shed, in microseconds.
 fn queued_for(client_retries: ClientRetries, time_budget: Micros, is_client_retry: bool) -> Micros {
     let mut harness = Harness::with_nodes(Settings { client_retries, ..settings() }, &[1]);
     // Four mean requests of two units fill the minimum of the budget.
@@ -113,21 +113,22 @@
     harness.actions.iter().find(shed).expect("the request is shed").at - submitted_at
 }
 
-/// Guards against first requests that are shed before their latency objective, with capacity to come, since
-/// their clients wait for less than their class's deadline: no sign of a retry where clients mark these.
+/// Guards against first requests that are shed before their latency objective, although there will be
+/// capacity, because their clients wait for less than their class's deadline. That is no sign of a retry
+/// where clients mark retries.
 #[test]
 fn a_first_request_has_its_latency_objective_whatever_time_its_client_has() {
     let with_whole_deadline = queued_for(ClientRetries::Marked, 1_000_000, false);
     for time_budget in [600_000, 800_000, 900_000] {
         assert_eq!(queued_for(ClientRetries::Marked, time_budget, false), with_whole_deadline);
     }
-    // A retry is due when its first request was, 300 ms after that.
+    // A retry is due when its first request was, 300 ms after that request arrived.
     assert!(queued_for(ClientRetries::Marked, 900_000, true) < 200_000);
     assert!(queued_for(ClientRetries::Unmarked, 900_000, false) < 200_000);
 }
 
-/// Guards against first requests that are demoted, and queued before an idle node, since the rest of their
-/// class's deadline is over their latency objective.
+/// Guards against first requests that get a lower priority, and are queued although the node is idle, because
+/// their time budget is shorter than the deadline of their class by more than its latency objective.
 #[rstest]
 #[case::marked(ClientRetries::Marked, false, 4)]
 #[case::marked_retry(ClientRetries::Marked, true, 1)]
--- a/crates/policy/tests/rate_limit.rs
+++ b/crates/policy/tests/rate_limit.rs
@@ -1,7 +1,7 @@
-//! A plan's rate limit, kept by all schedulers together without communication: each has an even part of rate
-//! and burst. What a scheduler learns of the others' usage comes late or never (schedulers that use other
-//! nodes of the volume learn nothing of each other), so no part is lent; the price is what a single scheduler
-//! leaves unused.
+//! A plan's rate limit, enforced by all schedulers together without communication: each has an even part of
+//! rate and burst. Information on the usage through other schedulers arrives late or never (schedulers that
+//! use different nodes of the volume learn nothing of each other), so no scheduler may use another one's
+//! part; the cost is the capacity that a scheduler without requests leaves unused.
 #![cfg(test)]
 
 mod common;
@@ -17,10 +17,10 @@
 const BURST: f64 = 120.0;
 const SECONDS: u64 = 30;
 const STEP: Micros = 20_000;
-/// How long one scheduler has all requests when they take turns.
+/// Time for which one scheduler receives all requests when they take turns, in microseconds.
 const TURN: Micros = 3_000_000;
 
-/// Settings in which nothing but the rate limit holds a request back.
+/// Returns settings in which only the rate limit delays or rejects requests.
 fn settings_with_limit(rate_limit: f64) -> Settings {
     let class = settings().classes[0].clone();
     Settings {
@@ -37,16 +37,16 @@
     }
 }
 
-/// Which of a volume's schedulers get requests, and how that changes.
+/// The distribution of a volume's requests over its schedulers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Load {
     All,
     One,
-    /// Another one every few seconds, and some restart then.
+    /// A different scheduler every few seconds; some schedulers restart at each change.
     RoundRobin,
 }
 
-/// Units that were sent, and when.
+/// Units that were sent at a time.
 #[derive(Clone, Copy, Debug)]
 struct Sent {
     at: Micros,
@@ -60,7 +60,7 @@
     harness
 }
 
-/// What all schedulers send if they get far more than the limit allows.
+/// Returns the units that all schedulers send if they receive far more requests than the limit allows.
 fn sent(schedulers: u32, rate_limit: f64, load: Load, seed: u64) -> Vec<Sent> {
     let mut random = fastrand::Rng::with_seed(seed);
     let mut fleet: Vec<Harness> =
@@ -101,8 +101,8 @@
     all
 }
 
-/// Guards against schedulers that each see the others idle and all exceed their part at once, against a
-/// restart that forgets what was spent, and against a limit where there is none.
+/// Guards against schedulers that each consider the others idle and all exceed their part at once, against a
+/// restart that forgets the used units, and against a limit in a plan without one.
 #[rstest]
 fn all_schedulers_together_keep_to_the_rate_limit(
     #[values(1, 2, 3, 5)] schedulers: u32,
@@ -118,7 +118,7 @@
     }
     let used = all.iter().map(|sent| sent.units).sum::<f64>() / (LIMIT * SECONDS as f64);
     println!("{schedulers} schedulers, {load:?}, seed {seed}: {used:.2} of the limit, {least:.1} units left");
-    // The tolerance is one of the largest requests or more; none of it is needed.
+    // The tolerance of the rule is at least one request of maximum size; none of it is needed.
     assert!(least >= 0.0, "{least} units over the limit");
     let part = if load == Load::All { 1.0 } else { 1.0 / f64::from(schedulers) };
     let least_used = if load == Load::RoundRobin { 0.5 } else { 0.75 };
--- a/crates/policy/tests/replay.rs
+++ b/crates/policy/tests/replay.rs
@@ -1,9 +1,9 @@
-//! Recorded days: every action of today's code is compared with the recorded ones, so that a change of how
-//! decisions are computed is seen to change none. Each line of `replay/pinned.txt` is a digest of the actions
-//! of a thousand events (as numbers), or the count of a day's actions by kind.
+//! Replays recorded days: every action of the current code is compared with the recorded ones, which shows
+//! that a refactoring changes no decision. Each line of `replay/pinned.txt` is a digest of the actions (as
+//! numbers) of a thousand events, or the count of a day's actions by kind.
 //!
-//! Requests that any node may serve use random numbers of their own: days with them are compared with the
-//! recorded counts in `replay/free.txt`.
+//! Requests that any node may serve use random numbers of their own, so days with such requests are compared
+//! with the recorded counts in `replay/free.txt`.
 #![cfg(test)]
 
 mod common;
@@ -19,23 +19,23 @@
 use heathward_policy::*;
 use simulated_day::{DayPlan, SimulatedDay};
 
-/// Events of a day.
+/// Number of events of a day.
 const EVENTS: usize = 30_000;
-/// Events of a digest.
+/// Number of events of a digest.
 const BLOCK: usize = 1_000;
-/// Seeds of a day with requests for any node.
+/// Number of seeds of a day with requests that any node may serve.
 const UNSHARDED_SEEDS: usize = 8;
-/// Events of such a day.
+/// Number of events of such a day.
 const UNSHARDED_EVENTS: usize = 4_000;
 /// Fraction of the requests of such a day that any node may serve.
 const UNSHARDED_FRACTION: f64 = 0.4;
 
-/// The settings of other tests, before clients that do not mark their retries.
+/// Settings of the other tests, with clients that do not mark their retries.
 fn plain() -> Settings {
     Settings { client_retries: ClientRetries::Unmarked, ..settings() }
 }
 
-/// Every rule, four schedulers, and an endpoint list that is polled.
+/// Settings with every rule, four schedulers, and an endpoint list that is polled.
 fn every_rule() -> Settings {
     Settings {
         client_retries: ClientRetries::Unmarked,
@@ -68,7 +68,7 @@
     ]
 }
 
-/// Days with requests that any node may serve; the seed is set by the test.
+/// Returns days with requests that any node may serve; the seed is set by the test.
 fn unsharded_days() -> Vec<DayPlan> {
     let plan = |name, settings, nodes, rate, starting_fraction| DayPlan {
         name,
@@ -90,7 +90,7 @@
     ]
 }
 
-/// The name of an action's kind in the recorded files.
+/// Returns the name of an action's kind in the recorded files.
 fn kind(action: &Action) -> &'static str {
     match action {
         Action::Send { .. } => "send",
@@ -102,7 +102,8 @@
     }
 }
 
-/// An action as numbers: its kind, then its ids and times. No name of a type, variant or field is part of it.
+/// Returns an action as numbers: its kind, then its ids and times. They depend on no name of a type, variant
+/// or field.
 fn numbers(action: &Action) -> [u64; 4] {
     let optional = |value: Option<u64>| value.map_or(0, |value| value + 1);
     match action {
@@ -137,7 +138,7 @@
     text
 }
 
-/// Counts of sends, shed requests and failures: one for each seed.
+/// Returns the counts of sends, shed requests and failures for each seed, as in the recorded file.
 fn unsharded_counts() -> String {
     let mut text = String::new();
     for plan in unsharded_days() {
@@ -155,7 +156,7 @@
     text
 }
 
-/// Reads lines of counts by name.
+/// Parses lines of a name and counts.
 fn parse(text: &str) -> BTreeMap<&str, Vec<f64>> {
     text.lines()
         .filter_map(|line| line.split_once(' '))
@@ -166,7 +167,7 @@
         .collect()
 }
 
-/// The mean difference of the counts lies within four standard errors of none.
+/// The mean difference of the counts must be within four standard errors of 0.
 #[test]
 fn recorded_days_with_requests_for_any_node_give_the_same_mean_counts() {
     let recorded = include_str!("replay/free.txt");
@@ -199,8 +200,8 @@
     assert_eq!(recorded.lines().count(), played.lines().count());
 }
 
-/// Guards against decisions that change with the way in which retries are recognized, but for first requests
-/// whose clients wait for less than their class's deadline.
+/// Guards against decisions on other requests that depend on how retries are recognized: only first requests
+/// whose clients wait for less than their class's deadline may be affected.
 #[test]
 fn recognition_of_retries_concerns_only_requests_with_less_than_their_deadline() {
     for plan in days() {
--- a/crates/policy/tests/retries.rs
+++ b/crates/policy/tests/retries.rs
@@ -1,11 +1,11 @@
-//! Which requests are sent again after an attempt that did not serve them.
+//! Retries after an attempt that did not serve its request.
 #![cfg(test)]
 
 mod common;
 use common::*;
 use heathward_policy::*;
 
-/// Settings with at most so many retries in any 5 s.
+/// Returns settings with at most `free_retries` retries in any 5 s.
 fn settings_with_retries(free_retries: f64) -> Settings {
     let budget = RetryBudget { free_retries, retries_per_request: 0.0, window: 5_000_000 };
     Settings { retry_budget: Some(budget), ..settings() }
--- a/crates/policy/tests/settings.rs
+++ b/crates/policy/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of both deployments are read as they are; an invalid one is named in the error.
+//! Reading of the settings of both deployments; the error for an invalid setting names it.
 #![cfg(test)]
 
 mod common;
@@ -9,7 +9,7 @@
 use heathward_policy::*;
 use rstest::rstest;
 
-/// Reads and validates settings as the configuration does.
+/// Reads and validates settings in the same way as the configuration does.
 fn read(text: &str) -> Result<Deployment, Box<dyn Error>> {
     let json = miniserde::json::from_str(text).expect("JSON");
     let deployment = Deployment::read(&JsonSource(&json))?;
@@ -17,7 +17,7 @@
     Ok(deployment)
 }
 
-/// What differs between the deployments.
+/// Expected values of the settings that differ between the deployments.
 struct Expected {
     drain_grace: Micros,
     max_attempts: u32,
@@ -92,14 +92,15 @@
     assert!(error.contains(field), "{error}");
 }
 
-/// A rule that is not in the settings is neither required nor kept.
+/// A rule that is absent from the settings is neither required nor applied.
 #[rstest]
 fn without_a_rule_on_draining_nodes_there_is_no_grace(#[values(PREDIO_NORTE, GRANITE_SHELF)] text: &str) {
     let without_rule = text.replace("stopSendingWithinMs", "someOtherField");
     assert_eq!(read(&without_rule).expect("valid settings").drain_grace, None);
 }
 
-/// Guards against first requests that are taken for retries where nothing says that clients retry unmarked.
+/// Guards against first requests that are treated as retries although the settings do not say that clients
+/// leave their retries unmarked.
 #[rstest]
 fn retries_are_unmarked_only_where_the_settings_say_so(#[values(PREDIO_NORTE, GRANITE_SHELF)] text: &str) {
     let silent = text.replace("marksRetry", "someOtherField");
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -1,4 +1,4 @@
-//! Slow start of a node as one scheduler keeps it.
+//! Slow start of a node, as enforced by one scheduler.
 #![cfg(test)]
 
 mod common;
@@ -25,7 +25,8 @@
         }
         sent * 2
     };
-    // Half of twelve in each, a fourth more by its age, and what a request exceeds its part by.
+    // Half of twelve units in each window, a quarter more because of the node's age, and the excess of one
+    // request.
     let (first, second) = (units_in_two_windows(), units_in_two_windows());
     assert!((10..=17).contains(&first), "{first} units in the first two windows");
     assert!(second > first, "{second} units in the next two, {first} before");
@@ -41,7 +42,7 @@
 
 #[test]
 fn a_node_has_full_capacity_at_the_end_of_its_slow_start() {
-    // Shortly before, it is sent little more than one request.
+    // Shortly before the end, the node is sent at most one request.
     for (age, sent) in [(15_999_999, 0..=1), (16_000_000, 2..=2)] {
         let settings = Settings { slow_start_units: 0.5, ..settings() };
         let mut harness = Harness::with_nodes(settings, &[1]);
--- a/crates/policy/tests/slow_start_bound.rs
+++ b/crates/policy/tests/slow_start_bound.rs
@@ -1,6 +1,6 @@
-//! Twenty and thirty schedulers and one node in slow start, in virtual time: the sum of what they send stays
-//! within N + 2 x root of N + 2 requests of mean size in any overload window, N being what the settings allow
-//! a node of that age.
+//! Twenty and thirty schedulers and one node in slow start, in virtual time: the total load from all
+//! schedulers stays within N + 2 x root of N + 2 requests of mean size in any overload window, where N is the
+//! number of requests that the settings allow for a node of that age.
 #![cfg(test)]
 
 mod common;
@@ -9,62 +9,63 @@
 use heathward_policy::*;
 use rstest::rstest;
 
-/// Schedulers start; they have estimates of every node before one goes down.
+/// Time at which the schedulers start. They have estimates of every node before one goes down.
 const SCHEDULERS_START: Micros = 20_000_000;
-/// The node goes down.
+/// Time at which the node goes down.
 const DOWN: Micros = 40_000_000;
-/// The node is back, in slow start.
+/// Time at which the node is back, in slow start.
 const START: Micros = 41_000_000;
 const STEP: Micros = 50_000;
-/// How long the node is observed: its capacity is lowest right after its start.
+/// Time for which the node is observed, in microseconds; its capacity is lowest right after its start.
 const OBSERVED: Micros = 10_000_000;
-/// Maximum difference between the schedulers' clocks.
+/// Maximum difference between the schedulers' clocks, in microseconds.
 const SKEW: Micros = 50_000;
-/// Maximum delay until a scheduler is notified of the start.
+/// Maximum delay until the endpoint list notifies a scheduler of the start, in microseconds.
 const MAX_LIST_DELAY: Micros = 2_000_000;
-/// Latency of the node's answers.
+/// Latency of the node's answers, in microseconds.
 const LATENCY: Micros = 20_000;
 /// The node that restarts.
 const STARTING_NODE: u32 = 0;
 const SEEDS: u64 = 3;
 
-/// How many requests each scheduler gets.
+/// The rate of requests at each scheduler.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Load {
-    /// Two in every step: there are always more than the node can serve.
+    /// Two in every step: always more than the node can serve.
     Full,
-    /// One a second, at random times: each scheduler knows little of the node.
+    /// One a second, at random times: each scheduler has few observations of the node.
     Rare,
-    /// Ten at the same time as all other schedulers, every three seconds.
+    /// Ten requests every three seconds, at the same time at all schedulers.
     Bursts,
 }
 
-/// Which nodes the requests are for.
+/// The distribution of the requests over the nodes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Spread {
-    /// There is only the restarting node.
+    /// There is only one node, the restarting one.
     OneNode,
-    /// All of twelve, evenly.
+    /// There are twelve nodes with equal numbers of requests.
     Even,
-    /// There are twelve, and every other request of each scheduler is for the restarting one.
+    /// There are twelve nodes, and every other request of each scheduler is for the restarting one; the rest
+    /// are for all, evenly.
     Skewed,
-    /// There are twelve, and all requests are for the restarting one.
+    /// There are twelve nodes, and all requests are for the restarting one.
     Focused,
 }
 
-/// What happens beside the node's restart.
+/// A fault besides the node's restart.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
-    /// Nothing: the endpoint list notifies every scheduler of the start.
+    /// No fault: the endpoint list notifies every scheduler of the start at once.
     None,
-    /// Each scheduler restarts every four seconds or so and knows the endpoint list only.
+    /// Each scheduler restarts about every four seconds and then knows only the endpoint list.
     SchedulerRestarts,
     /// The node is back before the endpoint list reports it: each scheduler is notified up to two seconds
     /// later, and until then only notices that the node accepted no connection for a second.
     LateList,
 }
 
-/// What a fleet goes through.
+/// The load and the faults of a run.
 #[derive(Clone, Copy, Debug)]
 struct Scenario {
     load: Load,
@@ -81,7 +82,7 @@
         }
     }
 
-    /// The shard that a request is for; the restarting node holds the first.
+    /// Returns the shard of a request; the restarting node holds shard 0.
     fn shard(self, random: &mut fastrand::Rng) -> u32 {
         match self {
             Self::OneNode | Self::Focused => 0,
@@ -91,24 +92,24 @@
     }
 }
 
-/// Request ids encode the units, which are less than this.
+/// Base of request ids: an id modulo this value is the request's units, which are fewer.
 const ID_BASE: u64 = 16;
 
 /// A scheduler of the fleet.
 struct Member {
     harness: Harness,
-    /// How far its clock is ahead.
+    /// Time by which its clock is ahead, in microseconds.
     skew: Micros,
-    /// When the endpoint list notifies it of the node's start.
+    /// Time at which the endpoint list notifies it of the node's start.
     notified_at: Micros,
 }
 
 /// A request that the node received after its start.
 struct Received {
     at: Micros,
-    /// In requests of mean size.
+    /// Size as a multiple of the mean size.
     work: f64,
-    /// Its scheduler had been notified of the start.
+    /// Whether its scheduler had been notified of the start.
     was_notified: bool,
 }
 
@@ -152,7 +153,7 @@
         harness
     }
 
-    /// How many requests a scheduler gets in the step at that time.
+    /// Returns the number of requests that a scheduler receives in the step at `now`.
     fn request_count(&mut self, now: Micros) -> u32 {
         match self.scenario.load {
             Load::Full => 2,
@@ -164,7 +165,7 @@
     fn request(&mut self) -> Request {
         self.requests += 1;
         let units = self.random.u32(1..=3);
-        // Many volumes of the plan with the highest priority, whose limits allow this much.
+        // Many volumes of the plan with the highest priority, whose limits allow this load.
         let plan = PlanId(self.settings.plans.len() as u16 - 1);
         let volume = VolumeId(self.random.u64(0..200));
         let time_budget = self.settings.classes[0].deadline;
@@ -221,14 +222,14 @@
             let received = |units| Received { at: now, work: units / mean_units, was_notified };
             self.received.extend(sent_units.map(received));
         }
-        // Only the timer that was set last matters later.
+        // Old actions are removed, as only the timer that was set last matters later.
         let excess = harness.actions.len().saturating_sub(200);
         harness.actions.drain(..excess);
     }
 }
 
-/// Requests of mean size within the overload window that the settings allow a node of that age, and never
-/// less than it can always serve.
+/// Returns N, the number of requests of mean size within the overload window that the settings allow for a
+/// node of that age; it is never lower than the number that the node can always serve.
 fn allowed(settings: &Settings, age: Micros) -> f64 {
     let start_fraction = settings.slow_start_fraction;
     let elapsed = (age as f64 / settings.slow_start_duration as f64).min(1.0);
@@ -238,13 +239,13 @@
     units / settings.mean_units
 }
 
-/// What the node received within an overload window.
+/// The load that the node received within an overload window.
 struct Window {
-    /// As a fraction of N + 2 x root of N + 2, with N at the beginning of the window.
+    /// Load as a fraction of N + 2 x root of N + 2, with N at the beginning of the window.
     of_bound: f64,
-    /// As a fraction of N.
+    /// Load as a fraction of N.
     of_allowed: f64,
-    /// The fraction from schedulers that had been notified of the start.
+    /// Fraction of the load from schedulers that had been notified of the start.
     notified_fraction: f64,
 }
 
@@ -267,12 +268,12 @@
     (START..last).step_by(STEP as usize).map(window).collect()
 }
 
-/// The windows of one run.
+/// Results of one run.
 struct Run {
-    /// The largest fraction of the bound, of windows of which over two thirds came from schedulers that had
-    /// been notified of the start.
+    /// Maximum load as a fraction of the bound, over the windows of which more than two thirds of the load
+    /// came from schedulers that had been notified of the start.
     worst_of_bound: f64,
-    /// The mean fraction of N.
+    /// Mean load as a fraction of N.
     mean_of_allowed: f64,
 }
 
@@ -289,15 +290,15 @@
     Run { worst_of_bound: worst, mean_of_allowed: mean }
 }
 
-/// Plays a scenario with each seed.
+/// Runs a scenario with each seed.
 fn play_seeds(text: &str, schedulers: u32, scenario: Scenario) -> Vec<Run> {
     let settings = deployment(text);
     (1..=SEEDS).map(|seed| play(&settings, schedulers, scenario, seed)).collect()
 }
 
-/// Guards against twenty or thirty schedulers that are each careful and together overload a node in slow
-/// start. The rule is broken if over two thirds of what the node received came from schedulers that had been
-/// told of the start.
+/// Guards against twenty or thirty schedulers that each send little and together overload a node in slow
+/// start. The rule is violated if more than two thirds of the load came from schedulers that had been
+/// notified of the start.
 #[rstest]
 fn many_schedulers_keep_a_node_in_slow_start_within_its_bound(
     #[values(PREDIO_NORTE, GRANITE_SHELF)] text: &str,
@@ -309,17 +310,17 @@
     let scenario = Scenario { load, spread, fault };
     for run in play_seeds(text, schedulers, scenario) {
         assert!(run.worst_of_bound <= 1.0, "{} times the bound", run.worst_of_bound);
-        // The test would say nothing about a fleet that sends little.
+        // The test would prove nothing about a fleet that sends little.
         let is_used = load != Load::Full || run.mean_of_allowed > 0.1;
         assert!(is_used, "{} of N in the mean", run.mean_of_allowed);
     }
 }
 
-/// Times the bound at most if all schedulers send to one of many nodes only. The rule is not kept then, as no
-/// scheduler can tell such a node from one that only its own volumes use (docs/acceptance.md); this guards
-/// against decisions that make it worse.
+/// Maximum load as a multiple of the bound if all schedulers send to only one of many nodes. The rule is not
+/// kept in this case, as no scheduler can distinguish such a node from one that only its own volumes use
+/// (docs/acceptance.md); the limit guards against changes that make it worse.
 const MAX_FOCUSED: f64 = 3.2;
-/// The same if every other request is for that node.
+/// Maximum load as a multiple of the bound if every other request is for that node.
 const MAX_SKEWED: f64 = 1.6;
 
 #[test]
--- a/crates/policy/tests/slow_start_total.rs
+++ b/crates/policy/tests/slow_start_total.rs
@@ -1,5 +1,6 @@
-//! Many schedulers and one node in slow start: however many requests they have, what they send together stays
-//! near the node's capacity in the mean, and far from what makes it fail in any window.
+//! Many schedulers and one node in slow start: however many requests they have, the mean of their total load
+//! stays near the node's capacity, and in every window the load stays far below the one at which the node
+//! fails.
 #![cfg(test)]
 
 mod common;
@@ -12,14 +13,14 @@
 const SLOW_START: Micros = 16_000_000;
 const WINDOW: Micros = 1_000_000;
 const STEP: Micros = 20_000;
-/// Maximum difference between the schedulers' clocks.
+/// Maximum difference between the schedulers' clocks, in microseconds.
 const SKEW: Micros = 50_000;
 /// Units that the node can serve within a window when it starts.
 const START_UNITS: f64 = 11.0;
 /// Fraction of its capacity that the node starts with.
 const START_FRACTION: f64 = 0.16;
-/// What the node may be sent within any window, as a multiple of its capacity. It fails at four times what
-/// the settings say it can serve, which is its least capacity.
+/// Maximum load that the node may be sent within any window, as a multiple of its capacity. It fails at four
+/// times the load that it can serve according to the settings, which is its minimum capacity.
 const MAX_LOAD: f64 = 3.0;
 
 fn scheduler_settings(schedulers: u32, scheduler_index: u32, overload_multiple: f64) -> Settings {
@@ -44,14 +45,14 @@
     scheduler
 }
 
-/// Units that were sent, and when.
+/// Units that were sent at a time.
 #[derive(Clone, Copy, Debug)]
 struct Sent {
     at: Micros,
     units: f64,
 }
 
-/// What is sent if every scheduler always has requests for the node.
+/// Returns the units sent to the node if every scheduler always has requests for it.
 fn sent_under_full_load(schedulers: u32, restarts: bool, overload_multiple: f64) -> Vec<Sent> {
     let settings = |index| scheduler_settings(schedulers, index, overload_multiple);
     let mut fleet: Vec<Scheduler> =
@@ -85,21 +86,21 @@
     sent
 }
 
-/// Units that the node can serve within a window, by its age.
+/// Returns the units that the node can serve within a window at an age.
 fn capacity(age: Micros) -> f64 {
     let growth = (1.0 - START_FRACTION) * age as f64 / SLOW_START as f64;
     START_UNITS * (START_FRACTION + growth) / START_FRACTION
 }
 
-/// Checks what is sent against the node's capacity: in any window, and against `max_mean` in the mean.
-/// Returns the units sent in all.
+/// Checks the load sent against the node's capacity: in any window against [`MAX_LOAD`], and in the mean
+/// against `max_mean`. Returns the total of the units sent.
 fn check(schedulers: u32, restarts: bool, overload_multiple: f64, max_mean: f64) -> f64 {
     let sent = sent_under_full_load(schedulers, restarts, overload_multiple);
     let (mut load_sum, mut windows) = (0.0, 0.0);
     for start in (START..START + SLOW_START - WINDOW - SKEW).step_by(100_000) {
         let in_window = sent.iter().filter(|sent| (start..start + WINDOW).contains(&sent.at));
         let units: f64 = in_window.map(|sent| sent.units).sum();
-        // The capacity at the end of the window.
+        // Capacity at the end of the window.
         let capacity = capacity(start - START + WINDOW + SKEW);
         let is_bounded = units <= MAX_LOAD * capacity;
         assert!(is_bounded, "{schedulers} schedulers: {units} units of {capacity} at {}", start - START);
@@ -121,7 +122,7 @@
 }
 
 /// Guards against a large fleet that leaves most of the node idle: if the multiple at which it fails is
-/// known, a part of that is used however many schedulers there are, and no window comes near it.
+/// known, a part of that multiple is used however many schedulers there are, and no window comes near it.
 #[test]
 fn a_part_of_the_overload_multiple_is_used() {
     for schedulers in [1, 30, 300] {
