--- a/crates/policy/src/retry_window/tests.rs
+++ b/crates/policy/src/retry_window/tests.rs
@@ -5,7 +5,7 @@
 const BUDGET: RetryBudget = RetryBudget { free_retries: 0.0, retries_per_request: 0.0, window: 3_000 };
 
 #[test]
-fn the_retry_window_counts_what_a_walk_over_all_times_counts() {
+fn the_retry_window_counts_the_same_as_a_scan_of_all_times() {
     let mut random = fastrand::Rng::with_seed(1);
     let mut window = RetryWindow::default();
     let (mut requests, mut retries): (Vec<Micros>, Vec<Micros>) = (vec![], vec![]);
--- a/crates/policy/src/shard_index/tests.rs
+++ b/crates/policy/src/shard_index/tests.rs
@@ -5,7 +5,7 @@
 use super::*;
 
 #[test]
-fn changes_leave_what_a_new_index_would_hold() {
+fn the_index_equals_a_rebuilt_one_after_every_change() {
     let mut random = fastrand::Rng::with_seed(1);
     let mut index = ShardIndex::default();
     let mut shards_by_node = BTreeMap::new();
--- a/crates/policy/src/slow_start/demand/tests.rs
+++ b/crates/policy/src/slow_start/demand/tests.rs
@@ -34,10 +34,10 @@
 #[test]
 fn the_probability_is_that_of_a_node_being_addressed_within_a_lifetime() {
     for per_lifetime in [5.0, 50.0, 500.0] {
-        let truth = 1.0 - (-per_lifetime / NODES as f64).exp();
+        let expected = 1.0 - (-per_lifetime / NODES as f64).exp();
         let mean = mean_probability(30, per_lifetime);
-        let is_near = (0.85 * truth..1.35 * truth).contains(&mean);
-        assert!(is_near, "{per_lifetime} per lifetime: {mean}, {truth} in truth");
+        let is_near = (0.85 * expected..1.35 * expected).contains(&mean);
+        assert!(is_near, "{per_lifetime} per lifetime: {mean}, expected {expected}");
     }
 }
 
@@ -46,10 +46,10 @@
 #[test]
 fn rare_requests_give_a_low_probability() {
     for (per_lifetime, nodes) in [(4.0, 4.0), (0.1, 2.0)] {
-        let truth = nodes / NODES as f64;
+        let expected = nodes / NODES as f64;
         let mean = mean_probability(100, per_lifetime);
-        let is_near = (0.8 * truth..1.5 * truth).contains(&mean);
-        assert!(is_near, "{per_lifetime} per lifetime: {mean}, {truth} in truth");
+        let is_near = (0.8 * expected..1.5 * expected).contains(&mean);
+        assert!(is_near, "{per_lifetime} per lifetime: {mean}, expected {expected}");
     }
 }
 
@@ -58,12 +58,12 @@
 #[test]
 fn the_probability_is_not_underestimated_right_after_a_start() {
     let mut demand = NodeDemand::default();
-    let truth = 1.0 - (-1.0_f64).exp();
+    let expected = 1.0 - (-1.0_f64).exp();
     // One request every 5 ms, each for another node.
     for request in 0..200 {
         let now = 1_000 + u64::from(request) * 5_000;
         let probability = demand.record(now, NodeId(request), NODES, LIFETIME);
-        assert!(probability > 0.6 * truth, "request {request}: {probability}");
+        assert!(probability > 0.6 * expected, "request {request}: {probability}");
     }
 }
 
@@ -86,6 +86,10 @@
     for request in 0..10_000 {
         demand.record(request * 10_000, NodeId(request as u32), NODES, LIFETIME);
     }
-    let most = (LIFETIME / 10_000) as usize + 1;
-    assert!(demand.recent.len() <= most && demand.latest_requests.len() <= most, "{}", demand.recent.len());
+    let max_nodes = (LIFETIME / 10_000) as usize + 1;
+    assert!(
+        demand.recent.len() <= max_nodes && demand.latest_requests.len() <= max_nodes,
+        "{}",
+        demand.recent.len()
+    );
 }
--- a/crates/policy/src/slow_start/token_bucket/tests.rs
+++ b/crates/policy/src/slow_start/token_bucket/tests.rs
@@ -80,16 +80,16 @@
     sent
 }
 
-fn most_in_a_window(sent: &[u32]) -> u32 {
+fn max_in_a_window(sent: &[u32]) -> u32 {
     sent.windows((WINDOW / STEP) as usize).map(|window| window.iter().sum()).max().unwrap_or_default()
 }
 
 #[test]
-fn whole_tokens_of_any_number_of_schedulers_come_evenly() {
+fn whole_tokens_of_any_number_of_schedulers_are_spread_evenly() {
     for schedulers in [1, 2, 7, 30, 300, 4_500] {
         let sent = sent_under_full_load(&mut fleet(schedulers, |index| index), 5);
-        let (most, sum) = (f64::from(most_in_a_window(&sent)), f64::from(sent.iter().sum::<u32>()));
-        assert!(most <= ALLOWANCE + 2.0, "{schedulers} schedulers: {most} in a window");
+        let (max, sum) = (f64::from(max_in_a_window(&sent)), f64::from(sent.iter().sum::<u32>()));
+        assert!(max <= ALLOWANCE + 2.0, "{schedulers} schedulers: {max} in a window");
         assert!(sum >= 5.0 * ALLOWANCE - 2.0, "{schedulers} schedulers: {sum} in five windows");
     }
 }
@@ -98,7 +98,7 @@
 #[test]
 fn schedulers_with_the_same_starting_level_exceed_the_allowance() {
     let sent = sent_under_full_load(&mut fleet(300, |_| 0), 10);
-    assert!(f64::from(most_in_a_window(&sent)) > 2.0 * ALLOWANCE);
+    assert!(f64::from(max_in_a_window(&sent)) > 2.0 * ALLOWANCE);
 }
 
 /// Guards against tokens that accumulate while there are no requests and are then all used at the same
@@ -112,8 +112,8 @@
             member.on_request(now, 1.0, 0.5);
             sent += member.send_all(now, 1.0);
         }
-        let most = TOKEN_LIFETIME_WINDOWS * ALLOWANCE + 2.0;
-        assert!(f64::from(sent) <= most, "{schedulers} schedulers: {sent} at once");
+        let max = TOKEN_LIFETIME_WINDOWS * ALLOWANCE + 2.0;
+        assert!(f64::from(sent) <= max, "{schedulers} schedulers: {sent} at once");
     }
 }
 
@@ -125,12 +125,12 @@
         let mut random = fastrand::Rng::with_seed(1);
         let mut fleet = fleet(4_500, |index| index);
         let lifetime_steps = TOKEN_LIFETIME_WINDOWS * (WINDOW / STEP) as f64;
-        let in_a_step = 1.0 - (1.0_f64 - probability).powf(1.0 / lifetime_steps);
+        let step_probability = 1.0 - (1.0_f64 - probability).powf(1.0 / lifetime_steps);
         let mut sent = Vec::new();
         for now in (0..20 * WINDOW).step_by(STEP as usize) {
             let mut count = 0;
             for member in &mut fleet {
-                if random.f64() >= in_a_step {
+                if random.f64() >= step_probability {
                     continue;
                 }
                 member.on_request(now, probability, random.f64());
@@ -138,14 +138,14 @@
             }
             sent.push(count);
         }
-        let settled = &sent[sent.len() / 4..];
-        let mean = f64::from(settled.iter().sum::<u32>()) / 15.0;
-        let most = f64::from(most_in_a_window(settled));
-        println!("probability {probability}: {mean:.1} in the mean, {most} at most of {ALLOWANCE}");
+        let steady_state = &sent[sent.len() / 4..];
+        let mean = f64::from(steady_state.iter().sum::<u32>()) / 15.0;
+        let max = f64::from(max_in_a_window(steady_state));
+        println!("probability {probability}: {mean:.1} in the mean, {max} at most of {ALLOWANCE}");
         let is_used = (0.85 * ALLOWANCE..1.1 * ALLOWANCE).contains(&mean);
         assert!(is_used, "probability {probability}: {mean} in a window");
         let bound = ALLOWANCE + 4.0 * ALLOWANCE.sqrt();
-        assert!(most <= bound, "probability {probability}: {most} in a window");
+        assert!(max <= bound, "probability {probability}: {max} in a window");
     }
 }
 
--- a/crates/policy/tests/admission.rs
+++ b/crates/policy/tests/admission.rs
@@ -10,7 +10,7 @@
     let mut settings = settings();
     settings.plans[0].rate_limit = 20.0;
     settings.plans[0].burst = 16.0;
-    for incarnation in 0..2 {
+    for process in 0..2 {
         let mut harness = Harness::with_nodes(settings.clone(), &[1]);
         for id in 0..200 {
             harness.submit(Request { schedulers: 2, ..sample_request(id + 1) });
@@ -20,8 +20,8 @@
         let is_send = |timed: &&TimedAction| matches!(timed.action, Action::Send { .. });
         let sent = 2 * harness.actions.iter().filter(is_send).count();
         // Four seconds at half the rate, without the burst, which an earlier process may already have used.
-        assert!(sent as f64 <= 4.1 * 10.0, "incarnation {incarnation}: {sent} units");
-        assert!(sent >= 30, "incarnation {incarnation}: {sent} units");
+        assert!(sent as f64 <= 4.1 * 10.0, "process {process}: {sent} units");
+        assert!(sent >= 30, "process {process}: {sent} units");
     }
 }
 
@@ -48,8 +48,8 @@
     assert!(sent[0] < 20 && sent[15] > 80, "{sent:?} of 100 schedulers, every 50 ms");
     // The first and the last scheduler send about 200 ms apart: by then, a node that is full again has shown
     // this by its answers.
-    let partly = sent.iter().filter(|count| (5..95).contains(*count)).count();
-    assert!(partly >= 4, "{sent:?} of 100 schedulers, every 50 ms");
+    let partial_steps = sent.iter().filter(|count| (5..95).contains(*count)).count();
+    assert!(partial_steps >= 4, "{sent:?} of 100 schedulers, every 50 ms");
 }
 
 /// Guards against shedding requests for a node without earlier requests because of delays at other nodes: a
--- a/crates/policy/tests/bounded_memory.rs
+++ b/crates/policy/tests/bounded_memory.rs
@@ -10,17 +10,17 @@
 /// Time without use after which an entry is removed, or twice that at most, in microseconds.
 const LOOKBACK: Micros = 30_000_000;
 const STEP: Micros = 20_000;
-const RUN: Micros = 20 * 60 * 1_000_000;
+const RUN_DURATION: Micros = 20 * 60 * 1_000_000;
 /// Number of nodes in service at a time.
-const LISTED: u32 = 8;
+const LISTED_NODES: u32 = 8;
 /// Interval at which a node is replaced under a new id, in microseconds.
 const REPLACEMENT_INTERVAL: Micros = 2_000_000;
 /// Maximum number of requests open at a time: each waits no longer than its latency objective, which is
 /// fifteen steps.
-const OPEN: usize = 16;
+const MAX_OPEN_REQUESTS: usize = 16;
 
 fn entry(node: u32, state: NodeState) -> EndpointEntry {
-    EndpointEntry { shard: ShardId(node % LISTED), state, ..endpoint(node) }
+    EndpointEntry { shard: ShardId(node % LISTED_NODES), state, ..endpoint(node) }
 }
 
 /// Ends every attempt in flight with what `end` returns.
@@ -47,14 +47,14 @@
 impl Run {
     fn new() -> Self {
         let mut harness = Harness::with_seed(settings(), 9);
-        let listed: Vec<u32> = (1..=LISTED).collect();
+        let listed: Vec<u32> = (1..=LISTED_NODES).collect();
         let entries = listed.iter().map(|node| entry(*node, NodeState::Ready)).collect();
         harness.update_endpoints(EndpointUpdateKind::Snapshot, entries);
         Self {
             harness,
             random: fastrand::Rng::with_seed(9),
             listed,
-            newest_node: LISTED,
+            newest_node: LISTED_NODES,
             requests: 0,
             max: EntryCounts::default(),
         }
@@ -77,7 +77,7 @@
         let id = self.requests;
         let class = ClassId(self.random.u16(0..3));
         let (volume, key) = (VolumeId(id), Some(KeyId(id)));
-        let shard = Some(ShardId(self.random.u32(0..LISTED)));
+        let shard = Some(ShardId(self.random.u32(0..LISTED_NODES)));
         self.harness.submit(Request { class, volume, key, shard, ..sample_request(id) });
         let ends = [
             AttemptEnd::Served,
@@ -109,9 +109,9 @@
 }
 
 #[test]
-fn requests_volumes_and_nodes_out_of_use_are_forgotten() {
+fn unused_requests_volumes_and_nodes_are_removed() {
     let mut run = Run::new();
-    for step in 0..RUN / STEP {
+    for step in 0..RUN_DURATION / STEP {
         if step % (REPLACEMENT_INTERVAL / STEP) == 0 {
             run.replace_oldest_node();
         }
@@ -121,9 +121,9 @@
     println!("{requests} ids and volumes, {newest_node} nodes; at most {max:?} at a time");
     let recent = (2 * LOOKBACK / STEP) as usize;
     assert!(max.volumes <= recent + 1, "{} volumes kept", max.volumes);
-    let recent = LISTED as usize + (2 * LOOKBACK / REPLACEMENT_INTERVAL) as usize;
+    let recent = LISTED_NODES as usize + (2 * LOOKBACK / REPLACEMENT_INTERVAL) as usize;
     assert!(max.nodes <= recent + 2, "{} nodes kept", max.nodes);
-    assert!(max.requests <= OPEN, "{} requests kept", max.requests);
+    assert!(max.requests <= MAX_OPEN_REQUESTS, "{} requests kept", max.requests);
     // No more requests arrive, the attempts in flight end, and the lookback time passes.
     for _ in 0..8 {
         end_all(&mut harness, || AttemptEnd::Served);
@@ -131,6 +131,6 @@
         harness.handle(Event::TimerFired { token: 0 });
     }
     let counts = harness.scheduler.entry_counts();
-    let expected = EntryCounts { requests: 0, volumes: 0, nodes: LISTED as usize, timestamps: 0 };
+    let expected = EntryCounts { requests: 0, volumes: 0, nodes: LISTED_NODES as usize, timestamps: 0 };
     assert_eq!(counts, expected);
 }
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -108,7 +108,7 @@
         "stopSendingWithinMs": 1000}}"#;
 
 /// Returns the policy's part of a deployment's settings, given as JSON.
-pub fn deployment(text: &str) -> Settings {
+pub fn deployment_settings(text: &str) -> Settings {
     let json = miniserde::json::from_str(text).expect("JSON");
     settings::Deployment::read(&settings::JsonSource(&json)).expect("valid settings").settings
 }
@@ -179,9 +179,9 @@
     pub actions: Vec<TimedAction>,
     pub in_flight: Vec<InFlight>,
     /// Number of actions before the last event or advance of time.
-    mark: usize,
+    previous_actions: usize,
     /// Token of the timer that fired last.
-    fired: Option<u64>,
+    last_fired: Option<u64>,
     /// Attempts sent for each request.
     attempts: BTreeMap<u64, u32>,
 }
@@ -197,8 +197,8 @@
             now: 1_000_000,
             actions: Vec::new(),
             in_flight: Vec::new(),
-            mark: 0,
-            fired: None,
+            previous_actions: 0,
+            last_fired: None,
             attempts: BTreeMap::new(),
         }
     }
@@ -212,11 +212,11 @@
 
     /// Passes an event to the scheduler.
     pub fn handle(&mut self, event: Event) {
-        self.mark = self.actions.len();
-        self.pass(event);
+        self.previous_actions = self.actions.len();
+        self.dispatch(event);
     }
 
-    fn pass(&mut self, event: Event) {
+    fn dispatch(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.scheduler.handle(self.now, event, &mut actions);
         for action in actions {
@@ -242,7 +242,7 @@
     /// Passes a request to the scheduler. Returns the nodes that it is sent to at once.
     pub fn submit(&mut self, request: Request) -> Vec<NodeId> {
         self.handle(Event::RequestArrived(request));
-        let sent = self.sent_since_mark().filter(|(id, _)| *id == request.id.0);
+        let sent = self.last_sends().filter(|(id, _)| *id == request.id.0);
         sent.map(|(_, node)| node).collect()
     }
 
@@ -280,17 +280,17 @@
     /// Advances the time and fires the timers that become due.
     pub fn advance(&mut self, duration: Micros) {
         let end = self.now + duration;
-        self.mark = self.actions.len();
+        self.previous_actions = self.actions.len();
         loop {
             let next = self.actions.iter().rev().find_map(|timed| match timed.action {
                 Action::SetTimer { token, at } => Some((token, at)),
                 _ => None,
             });
             match next {
-                Some((token, at)) if at <= end && self.fired != Some(token) => {
-                    self.fired = Some(token);
+                Some((token, at)) if at <= end && self.last_fired != Some(token) => {
+                    self.last_fired = Some(token);
                     self.now = self.now.max(at);
-                    self.pass(Event::TimerFired { token });
+                    self.dispatch(Event::TimerFired { token });
                 }
                 _ => break,
             }
@@ -298,8 +298,8 @@
         self.now = end;
     }
 
-    fn sent_since_mark(&self) -> impl Iterator<Item = (u64, NodeId)> + '_ {
-        self.actions[self.mark..].iter().filter_map(|timed| match timed.action {
+    fn last_sends(&self) -> impl Iterator<Item = (u64, NodeId)> + '_ {
+        self.actions[self.previous_actions..].iter().filter_map(|timed| match timed.action {
             Action::Send { request, node, .. } => Some((request.0, node)),
             _ => None,
         })
@@ -307,12 +307,12 @@
 
     /// Returns the requests sent since the last event or advance of time.
     pub fn last_sent_requests(&self) -> Vec<u64> {
-        self.sent_since_mark().map(|(request, _)| request).collect()
+        self.last_sends().map(|(request, _)| request).collect()
     }
 
     /// Returns the nodes that requests were sent to since the last event or advance of time.
     pub fn last_sent_nodes(&self) -> Vec<NodeId> {
-        self.sent_since_mark().map(|(_, node)| node).collect()
+        self.last_sends().map(|(_, node)| node).collect()
     }
 
     /// Returns the number of times a request was shed.
--- a/crates/policy/tests/common/simulated_day.rs
+++ b/crates/policy/tests/common/simulated_day.rs
@@ -34,7 +34,7 @@
 
 /// A scheduled event.
 #[derive(Clone, Debug)]
-enum Upcoming {
+enum ScheduledEvent {
     Request,
     ClientRetry(Request),
     AttemptEnd { request: u64, attempt: u32 },
@@ -51,9 +51,9 @@
 }
 
 /// The end of an attempt and its time, drawn when the attempt starts.
-struct Course {
+struct PlannedEnd {
     end: AttemptEnd,
-    done_at: Micros,
+    ends_at: Micros,
 }
 
 /// A simulation of the clients, nodes and discovery around one scheduler.
@@ -64,13 +64,13 @@
     pub now: Micros,
     /// Times and numbers of the scheduled events.
     queue: BinaryHeap<Reverse<(Micros, u64)>>,
-    upcoming: BTreeMap<u64, Upcoming>,
-    scheduled: u64,
+    scheduled_events: BTreeMap<u64, ScheduledEvent>,
+    schedule_count: u64,
     requests: BTreeMap<u64, Request>,
     attempts: BTreeMap<(u64, u32), Attempt>,
-    sends: BTreeMap<u64, u32>,
+    attempt_counts: BTreeMap<u64, u32>,
     /// Time at which each node will have completed its accepted requests.
-    free_at: BTreeMap<NodeId, Micros>,
+    idle_at: BTreeMap<NodeId, Micros>,
     endpoints: BTreeMap<NodeId, EndpointEntry>,
     next_id: u64,
     next_node: u32,
@@ -84,12 +84,12 @@
             scheduler,
             now: START,
             queue: BinaryHeap::new(),
-            upcoming: BTreeMap::new(),
-            scheduled: 0,
+            scheduled_events: BTreeMap::new(),
+            schedule_count: 0,
             requests: BTreeMap::new(),
             attempts: BTreeMap::new(),
-            sends: BTreeMap::new(),
-            free_at: BTreeMap::new(),
+            attempt_counts: BTreeMap::new(),
+            idle_at: BTreeMap::new(),
             endpoints: BTreeMap::new(),
             next_id: 0,
             next_node: plan.nodes,
@@ -100,8 +100,8 @@
             let started_at = is_starting.then_some(START - day.random.u64(0..SECOND));
             day.add_endpoint(NodeId(number), ShardId(number), started_at);
         }
-        day.schedule(START, Upcoming::Request);
-        day.schedule(START + SECOND, Upcoming::EndpointUpdate);
+        day.schedule(START, ScheduledEvent::Request);
+        day.schedule(START + SECOND, ScheduledEvent::EndpointUpdate);
         day
     }
 
@@ -112,7 +112,7 @@
     }
 
     /// Runs the day; `observe` receives the number of each event, the time and each action.
-    pub fn play(&mut self, mut observe: impl FnMut(usize, Micros, &Action)) {
+    pub fn run(&mut self, mut observe: impl FnMut(usize, Micros, &Action)) {
         let entries = self.endpoints.values().copied().collect();
         let mut event = Event::EndpointUpdate { kind: EndpointUpdateKind::Cached, entries };
         for number in 0..self.plan.events {
@@ -126,10 +126,10 @@
         }
     }
 
-    fn schedule(&mut self, at: Micros, upcoming: Upcoming) {
-        self.scheduled += 1;
-        self.upcoming.insert(self.scheduled, upcoming);
-        self.queue.push(Reverse((at.max(self.now), self.scheduled)));
+    fn schedule(&mut self, at: Micros, scheduled_event: ScheduledEvent) {
+        self.schedule_count += 1;
+        self.scheduled_events.insert(self.schedule_count, scheduled_event);
+        self.queue.push(Reverse((at.max(self.now), self.schedule_count)));
     }
 
     /// Performs an action of the scheduler.
@@ -138,37 +138,37 @@
             Action::Send { request, node, timeout } => self.start_attempt(request.0, node, timeout),
             Action::Shed { request, retry_after } => self.on_shed(request.0, retry_after),
             Action::Fail { request } => drop(self.requests.remove(&request.0)),
-            Action::SetTimer { token, at } => self.schedule(at, Upcoming::Timer(token)),
-            Action::Subscribe => self.schedule(self.now + 5_000, Upcoming::EndpointUpdate),
+            Action::SetTimer { token, at } => self.schedule(at, ScheduledEvent::Timer(token)),
+            Action::Subscribe => self.schedule(self.now + 5_000, ScheduledEvent::EndpointUpdate),
             Action::Log { .. } => {}
         }
     }
 
     fn start_attempt(&mut self, request: u64, node: NodeId, timeout: Option<Micros>) {
-        let Course { end, done_at } = self.attempt_course(request, node, timeout.unwrap_or(3 * SECOND));
-        let attempts = self.sends.entry(request).or_default();
+        let PlannedEnd { end, ends_at } = self.draw_attempt_end(request, node, timeout.unwrap_or(3 * SECOND));
+        let attempts = self.attempt_counts.entry(request).or_default();
         let attempt = *attempts;
         *attempts += 1;
         self.attempts.insert((request, attempt), Attempt { node, sent_at: self.now, end });
         if end == AttemptEnd::Served && self.random.u32(0..50) == 0 {
-            self.schedule(self.now + (done_at - self.now) / 2, Upcoming::Stream(request));
+            self.schedule(self.now + (ends_at - self.now) / 2, ScheduledEvent::Stream(request));
         }
-        self.schedule(done_at, Upcoming::AttemptEnd { request, attempt });
+        self.schedule(ends_at, ScheduledEvent::AttemptEnd { request, attempt });
     }
 
-    fn attempt_course(&mut self, request: u64, node: NodeId, timeout: Micros) -> Course {
+    fn draw_attempt_end(&mut self, request: u64, node: NodeId, timeout: Micros) -> PlannedEnd {
         let latency_objective = self.plan.settings.classes[0].latency_objective;
         let units = self.requests.get(&request).map_or(1, |request| request.units);
         let unit_time = latency_objective / 40;
         let service = (u64::from(units) * unit_time) as f64 * (0.3 + 1.4 * self.random.f64());
-        let start = self.free_at.get(&node).copied().unwrap_or(0).max(self.now);
-        let mut done_at = start + service as Micros;
+        let start = self.idle_at.get(&node).copied().unwrap_or(0).max(self.now);
+        let mut ends_at = start + service as Micros;
         let (mut end, draw) = (AttemptEnd::Served, self.random.u32(0..1_000));
         let queueing = start - self.now;
         // At any time, one node in sixteen is faulty, for ten seconds at a time.
         let is_faulty = (self.now / (10 * SECOND) + u64::from(node.0)).is_multiple_of(16);
         if queueing > 3 * latency_objective {
-            (end, done_at) = (AttemptEnd::Rejected, self.now + 500);
+            (end, ends_at) = (AttemptEnd::Rejected, self.now + 500);
         } else if is_faulty && draw < 300 || draw < 20 {
             let ends = [
                 AttemptEnd::Error,
@@ -179,14 +179,14 @@
                 AttemptEnd::NotSent,
             ];
             end = ends[self.random.usize(0..ends.len())];
-            done_at = self.now + self.random.u64(500..20_000);
+            ends_at = self.now + self.random.u64(500..20_000);
         } else {
-            self.free_at.insert(node, done_at);
+            self.idle_at.insert(node, ends_at);
         }
-        if end == AttemptEnd::TimedOut || done_at - self.now > timeout {
-            (end, done_at) = (AttemptEnd::TimedOut, self.now + timeout);
+        if end == AttemptEnd::TimedOut || ends_at - self.now > timeout {
+            (end, ends_at) = (AttemptEnd::TimedOut, self.now + timeout);
         }
-        Course { end, done_at }
+        PlannedEnd { end, ends_at }
     }
 
     /// Half of the clients with enough time left retry after the Retry-After time.
@@ -201,54 +201,54 @@
                 is_client_retry: true,
                 ..request
             };
-            self.schedule(self.now + after, Upcoming::ClientRetry(retry));
+            self.schedule(self.now + after, ScheduledEvent::ClientRetry(retry));
         }
     }
 
     fn next_event(&mut self) -> Event {
         loop {
-            let Reverse((at, number)) = self.queue.pop().expect("requests go on");
+            let Reverse((at, number)) = self.queue.pop().expect("the next request is always scheduled");
             self.now = self.now.max(at);
-            let upcoming = self.upcoming.remove(&number).expect("scheduled once");
-            if let Some(event) = self.event(upcoming) {
+            let scheduled_event = self.scheduled_events.remove(&number).expect("scheduled once");
+            if let Some(event) = self.to_event(scheduled_event) {
                 return event;
             }
         }
     }
 
-    fn event(&mut self, upcoming: Upcoming) -> Option<Event> {
-        match upcoming {
-            Upcoming::Request => Some(self.request()),
-            Upcoming::ClientRetry(request) => {
+    fn to_event(&mut self, scheduled_event: ScheduledEvent) -> Option<Event> {
+        match scheduled_event {
+            ScheduledEvent::Request => Some(self.next_request()),
+            ScheduledEvent::ClientRetry(request) => {
                 self.requests.insert(request.id.0, request);
                 Some(Event::RequestArrived(request))
             }
-            Upcoming::AttemptEnd { request, attempt } => self.attempt_end(request, attempt),
-            Upcoming::Stream(request) => {
+            ScheduledEvent::AttemptEnd { request, attempt } => self.attempt_end(request, attempt),
+            ScheduledEvent::Stream(request) => {
                 self.requests.get(&request)?;
                 Some(Event::StreamStarted { request: RequestId(request) })
             }
-            Upcoming::Disconnect(request) => {
+            ScheduledEvent::Disconnect(request) => {
                 self.requests.remove(&request)?;
                 Some(Event::ClientDisconnected { request: RequestId(request) })
             }
-            Upcoming::Timer(token) => Some(Event::TimerFired { token }),
-            Upcoming::EndpointUpdate => Some(self.endpoint_update()),
+            ScheduledEvent::Timer(token) => Some(Event::TimerFired { token }),
+            ScheduledEvent::EndpointUpdate => Some(self.endpoint_update()),
         }
     }
 
-    fn request(&mut self) -> Event {
+    fn next_request(&mut self) -> Event {
         // The last ten of every forty seconds are a surge.
         let is_surge = (self.now - START) % (40 * SECOND) > 30 * SECOND;
         let rate = self.plan.rate * if is_surge { 4.0 } else { 1.0 };
-        let pause = -(1.0 - self.random.f64()).ln() / rate * 1e6;
-        self.schedule(self.now + pause as Micros, Upcoming::Request);
+        let interval = -(1.0 - self.random.f64()).ln() / rate * 1e6;
+        self.schedule(self.now + interval as Micros, ScheduledEvent::Request);
         self.next_id += 1;
         let request = self.draw_request(self.next_id);
         self.requests.insert(self.next_id, request);
         if self.random.u32(0..40) == 0 {
             let at = self.now + self.random.u64(1_000..300_000);
-            self.schedule(at, Upcoming::Disconnect(self.next_id));
+            self.schedule(at, ScheduledEvent::Disconnect(self.next_id));
         }
         Event::RequestArrived(request)
     }
@@ -288,13 +288,13 @@
 
     fn attempt_end(&mut self, request: u64, attempt: u32) -> Option<Event> {
         let Attempt { node, sent_at, end } = self.attempts.remove(&(request, attempt))?;
-        let is_gone = !self.requests.contains_key(&request);
-        let request_closed = is_gone || end == AttemptEnd::Served;
+        let is_closed = !self.requests.contains_key(&request);
+        let request_closed = is_closed || end == AttemptEnd::Served;
         if request_closed {
             self.requests.remove(&request);
-            self.sends.remove(&request);
+            self.attempt_counts.remove(&request);
         }
-        let is_cancelled = is_gone && end == AttemptEnd::TimedOut;
+        let is_cancelled = is_closed && end == AttemptEnd::TimedOut;
         let has_usage = self.random.u32(0..3) == 0;
         Some(Event::AttemptEnded(AttemptOutcome {
             request: RequestId(request),
@@ -313,7 +313,7 @@
     /// times a snapshot, or a failed update.
     fn endpoint_update(&mut self) -> Event {
         let at = self.now + self.random.u64(SECOND..4 * SECOND);
-        self.schedule(at, Upcoming::EndpointUpdate);
+        self.schedule(at, ScheduledEvent::EndpointUpdate);
         let mut changed = Vec::new();
         for _ in 0..self.random.u32(0..3) {
             self.change_endpoint(&mut changed);
--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -45,7 +45,7 @@
 
 /// The end of an attempt.
 #[derive(Clone, Copy, Debug)]
-struct Ending {
+struct SimulatedEnd {
     end: AttemptEnd,
     latency: Micros,
 }
@@ -95,7 +95,12 @@
 
     /// Runs one step in which each source has a request with a probability. Returns the requests that were
     /// sent. Each attempt ends at once as `ending` returns for its scheduler and shard.
-    fn step(&mut self, now: Micros, probability: f64, ending: impl Fn(usize, u32) -> Ending) -> Vec<Sent> {
+    fn step(
+        &mut self,
+        now: Micros,
+        probability: f64,
+        simulated_end: impl Fn(usize, u32) -> SimulatedEnd,
+    ) -> Vec<Sent> {
         let (mut sent, mut actions) = (Vec::new(), Vec::new());
         for index in 0..self.sources.len() {
             let Source { scheduler, volume, shard } = self.sources[index];
@@ -104,7 +109,7 @@
             }
             self.next_id += 1;
             let units = self.random.u32(1..=3);
-            let Ending { end, latency } = ending(scheduler, shard);
+            let SimulatedEnd { end, latency } = simulated_end(scheduler, shard);
             let (volume, shard_id) = (VolumeId(volume), Some(ShardId(shard)));
             let request =
                 Request { units, volume, shard: shard_id, schedulers: 2, ..sample_request(self.next_id) };
@@ -128,8 +133,8 @@
     }
 }
 
-fn served_fast(_: usize, _: u32) -> Ending {
-    Ending { end: AttemptEnd::Served, latency: 10_000 }
+fn served_fast(_: usize, _: u32) -> SimulatedEnd {
+    SimulatedEnd { end: AttemptEnd::Served, latency: 10_000 }
 }
 
 /// Returns a fleet that has run until [`START`].
@@ -186,7 +191,7 @@
 /// Guards against parts of the allowance so small, or tokens so rare, that nodes with capacity are idle; and
 /// against a total load above the limit if many schedulers have more than enough requests.
 #[test]
-fn a_hundred_schedulers_use_nodes_in_slow_start_and_overload_none() {
+fn a_hundred_schedulers_use_nodes_in_slow_start_without_overloading_any() {
     for seed in [1, 2, 3] {
         let Loads { max, mean } = loads(&start_nodes(seed, 0.05));
         println!("seed {seed}: at most {max:.2}, in the mean {mean:.2} of a node's capacity");
@@ -202,7 +207,7 @@
     let mut fleet = running_fleet(4, 0.02);
     let no_connection = |_: usize, shard: u32| {
         if shard == 0 {
-            Ending { end: AttemptEnd::NotConnected, latency: 300 }
+            SimulatedEnd { end: AttemptEnd::NotConnected, latency: 300 }
         } else {
             served_fast(0, 0)
         }
@@ -212,20 +217,20 @@
     }
     let of_node = fleet.sources.iter().filter(|source| source.shard == 0);
     let with_requests: BTreeSet<_> = of_node.map(|source| source.scheduler).collect();
-    let (mut back, mut units) = (BTreeSet::new(), 0.0);
+    let (mut recovered, mut units) = (BTreeSet::new(), 0.0);
     let restart = START + 3_000_000;
     for step in 0..8_000_000 / STEP {
         let sent = fleet.step(restart + step * STEP, 0.02, served_fast);
         for sent in sent.into_iter().filter(|sent| sent.shard == 0) {
-            back.insert(sent.scheduler);
+            recovered.insert(sent.scheduler);
             // As far as these schedulers know, the node has just started.
             units += if step < WINDOW / STEP { sent.units } else { 0.0 };
         }
     }
-    let (back, all) = (back.len(), with_requests.len());
-    println!("{back} of {all} schedulers back, {units} units in the first window");
+    let (recovered, all) = (recovered.len(), with_requests.len());
+    println!("{recovered} of {all} schedulers recovered, {units} units in the first window");
     // The observed time is four windows, in each of which the node can serve twelve requests.
-    assert!(back * 10 >= all * 8, "{back} of {all} schedulers back");
+    assert!(recovered * 10 >= all * 8, "{recovered} of {all} schedulers recovered");
     assert!(units < OVERLOAD_MULTIPLE * START_UNITS, "{units} units at once on a node that may be starting");
 }
 
@@ -237,12 +242,12 @@
 }
 
 impl Counts {
-    fn add(&mut self, is_slow_node: bool, is_of_few: bool) {
-        self.counts[usize::from(is_slow_node)][usize::from(is_of_few)] += 1.0;
+    fn add(&mut self, is_slow_node: bool, is_affected: bool) {
+        self.counts[usize::from(is_slow_node)][usize::from(is_affected)] += 1.0;
     }
 
-    fn get(&self, is_slow_node: bool, is_of_few: bool) -> f64 {
-        self.counts[usize::from(is_slow_node)][usize::from(is_of_few)]
+    fn get(&self, is_slow_node: bool, is_affected: bool) -> f64 {
+        self.counts[usize::from(is_slow_node)][usize::from(is_affected)]
     }
 }
 
@@ -250,27 +255,33 @@
 #[test]
 fn a_node_that_is_slow_for_a_few_schedulers_is_used_by_the_others() {
     let mut fleet = running_fleet(5, 0.02);
-    let is_of_few = |scheduler: usize| scheduler < SCHEDULERS as usize / 10;
-    let slow_for_few = move |scheduler: usize, shard: u32| {
-        if shard == 0 && is_of_few(scheduler) {
-            Ending { end: AttemptEnd::Served, latency: 700_000 }
+    let is_affected = |scheduler: usize| scheduler < SCHEDULERS as usize / 10;
+    let slow_for_affected = move |scheduler: usize, shard: u32| {
+        if shard == 0 && is_affected(scheduler) {
+            SimulatedEnd { end: AttemptEnd::Served, latency: 700_000 }
         } else {
             served_fast(0, 0)
         }
     };
     let (mut sources, mut sent) = (Counts::default(), Counts::default());
     for source in &fleet.sources {
-        sources.add(source.shard == 0, is_of_few(source.scheduler));
+        sources.add(source.shard == 0, is_affected(source.scheduler));
     }
     for step in 0..6_000_000 / STEP {
-        for request in fleet.step(START + step * STEP, 0.02, slow_for_few) {
-            sent.add(request.shard == 0, is_of_few(request.scheduler));
+        for request in fleet.step(START + step * STEP, 0.02, slow_for_affected) {
+            sent.add(request.shard == 0, is_affected(request.scheduler));
         }
     }
-    let per_source = |slow: bool, few: bool| sent.get(slow, few) / sources.get(slow, few);
+    let per_source = |slow: bool, affected: bool| sent.get(slow, affected) / sources.get(slow, affected);
     println!("sends for each source: {sent:?} of {sources:?}");
     let (others, others_elsewhere) = (per_source(true, false), per_source(false, false));
-    assert!(others > 0.8 * others_elsewhere, "others at the slow node: {others} of {others_elsewhere}");
-    let (few, few_elsewhere) = (per_source(true, true), per_source(false, true));
-    assert!(few < 0.8 * few_elsewhere, "the few there: {few} of {few_elsewhere}");
+    assert!(
+        others > 0.8 * others_elsewhere,
+        "other schedulers at the slow node: {others} of {others_elsewhere}"
+    );
+    let (affected, affected_elsewhere) = (per_source(true, true), per_source(false, true));
+    assert!(
+        affected < 0.8 * affected_elsewhere,
+        "affected schedulers at the slow node: {affected} of {affected_elsewhere}"
+    );
 }
--- a/crates/policy/tests/invariants.rs
+++ b/crates/policy/tests/invariants.rs
@@ -5,7 +5,7 @@
 mod common;
 use std::collections::{BTreeMap, BTreeSet};
 
-use common::{deployment, endpoint, served, settings_with_every_rule, GRANITE_SHELF, PREDIO_NORTE};
+use common::{deployment_settings, endpoint, served, settings_with_every_rule, GRANITE_SHELF, PREDIO_NORTE};
 use heathward_policy::*;
 use rstest::rstest;
 
@@ -25,7 +25,7 @@
 }
 
 /// A request as seen by its client and the nodes.
-struct Observed {
+struct ObservedRequest {
     deadline: Micros,
     class: ClassSettings,
     limited: Option<LimitedVolume>,
@@ -53,41 +53,41 @@
 }
 
 /// A simulation of the clients and nodes around one scheduler, which checks every action.
-struct World {
+struct Simulation {
     settings: Settings,
     scheduler: Scheduler,
     random: fastrand::Rng,
     now: Micros,
-    requests: BTreeMap<u64, Observed>,
+    requests: BTreeMap<u64, ObservedRequest>,
     keys: BTreeMap<KeyId, KeyOrder>,
     arrivals: Vec<Micros>,
     retries: Vec<Micros>,
     timers: BTreeSet<Timer>,
     ready: BTreeMap<NodeId, bool>,
     /// Units sent for each volume with a rate limit.
-    spent: BTreeMap<LimitedVolume, f64>,
+    sent_units: BTreeMap<LimitedVolume, f64>,
     sent: u64,
 }
 
 /// The settings that a run uses.
 #[derive(Clone, Copy, Debug)]
-enum Of {
+enum TestSettings {
     EveryRule,
     PredioNorte,
     GraniteShelf,
 }
 
-impl Of {
+impl TestSettings {
     fn settings(self) -> Settings {
         match self {
             Self::EveryRule => Settings { slow_start_units: 80.0, ..settings_with_every_rule() },
-            Self::PredioNorte => deployment(PREDIO_NORTE),
-            Self::GraniteShelf => deployment(GRANITE_SHELF),
+            Self::PredioNorte => deployment_settings(PREDIO_NORTE),
+            Self::GraniteShelf => deployment_settings(GRANITE_SHELF),
         }
     }
 }
 
-impl World {
+impl Simulation {
     fn new(settings: Settings, seed: u64) -> Self {
         Self {
             scheduler: Scheduler::new(settings.clone(), seed).expect("valid settings"),
@@ -100,7 +100,7 @@
             retries: Vec::new(),
             timers: BTreeSet::new(),
             ready: BTreeMap::new(),
-            spent: BTreeMap::new(),
+            sent_units: BTreeMap::new(),
             sent: 0,
         }
     }
@@ -129,10 +129,10 @@
     fn on_send(&mut self, id: u64, node: NodeId) {
         self.sent += 1;
         assert_eq!(self.ready.get(&node), Some(&true), "sent to a node that is not in service");
-        let request = self.requests.get_mut(&id).expect("sent what never arrived");
-        assert!(!request.is_ended, "sent after its end");
+        let request = self.requests.get_mut(&id).expect("sent an unknown request");
+        assert!(!request.is_ended, "sent after its final answer");
         assert!(self.now < request.deadline, "sent after its deadline");
-        assert!(request.in_flight.is_empty(), "two at once");
+        assert!(request.in_flight.is_empty(), "a second attempt in flight");
         if let Some(first) = request.possible_execution {
             match request.class.idempotency {
                 Idempotency::Idempotent => {}
@@ -143,7 +143,7 @@
                 Idempotency::NotIdempotent => panic!("a request that may have been executed was sent again"),
             }
         }
-        assert!(request.sends < self.settings.max_attempts, "{} attempts before", request.sends);
+        assert!(request.sends < self.settings.max_attempts, "{} attempts were sent before", request.sends);
         if let (true, Some(budget)) = (request.sends > 0, self.settings.retry_budget) {
             self.retries.push(self.now);
             let since = self.now.saturating_sub(budget.window);
@@ -152,7 +152,7 @@
             assert!(count(&self.retries) <= allowed);
         }
         if let (Some(volume), 0) = (request.limited, request.sends) {
-            *self.spent.entry(volume).or_default() += request.units;
+            *self.sent_units.entry(volume).or_default() += request.units;
         }
         request.in_flight.push(Attempt { number: request.sends, node, sent_at: self.now });
         request.sends += 1;
@@ -167,18 +167,18 @@
             let other = &self.requests[other];
             !other.is_ended || !other.in_flight.is_empty()
         });
-        assert_eq!(first, Some(&id), "out of turn");
+        assert_eq!(first, Some(&id), "executed out of order");
         let is_retry = self.requests[&id].sends > 1;
         assert!(is_retry || order.paused_until <= self.now, "the key is still paused");
     }
 
     fn on_answer(&mut self, id: u64, is_shed: bool) {
-        let request = self.requests.get_mut(&id).expect("answered what never arrived");
+        let request = self.requests.get_mut(&id).expect("answered an unknown request");
         assert!(!request.is_ended, "answered twice");
         assert!(self.now <= request.deadline, "answered late");
         if is_shed && request.class.idempotency != Idempotency::Idempotent {
             let is_untouched = request.in_flight.is_empty() && request.possible_execution.is_none();
-            assert!(is_untouched, "shed what may have been executed");
+            assert!(is_untouched, "shed a request that may have been executed");
         }
         request.is_ended = true;
         request.answers += 1;
@@ -207,7 +207,7 @@
             is_streaming: false,
         };
         let is_limited = self.settings.plans[plan.0 as usize].rate_limit > 0.0;
-        let observed = Observed {
+        let observed = ObservedRequest {
             deadline: self.now + time_budget,
             class,
             limited: is_limited.then_some(LimitedVolume { volume, plan }),
@@ -228,8 +228,9 @@
     }
 
     /// Returns the requests with an attempt in flight that fulfil a condition.
-    fn in_flight(&self, condition: impl Fn(&Observed) -> bool) -> Vec<u64> {
-        let matching = self.requests.iter().filter(|(_, r)| !r.in_flight.is_empty() && condition(r));
+    fn in_flight(&self, condition: impl Fn(&ObservedRequest) -> bool) -> Vec<u64> {
+        let matching =
+            self.requests.iter().filter(|(_, request)| !request.in_flight.is_empty() && condition(request));
         matching.map(|(id, _)| *id).collect()
     }
 
@@ -250,8 +251,9 @@
     fn end_attempt(&mut self, id: u64, end: AttemptEnd) {
         let request = self.requests.get_mut(&id).expect("known");
         let attempt = request.in_flight.remove(0);
-        let may_have_run = matches!(end, AttemptEnd::Error | AttemptEnd::TimedOut | AttemptEnd::Reset);
-        if may_have_run && request.possible_execution.is_none() {
+        let is_possibly_executed =
+            matches!(end, AttemptEnd::Error | AttemptEnd::TimedOut | AttemptEnd::Reset);
+        if is_possibly_executed && request.possible_execution.is_none() {
             request.possible_execution = Some(attempt);
         }
         if matches!(end, AttemptEnd::TimedOut | AttemptEnd::Reset) {
@@ -323,51 +325,58 @@
     }
 
     fn check_rate_limits(&self, elapsed_seconds: f64) {
-        for (LimitedVolume { volume, plan }, spent) in &self.spent {
+        for (LimitedVolume { volume, plan }, sent_units) in &self.sent_units {
             let PlanSettings { rate_limit, burst, .. } = self.settings.plans[plan.0 as usize];
-            let is_within = *spent <= burst + rate_limit * elapsed_seconds;
-            assert!(is_within, "limit of {volume:?} exceeded: {spent} units in {elapsed_seconds} s");
+            let is_within = *sent_units <= burst + rate_limit * elapsed_seconds;
+            assert!(is_within, "limit of {volume:?} exceeded: {sent_units} units in {elapsed_seconds} s");
         }
-        let mean = self.spent.values().sum::<f64>() / self.spent.len().max(1) as f64;
-        let is_near = 2.0 * mean > elapsed_seconds || self.spent.is_empty();
-        assert!(is_near, "limits were never near: {mean} units a volume in {elapsed_seconds} s");
+        let mean = self.sent_units.values().sum::<f64>() / self.sent_units.len().max(1) as f64;
+        let is_near_limit = 2.0 * mean > elapsed_seconds || self.sent_units.is_empty();
+        assert!(is_near_limit, "limits were never approached: {mean} units a volume in {elapsed_seconds} s");
     }
 }
 
-fn play(of: Of, seed: u64) -> World {
-    let mut world = World::new(of.settings(), seed);
+fn run_simulation(test_settings: TestSettings, seed: u64) -> Simulation {
+    let mut simulation = Simulation::new(test_settings.settings(), seed);
     let entries: Vec<EndpointEntry> = (0..4).map(endpoint).collect();
-    world.ready.extend(entries.iter().map(|entry| (entry.node, true)));
-    world.handle(Event::EndpointUpdate { kind: EndpointUpdateKind::Cached, entries });
-    let start = world.now;
+    simulation.ready.extend(entries.iter().map(|entry| (entry.node, true)));
+    simulation.handle(Event::EndpointUpdate { kind: EndpointUpdateKind::Cached, entries });
+    let start = simulation.now;
     for step in 0..3_000u64 {
-        let until = world.now + world.random.u64(0..8_000);
-        world.advance(until);
-        match world.random.u32(0..10) {
-            0..=4 if step < 2_500 => world.submit(step + 1),
-            5 if world.random.u32(0..20) == 0 => world.change_random_node(),
-            _ => world.end_random_attempt(),
+        let until = simulation.now + simulation.random.u64(0..8_000);
+        simulation.advance(until);
+        match simulation.random.u32(0..10) {
+            0..=4 if step < 2_500 => simulation.submit(step + 1),
+            5 if simulation.random.u32(0..20) == 0 => simulation.change_random_node(),
+            _ => simulation.end_random_attempt(),
         }
     }
-    world.finish();
-    world.check_rate_limits((world.now - start) as f64 / 1e6);
-    world
+    simulation.finish();
+    simulation.check_rate_limits((simulation.now - start) as f64 / 1e6);
+    simulation
 }
 
 #[rstest]
-fn the_rules_hold_whatever_happens(
-    #[values(Of::EveryRule, Of::PredioNorte, Of::GraniteShelf)] of: Of,
+fn the_rules_hold_for_random_events(
+    #[values(TestSettings::EveryRule, TestSettings::PredioNorte, TestSettings::GraniteShelf)]
+    test_settings: TestSettings,
     #[values(1, 2, 3, 4, 5)] seed: u64,
 ) {
-    let world = play(of, seed);
-    assert!(world.sent > 100, "{of:?}, seed {seed}: almost nothing was sent");
-    for (id, request) in &world.requests {
-        assert_eq!(request.answers, 1, "{of:?}, seed {seed}: answers of request {id}");
+    let simulation = run_simulation(test_settings, seed);
+    assert!(simulation.sent > 100, "{test_settings:?}, seed {seed}: almost no requests were sent");
+    for (id, request) in &simulation.requests {
+        assert_eq!(request.answers, 1, "{test_settings:?}, seed {seed}: answers of request {id}");
     }
 }
 
 #[test]
 fn the_same_events_give_the_same_actions() {
-    assert_eq!(play(Of::EveryRule, 3).sent, play(Of::EveryRule, 3).sent);
-    assert_eq!(play(Of::EveryRule, 4).retries, play(Of::EveryRule, 4).retries);
+    assert_eq!(
+        run_simulation(TestSettings::EveryRule, 3).sent,
+        run_simulation(TestSettings::EveryRule, 3).sent
+    );
+    assert_eq!(
+        run_simulation(TestSettings::EveryRule, 4).retries,
+        run_simulation(TestSettings::EveryRule, 4).retries
+    );
 }
--- a/crates/policy/tests/node_health.rs
+++ b/crates/policy/tests/node_health.rs
@@ -26,7 +26,7 @@
 
 /// Guards against counting the latency of a single hanging attempt as the queueing delay of the node.
 #[test]
-fn one_attempt_that_hangs_tells_no_queueing_delay() {
+fn a_single_hanging_attempt_is_not_counted_as_queueing_delay() {
     for (hanging, shed) in [(1, 0), (2, 1)] {
         let mut harness = Harness::with_nodes(settings_without_quota(), &[1]);
         harness.advance(5_000_000);
@@ -43,7 +43,7 @@
             harness.end_attempt(id, 0, 1, AttemptEnd::TimedOut, false, 900_000);
         }
         harness.submit(request(9));
-        assert_eq!(harness.shed_count(9), shed, "after {hanging} that hang");
+        assert_eq!(harness.shed_count(9), shed, "after {hanging} hanging attempts");
     }
 }
 
@@ -62,7 +62,11 @@
             harness.end_attempt(2, attempt, 1, AttemptEnd::Reset, false, 1_000);
             harness.advance(20_000);
             let retry = InFlight { request: 2, attempt: attempt + 1, node: 1 };
-            assert_eq!(harness.in_flight, [retry], "a broken connection is no answer: there is a retry");
+            assert_eq!(
+                harness.in_flight,
+                [retry],
+                "a broken connection is not an answer: the request is retried"
+            );
         }
         harness.end_attempt(2, 2, 1, AttemptEnd::Served, true, SLOW_START_LATENCY);
         // Far more requests than a node in slow start can serve.
@@ -98,17 +102,17 @@
 fn a_node_is_unresponsive_after_three_timeouts_in_a_row_and_not_after_one() {
     // In the last case, three attempts time out together in a pause shorter than 7 periods, which proves
     // nothing.
-    for (lost, timeout, has_full_capacity) in
+    for (timed_out, timeout, has_full_capacity) in
         [(1, 1_300_000, true), (3, 1_300_000, false), (3, 600_000, true)]
     {
         let settings = Settings { slow_start_units: 4.0, ..settings() };
         let mut harness = Harness::with_nodes(settings, &[1]);
         harness.advance(1_000);
-        for id in 1..=lost {
+        for id in 1..=timed_out {
             harness.submit(Request { time_budget: 2_000_000, ..sample_request(id) });
         }
         harness.advance(timeout);
-        for id in 1..=lost {
+        for id in 1..=timed_out {
             harness.end_attempt(id, 0, 1, AttemptEnd::TimedOut, false, timeout);
         }
         harness.advance(3_000_000);
@@ -121,12 +125,12 @@
         }
         // A node in slow start is sent four units in a window, the rest of the window before, and the excess
         // of one request.
-        let is_more = sent > 8;
+        let is_above_slow_start = sent > 8;
         assert_eq!(
-            is_more, has_full_capacity,
-            "{lost} timed out after {timeout}: {sent} units in the window"
+            is_above_slow_start, has_full_capacity,
+            "{timed_out} timed out after {timeout}: {sent} units in the window"
         );
-        assert!(sent > 0, "{lost} timed out after {timeout}: {sent} units");
+        assert!(sent > 0, "{timed_out} timed out after {timeout}: {sent} units");
     }
 }
 
@@ -152,7 +156,7 @@
 
 /// Guards against a zone that is cut off and whose timeouts make the nodes of all other zones appear full.
 #[test]
-fn unresponsive_nodes_tell_no_delay_of_other_nodes() {
+fn timeouts_at_unresponsive_nodes_do_not_raise_the_delay_of_other_nodes() {
     let mut harness = Harness::with_nodes(settings_without_quota(), &(1..=14).collect::<Vec<_>>());
     let (mut id, mut sent_to_silent) = (0, 0);
     for shard in [1, 2, 3, 4].repeat(3) {
@@ -180,7 +184,7 @@
         let status = |harness: &Harness| harness.scheduler.node_status(harness.now, NodeId(1));
         while !status(&harness).expect("a listed node").is_avoided() {
             id += 1;
-            assert!(id < 10, "it never counts as down");
+            assert!(id < 10, "the node never counts as down");
             harness.submit(sample_request(id));
             harness.end_attempt(id, 0, 1, AttemptEnd::NotConnected, false, 250_000);
             harness.advance(100_000);
@@ -189,7 +193,7 @@
             harness.advance(1_000_000);
             !harness.submit(sample_request(*id)).is_empty()
         });
-        let first = first.expect("it is sent a request again");
+        let first = first.expect("the node is sent a request again");
         harness.end_attempt(first, 0, 1, AttemptEnd::Served, true, latency);
         let mut count = 0;
         for id in first + 1..=first + 8 {
--- a/crates/policy/tests/period_budget.rs
+++ b/crates/policy/tests/period_budget.rs
@@ -27,14 +27,14 @@
 #[test]
 fn the_budget_starts_at_its_minimum_grows_when_filled_in_time_and_stops_at_its_maximum() {
     let mut harness = Harness::with_nodes(settings(), &[1]);
-    let mut seen = vec![fill(&mut harness, 1)];
+    let mut in_flight_counts = vec![fill(&mut harness, 1)];
     for round in 1..60 {
         drain(&mut harness);
         harness.advance(PERIOD);
-        seen.push(fill(&mut harness, 1 + 100 * round));
+        in_flight_counts.push(fill(&mut harness, 1 + 100 * round));
     }
-    assert_eq!(seen[0], 4, "four mean requests");
-    assert_eq!(seen.iter().max(), Some(&32), "{seen:?}");
+    assert_eq!(in_flight_counts[0], 4, "four mean requests");
+    assert_eq!(in_flight_counts.iter().max(), Some(&32), "{in_flight_counts:?}");
 }
 
 #[test]
@@ -106,7 +106,7 @@
     harness.end_attempt(2, 0, 1, AttemptEnd::Served, true, 1_000);
     harness.advance(PERIOD);
     assert!(harness.submit(unreserved(3, 2)).is_empty());
-    assert_eq!(harness.shed_count(3), 1, "one session filled the node: no room for a second");
+    assert_eq!(harness.shed_count(3), 1, "one session filled the node: no capacity for a second");
     assert_eq!(harness.submit(unreserved(4, 1)).len(), 1, "an open session continues");
     harness.serve_all();
     let reserved = Request { volume: VolumeId(3), ..sample_request(5) };
--- a/crates/policy/tests/queueing.rs
+++ b/crates/policy/tests/queueing.rs
@@ -84,7 +84,7 @@
 /// without an attempt: if it is shed by half of its time budget, its client can still try another scheduler.
 /// A request with a longer time budget is queued until its latency objective.
 #[test]
-fn a_request_that_was_never_sent_is_shed_by_half_of_its_time() {
+fn a_request_that_was_never_sent_is_shed_by_half_of_its_time_budget() {
     for (time_budget, answered_by) in [(200_000, 100_000), (1_000_000, 300_000)] {
         let settings = Settings { schedulers: 100, slow_start_units: 1.0, ..settings() };
         let mut harness = Harness::new(settings);
@@ -100,7 +100,7 @@
 }
 
 /// Returns the time for which a request is queued at a busy node before it is shed, in microseconds.
-fn queued_for(client_retries: ClientRetries, time_budget: Micros, is_client_retry: bool) -> Micros {
+fn queueing_time(client_retries: ClientRetries, time_budget: Micros, is_client_retry: bool) -> Micros {
     let mut harness = Harness::with_nodes(Settings { client_retries, ..settings() }, &[1]);
     // Four mean requests of two units fill the minimum of the budget.
     for id in 1..=4 {
@@ -117,14 +117,14 @@
 /// capacity, because their clients wait for less than their class's deadline. That is no sign of a retry
 /// where clients mark retries.
 #[test]
-fn a_first_request_has_its_latency_objective_whatever_time_its_client_has() {
-    let with_whole_deadline = queued_for(ClientRetries::Marked, 1_000_000, false);
+fn a_first_request_has_its_latency_objective_for_any_time_budget() {
+    let with_full_deadline = queueing_time(ClientRetries::Marked, 1_000_000, false);
     for time_budget in [600_000, 800_000, 900_000] {
-        assert_eq!(queued_for(ClientRetries::Marked, time_budget, false), with_whole_deadline);
+        assert_eq!(queueing_time(ClientRetries::Marked, time_budget, false), with_full_deadline);
     }
     // A retry is due when its first request was, 300 ms after that request arrived.
-    assert!(queued_for(ClientRetries::Marked, 900_000, true) < 200_000);
-    assert!(queued_for(ClientRetries::Unmarked, 900_000, false) < 200_000);
+    assert!(queueing_time(ClientRetries::Marked, 900_000, true) < 200_000);
+    assert!(queueing_time(ClientRetries::Unmarked, 900_000, false) < 200_000);
 }
 
 /// Guards against first requests that get a lower priority, and are queued although the node is idle, because
@@ -133,7 +133,7 @@
 #[case::marked(ClientRetries::Marked, false, 4)]
 #[case::marked_retry(ClientRetries::Marked, true, 1)]
 #[case::unmarked(ClientRetries::Unmarked, false, 1)]
-fn a_first_request_has_its_priority_whatever_time_its_client_has(
+fn a_first_request_has_its_priority_for_any_time_budget(
     #[case] client_retries: ClientRetries,
     #[case] is_client_retry: bool,
     #[case] sent: usize,
--- a/crates/policy/tests/replay.rs
+++ b/crates/policy/tests/replay.rs
@@ -14,7 +14,7 @@
 use std::fmt::Write;
 use std::hash::Hasher;
 
-use common::{deployment, settings, settings_with_every_rule, GRANITE_SHELF, PREDIO_NORTE};
+use common::{deployment_settings, settings, settings_with_every_rule, GRANITE_SHELF, PREDIO_NORTE};
 use fnv::FnvHasher;
 use heathward_policy::*;
 use simulated_day::{DayPlan, SimulatedDay};
@@ -22,7 +22,7 @@
 /// Number of events of a day.
 const EVENTS: usize = 30_000;
 /// Number of events of a digest.
-const BLOCK: usize = 1_000;
+const EVENTS_PER_DIGEST: usize = 1_000;
 /// Number of seeds of a day with requests that any node may serve.
 const UNSHARDED_SEEDS: usize = 8;
 /// Number of events of such a day.
@@ -60,11 +60,18 @@
     vec![
         plan("plain", plain(), 1, 60, 100.0, 0.0),
         plan("every-rule", every_rule(), 2, 120, 80.0, 0.3),
-        plan("predio-norte", deployment(PREDIO_NORTE), 3, 200, 90.0, 0.1),
-        plan("predio-norte-cold", deployment(PREDIO_NORTE), 4, 100, 400.0, 1.0),
-        plan("granite-shelf", deployment(GRANITE_SHELF), 5, 150, 70.0, 0.1),
-        plan("granite-shelf-cold", deployment(GRANITE_SHELF), 6, 60, 500.0, 1.0),
-        plan("thirty-hosts", Settings { schedulers: 30, ..deployment(PREDIO_NORTE) }, 7, 100, 200.0, 0.5),
+        plan("predio-norte", deployment_settings(PREDIO_NORTE), 3, 200, 90.0, 0.1),
+        plan("predio-norte-cold", deployment_settings(PREDIO_NORTE), 4, 100, 400.0, 1.0),
+        plan("granite-shelf", deployment_settings(GRANITE_SHELF), 5, 150, 70.0, 0.1),
+        plan("granite-shelf-cold", deployment_settings(GRANITE_SHELF), 6, 60, 500.0, 1.0),
+        plan(
+            "thirty-hosts",
+            Settings { schedulers: 30, ..deployment_settings(PREDIO_NORTE) },
+            7,
+            100,
+            200.0,
+            0.5,
+        ),
     ]
 }
 
@@ -84,9 +91,9 @@
     vec![
         plan("plain", plain(), 60, 150.0, 0.1),
         plan("every-rule", every_rule(), 120, 100.0, 0.3),
-        plan("predio-norte", deployment(PREDIO_NORTE), 100, 400.0, 0.1),
-        plan("predio-norte-cold", deployment(PREDIO_NORTE), 150, 200.0, 1.0),
-        plan("granite-shelf", deployment(GRANITE_SHELF), 30, 300.0, 0.2),
+        plan("predio-norte", deployment_settings(PREDIO_NORTE), 100, 400.0, 0.1),
+        plan("predio-norte-cold", deployment_settings(PREDIO_NORTE), 150, 200.0, 1.0),
+        plan("granite-shelf", deployment_settings(GRANITE_SHELF), 30, 300.0, 0.2),
     ]
 }
 
@@ -104,7 +111,7 @@
 
 /// Returns an action as numbers: its kind, then its ids and times. They depend on no name of a type, variant
 /// or field.
-fn numbers(action: &Action) -> [u64; 4] {
+fn encode(action: &Action) -> [u64; 4] {
     let optional = |value: Option<u64>| value.map_or(0, |value| value + 1);
     match action {
         Action::Send { request, node, timeout } => [0, request.0, node.0.into(), optional(*timeout)],
@@ -117,23 +124,24 @@
 }
 
 fn digest(hasher: &mut FnvHasher, event: usize, now: Micros, action: &Action) {
-    let numbers = [event as u64, now].into_iter().chain(numbers(action));
+    let numbers = [event as u64, now].into_iter().chain(encode(action));
     numbers.for_each(|number| hasher.write(&number.to_le_bytes()));
 }
 
-fn record(plan: DayPlan) -> String {
+fn record_day(plan: DayPlan) -> String {
     let (name, mut text) = (plan.name, String::new());
-    let mut digests = (0..EVENTS / BLOCK).map(|_| FnvHasher::default()).collect::<Vec<_>>();
+    let mut digests = (0..EVENTS / EVENTS_PER_DIGEST).map(|_| FnvHasher::default()).collect::<Vec<_>>();
     let mut counts: BTreeMap<&str, u64> = BTreeMap::new();
-    SimulatedDay::new(plan).play(|number, now, action| {
-        digest(&mut digests[number / BLOCK], number, now, action);
+    SimulatedDay::new(plan).run(|number, now, action| {
+        digest(&mut digests[number / EVENTS_PER_DIGEST], number, now, action);
         *counts.entry(kind(action)).or_default() += 1;
     });
-    for (block, digest) in digests.iter().enumerate() {
-        writeln!(text, "{name} {block} {:016x}", digest.finish()).expect("a string takes all");
+    for (digest_index, digest) in digests.iter().enumerate() {
+        writeln!(text, "{name} {digest_index} {:016x}", digest.finish())
+            .expect("writing to a string succeeds");
     }
     for (kind, count) in counts {
-        writeln!(text, "{name} {kind} {count}").expect("a string takes all");
+        writeln!(text, "{name} {kind} {count}").expect("writing to a string succeeds");
     }
     text
 }
@@ -145,12 +153,12 @@
         let mut counts: BTreeMap<&str, [u64; UNSHARDED_SEEDS]> = BTreeMap::new();
         for seed in 0..UNSHARDED_SEEDS {
             let plan = DayPlan { seed: 11 + seed as u64, ..plan.clone() };
-            SimulatedDay::new(plan).play(|_, _, action| counts.entry(kind(action)).or_default()[seed] += 1);
+            SimulatedDay::new(plan).run(|_, _, action| counts.entry(kind(action)).or_default()[seed] += 1);
         }
         let compared = counts.iter().filter(|(kind, _)| ["send", "refuse", "fail"].contains(kind));
         for (kind, counts) in compared {
             let counts = counts.map(|count| count.to_string()).join(" ");
-            writeln!(text, "{}/{kind} {counts}", plan.name).expect("a string takes all");
+            writeln!(text, "{}/{kind} {counts}", plan.name).expect("writing to a string succeeds");
         }
     }
     text
@@ -169,47 +177,70 @@
 
 /// The mean difference of the counts must be within four standard errors of 0.
 #[test]
-fn recorded_days_with_requests_for_any_node_give_the_same_mean_counts() {
+fn recorded_days_with_unsharded_requests_give_the_same_mean_counts() {
     let recorded = include_str!("replay/free.txt");
-    let played = unsharded_counts();
+    let replayed = unsharded_counts();
     let path = concat!(env!("CARGO_TARGET_TMPDIR"), "/free.txt");
-    std::fs::write(path, &played).expect("the target directory takes files");
-    let (was, is) = (parse(recorded), parse(&played));
-    assert!(!was.is_empty() && was.keys().eq(is.keys()), "other kinds of actions; see {path}");
-    for (name, was) in &was {
-        let differences: Vec<f64> = was.iter().zip(&is[name]).map(|(was, is)| is - was).collect();
+    std::fs::write(path, &replayed).expect("the target directory is writable");
+    let (expected, actual) = (parse(recorded), parse(&replayed));
+    assert!(
+        !expected.is_empty() && expected.keys().eq(actual.keys()),
+        "the kinds of actions differ; see {path}"
+    );
+    for (name, expected) in &expected {
+        let differences: Vec<f64> =
+            expected.iter().zip(&actual[name]).map(|(expected, actual)| actual - expected).collect();
         let seeds = differences.len() as f64;
         let mean = differences.iter().sum::<f64>() / seeds;
-        let variance = differences.iter().map(|d| (d - mean).powi(2)).sum::<f64>() / (seeds - 1.0);
+        let variance =
+            differences.iter().map(|difference| (difference - mean).powi(2)).sum::<f64>() / (seeds - 1.0);
         let error = (variance / seeds).sqrt();
-        let recorded_mean = was.iter().sum::<f64>() / seeds;
+        let recorded_mean = expected.iter().sum::<f64>() / seeds;
         println!("{name}: {mean:+.1}, standard error {error:.1}, recorded {recorded_mean}");
-        assert!(mean.abs() <= 4.0 * error.max(1.0), "{name}: {mean:+.1}, {error:.1}; see {path}");
+        assert!(
+            mean.abs() <= 4.0 * error.max(1.0),
+            "{name}: mean difference {mean:+.1}, standard error {error:.1}; see {path}"
+        );
     }
 }
 
 #[test]
 fn recorded_days_give_the_same_actions() {
     let recorded = include_str!("replay/pinned.txt");
-    let played: String = days().into_iter().map(record).collect();
+    let replayed: String = days().into_iter().map(record_day).collect();
     let path = concat!(env!("CARGO_TARGET_TMPDIR"), "/pinned.txt");
-    std::fs::write(path, &played).expect("the target directory takes files");
-    for (line, (was, is)) in recorded.lines().zip(played.lines()).enumerate() {
-        assert_eq!(was, is, "line {} of replay/pinned.txt; what was played is in {path}", line + 1);
+    std::fs::write(path, &replayed).expect("the target directory is writable");
+    for (line, (expected, actual)) in recorded.lines().zip(replayed.lines()).enumerate() {
+        assert_eq!(
+            expected,
+            actual,
+            "line {} of replay/pinned.txt; the replayed days are in {path}",
+            line + 1
+        );
     }
-    assert_eq!(recorded.lines().count(), played.lines().count());
+    assert_eq!(recorded.lines().count(), replayed.lines().count());
 }
 
 /// Guards against decisions on other requests that depend on how retries are recognized: only first requests
 /// whose clients wait for less than their class's deadline may be affected.
 #[test]
-fn recognition_of_retries_concerns_only_requests_with_less_than_their_deadline() {
+fn recognition_of_retries_affects_only_requests_with_less_than_their_deadline() {
     for plan in days() {
-        let with = |client_retries, has_full_deadlines| {
+        let record_with = |client_retries, has_full_deadlines| {
             let settings = Settings { client_retries, ..plan.settings.clone() };
-            record(DayPlan { settings, has_full_deadlines, ..plan.clone() })
+            record_day(DayPlan { settings, has_full_deadlines, ..plan.clone() })
         };
-        assert_eq!(with(ClientRetries::Marked, true), with(ClientRetries::Unmarked, true), "{}", plan.name);
-        assert_ne!(with(ClientRetries::Marked, false), with(ClientRetries::Unmarked, false), "{}", plan.name);
+        assert_eq!(
+            record_with(ClientRetries::Marked, true),
+            record_with(ClientRetries::Unmarked, true),
+            "{}",
+            plan.name
+        );
+        assert_ne!(
+            record_with(ClientRetries::Marked, false),
+            record_with(ClientRetries::Unmarked, false),
+            "{}",
+            plan.name
+        );
     }
 }
--- a/crates/policy/tests/settings.rs
+++ b/crates/policy/tests/settings.rs
@@ -10,8 +10,8 @@
 use rstest::rstest;
 
 /// Reads and validates settings in the same way as the configuration does.
-fn read(text: &str) -> Result<Deployment, Box<dyn Error>> {
-    let json = miniserde::json::from_str(text).expect("JSON");
+fn read(settings_json: &str) -> Result<Deployment, Box<dyn Error>> {
+    let json = miniserde::json::from_str(settings_json).expect("JSON");
     let deployment = Deployment::read(&JsonSource(&json))?;
     deployment.settings.validate()?;
     Ok(deployment)
@@ -45,10 +45,10 @@
     client_retries: ClientRetries::Unmarked,
 })]
 fn what_differs_between_deployments_is_read_from_their_settings(
-    #[case] text: &str,
+    #[case] settings_json: &str,
     #[case] expected: Expected,
 ) {
-    let Deployment { settings, drain_grace, .. } = read(text).expect("valid settings");
+    let Deployment { settings, drain_grace, .. } = read(settings_json).expect("valid settings");
     assert_eq!(drain_grace, Some(expected.drain_grace));
     assert_eq!(
         (settings.max_attempts, settings.overload_multiple),
@@ -67,7 +67,7 @@
     r#""stopSendingWithinMs": -"#,
     "safety.stopSendingWithinMs"
 )]
-#[case::grace_in_words(
+#[case::non_numeric_grace(
     r#""stopSendingWithinMs": "#,
     r#""stopSendingWithinMs": "x", "x": "#,
     "safety.stopSendingWithinMs"
@@ -76,33 +76,38 @@
 #[case::no_name(r#""name": "#, r#""title": "#, "lanes.0.name")]
 #[case::no_latency_objective(r#""aimMs": "#, r#""aimsMs": "#, "aim or deadline")]
 #[case::no_schedulers(r#""balancers": 4"#, r#""balancers": 0"#, "hosts")]
-#[case::half_a_scheduler(r#""balancers": 4"#, r#""balancers": 4.5"#, "balancers")]
+#[case::fractional_schedulers(r#""balancers": 4"#, r#""balancers": 4.5"#, "balancers")]
 #[case::index_beyond_the_schedulers(r#""slotNo": 0"#, r#""slotNo": 4"#, "host")]
 #[case::fraction_above_one(r#""coldShare": 0"#, r#""coldShare": 1"#, "cold_share")]
 #[case::client_retries(r#""marksRetry": "#, r#""marksRetry": "perhaps", "x": "#, "clients.marksRetry")]
 #[case::endpoint_list_mode(r#""pushed""#, r#""shouted""#, "discovery")]
 fn an_invalid_setting_is_named_in_the_error(
-    #[values(PREDIO_NORTE, GRANITE_SHELF)] text: &str,
+    #[values(PREDIO_NORTE, GRANITE_SHELF)] settings_json: &str,
     #[case] from: &str,
     #[case] to: &str,
     #[case] field: &str,
 ) {
-    assert!(text.contains(from), "{from}");
-    let error = read(&text.replacen(from, to, 1)).map(|_| ()).expect_err("an invalid setting").to_string();
+    assert!(settings_json.contains(from), "{from}");
+    let error =
+        read(&settings_json.replacen(from, to, 1)).map(|_| ()).expect_err("an invalid setting").to_string();
     assert!(error.contains(field), "{error}");
 }
 
 /// A rule that is absent from the settings is neither required nor applied.
 #[rstest]
-fn without_a_rule_on_draining_nodes_there_is_no_grace(#[values(PREDIO_NORTE, GRANITE_SHELF)] text: &str) {
-    let without_rule = text.replace("stopSendingWithinMs", "someOtherField");
+fn without_a_rule_on_draining_nodes_there_is_no_grace(
+    #[values(PREDIO_NORTE, GRANITE_SHELF)] settings_json: &str,
+) {
+    let without_rule = settings_json.replace("stopSendingWithinMs", "someOtherField");
     assert_eq!(read(&without_rule).expect("valid settings").drain_grace, None);
 }
 
 /// Guards against first requests that are treated as retries although the settings do not say that clients
 /// leave their retries unmarked.
 #[rstest]
-fn retries_are_unmarked_only_where_the_settings_say_so(#[values(PREDIO_NORTE, GRANITE_SHELF)] text: &str) {
-    let silent = text.replace("marksRetry", "someOtherField");
-    assert_eq!(read(&silent).expect("valid settings").settings.client_retries, ClientRetries::Marked);
+fn retries_are_unmarked_only_where_the_settings_say_so(
+    #[values(PREDIO_NORTE, GRANITE_SHELF)] settings_json: &str,
+) {
+    let without_field = settings_json.replace("marksRetry", "someOtherField");
+    assert_eq!(read(&without_field).expect("valid settings").settings.client_retries, ClientRetries::Marked);
 }
--- a/crates/policy/tests/slow_start_bound.rs
+++ b/crates/policy/tests/slow_start_bound.rs
@@ -5,7 +5,7 @@
 
 mod common;
 
-use common::{deployment, endpoint, sample_request, Harness, InFlight, GRANITE_SHELF, PREDIO_NORTE};
+use common::{deployment_settings, endpoint, sample_request, Harness, InFlight, GRANITE_SHELF, PREDIO_NORTE};
 use heathward_policy::*;
 use rstest::rstest;
 
@@ -108,7 +108,7 @@
 struct Received {
     at: Micros,
     /// Size as a multiple of the mean size.
-    work: f64,
+    size: f64,
     /// Whether its scheduler had been notified of the start.
     was_notified: bool,
 }
@@ -187,11 +187,11 @@
 
     fn step(&mut self, now: Micros) {
         for index in 0..self.members.len() {
-            let own_time = now + self.members[index].skew;
+            let local_time = now + self.members[index].skew;
             let has_restarts = self.scenario.fault == Fault::SchedulerRestarts;
             if has_restarts && self.random.u32(0..80) == 0 {
                 let node_start = (now >= START).then_some(START);
-                self.members[index].harness = self.start_scheduler(index as u32, own_time, node_start);
+                self.members[index].harness = self.start_scheduler(index as u32, local_time, node_start);
             }
             let requests: Vec<Request> = (0..self.request_count(now)).map(|_| self.request()).collect();
             self.step_scheduler(index, now, requests);
@@ -200,7 +200,7 @@
 
     fn step_scheduler(&mut self, index: usize, now: Micros, requests: Vec<Request>) {
         let Member { harness, skew, notified_at } = &mut self.members[index];
-        let seen = harness.actions.len();
+        let previous_actions = harness.actions.len();
         harness.advance((now + *skew).saturating_sub(harness.now));
         Self::end_attempts(harness, (DOWN..START).contains(&now));
         if (*notified_at..*notified_at + STEP).contains(&now) {
@@ -211,7 +211,7 @@
             harness.submit(request);
         }
         let was_notified = now >= *notified_at;
-        let sent_units = harness.actions[seen..].iter().filter_map(|timed| match timed.action {
+        let sent_units = harness.actions[previous_actions..].iter().filter_map(|timed| match timed.action {
             Action::Send { request, node, .. } if node.0 == STARTING_NODE => {
                 Some((request.0 % ID_BASE) as f64)
             }
@@ -219,7 +219,7 @@
         });
         if now >= START {
             let mean_units = self.settings.mean_units;
-            let received = |units| Received { at: now, work: units / mean_units, was_notified };
+            let received = |units| Received { at: now, size: units / mean_units, was_notified };
             self.received.extend(sent_units.map(received));
         }
         // Old actions are removed, as only the timer that was set last matters later.
@@ -242,9 +242,9 @@
 /// The load that the node received within an overload window.
 struct Window {
     /// Load as a fraction of N + 2 x root of N + 2, with N at the beginning of the window.
-    of_bound: f64,
+    bound_fraction: f64,
     /// Load as a fraction of N.
-    of_allowed: f64,
+    allowed_fraction: f64,
     /// Fraction of the load from schedulers that had been notified of the start.
     notified_fraction: f64,
 }
@@ -253,16 +253,16 @@
     let last = START + OBSERVED - settings.overload_window;
     let window = |start: Micros| {
         let end = start + settings.overload_window;
-        let (mut work, mut notified_work) = (0.0, 0.0);
+        let (mut size, mut notified_size) = (0.0, 0.0);
         for request in received.iter().filter(|request| (start..end).contains(&request.at)) {
-            work += request.work;
-            notified_work += if request.was_notified { request.work } else { 0.0 };
+            size += request.size;
+            notified_size += if request.was_notified { request.size } else { 0.0 };
         }
         let allowed = allowed(settings, start - START);
         Window {
-            of_bound: work / (allowed + 2.0 * allowed.sqrt() + 2.0),
-            of_allowed: work / allowed,
-            notified_fraction: notified_work / work.max(1e-9),
+            bound_fraction: size / (allowed + 2.0 * allowed.sqrt() + 2.0),
+            allowed_fraction: size / allowed,
+            notified_fraction: notified_size / size.max(1e-9),
         }
     };
     (START..last).step_by(STEP as usize).map(window).collect()
@@ -272,28 +272,28 @@
 struct Run {
     /// Maximum load as a fraction of the bound, over the windows of which more than two thirds of the load
     /// came from schedulers that had been notified of the start.
-    worst_of_bound: f64,
+    max_bound_fraction: f64,
     /// Mean load as a fraction of N.
-    mean_of_allowed: f64,
+    mean_allowed_fraction: f64,
 }
 
-fn play(settings: &Settings, schedulers: u32, scenario: Scenario, seed: u64) -> Run {
+fn run_scenario(settings: &Settings, schedulers: u32, scenario: Scenario, seed: u64) -> Run {
     let mut fleet = Fleet::new(settings, schedulers, scenario, seed);
     for now in (DOWN - 4_000_000..START + OBSERVED).step_by(STEP as usize) {
         fleet.step(now);
     }
     let windows = windows(settings, &fleet.received);
     let notified = windows.iter().filter(|window| window.notified_fraction > 2.0 / 3.0);
-    let worst = notified.map(|window| window.of_bound).fold(0.0, f64::max);
-    let mean = windows.iter().map(|window| window.of_allowed).sum::<f64>() / windows.len() as f64;
-    println!("{schedulers} schedulers, {scenario:?}, seed {seed}: {worst:.2} of the bound, {mean:.2} of N");
-    Run { worst_of_bound: worst, mean_of_allowed: mean }
+    let max = notified.map(|window| window.bound_fraction).fold(0.0, f64::max);
+    let mean = windows.iter().map(|window| window.allowed_fraction).sum::<f64>() / windows.len() as f64;
+    println!("{schedulers} schedulers, {scenario:?}, seed {seed}: {max:.2} of the bound, {mean:.2} of N");
+    Run { max_bound_fraction: max, mean_allowed_fraction: mean }
 }
 
 /// Runs a scenario with each seed.
-fn play_seeds(text: &str, schedulers: u32, scenario: Scenario) -> Vec<Run> {
-    let settings = deployment(text);
-    (1..=SEEDS).map(|seed| play(&settings, schedulers, scenario, seed)).collect()
+fn run_seeds(json: &str, schedulers: u32, scenario: Scenario) -> Vec<Run> {
+    let settings = deployment_settings(json);
+    (1..=SEEDS).map(|seed| run_scenario(&settings, schedulers, scenario, seed)).collect()
 }
 
 /// Guards against twenty or thirty schedulers that each send little and together overload a node in slow
@@ -301,18 +301,18 @@
 /// notified of the start.
 #[rstest]
 fn many_schedulers_keep_a_node_in_slow_start_within_its_bound(
-    #[values(PREDIO_NORTE, GRANITE_SHELF)] text: &str,
+    #[values(PREDIO_NORTE, GRANITE_SHELF)] json: &str,
     #[values(20, 30)] schedulers: u32,
     #[values(Load::Full, Load::Rare, Load::Bursts)] load: Load,
     #[values(Spread::OneNode, Spread::Even)] spread: Spread,
     #[values(Fault::None, Fault::SchedulerRestarts, Fault::LateList)] fault: Fault,
 ) {
     let scenario = Scenario { load, spread, fault };
-    for run in play_seeds(text, schedulers, scenario) {
-        assert!(run.worst_of_bound <= 1.0, "{} times the bound", run.worst_of_bound);
+    for run in run_seeds(json, schedulers, scenario) {
+        assert!(run.max_bound_fraction <= 1.0, "{} times the bound", run.max_bound_fraction);
         // The test would prove nothing about a fleet that sends little.
-        let is_used = load != Load::Full || run.mean_of_allowed > 0.1;
-        assert!(is_used, "{} of N in the mean", run.mean_of_allowed);
+        let is_used = load != Load::Full || run.mean_allowed_fraction > 0.1;
+        assert!(is_used, "{} of N in the mean", run.mean_allowed_fraction);
     }
 }
 
@@ -324,17 +324,21 @@
 const MAX_SKEWED: f64 = 1.6;
 
 #[test]
-fn the_sum_is_limited_if_all_schedulers_send_to_one_of_many_nodes() {
-    for text in [PREDIO_NORTE, GRANITE_SHELF] {
-        for (load, spread, most) in [
+fn the_total_is_limited_if_all_schedulers_send_to_one_of_many_nodes() {
+    for json in [PREDIO_NORTE, GRANITE_SHELF] {
+        for (load, spread, limit) in [
             (Load::Full, Spread::Focused, MAX_FOCUSED),
             (Load::Rare, Spread::Focused, MAX_FOCUSED),
             (Load::Bursts, Spread::Focused, MAX_FOCUSED),
             (Load::Bursts, Spread::Skewed, MAX_SKEWED),
         ] {
             let scenario = Scenario { load, spread, fault: Fault::None };
-            for run in play_seeds(text, 30, scenario) {
-                assert!(run.worst_of_bound <= most, "{scenario:?}: {} times the bound", run.worst_of_bound);
+            for run in run_seeds(json, 30, scenario) {
+                assert!(
+                    run.max_bound_fraction <= limit,
+                    "{scenario:?}: {} times the bound",
+                    run.max_bound_fraction
+                );
             }
         }
     }
--- a/crates/policy/tests/slow_start_total.rs
+++ b/crates/policy/tests/slow_start_total.rs
@@ -53,7 +53,7 @@
 }
 
 /// Returns the units sent to the node if every scheduler always has requests for it.
-fn sent_under_full_load(schedulers: u32, restarts: bool, overload_multiple: f64) -> Vec<Sent> {
+fn sent_under_full_load(schedulers: u32, has_restarts: bool, overload_multiple: f64) -> Vec<Sent> {
     let settings = |index| scheduler_settings(schedulers, index, overload_multiple);
     let mut fleet: Vec<Scheduler> =
         (0..schedulers).map(|index| start_scheduler(settings(index), START - 5_000_000)).collect();
@@ -64,14 +64,14 @@
     for step in 0..(SLOW_START - SKEW) / STEP {
         let now = START + step * STEP;
         for (index, scheduler) in fleet.iter_mut().enumerate() {
-            let own_time = now + skews[index];
-            if restarts && random.u32(0..200) == 0 {
-                *scheduler = start_scheduler(settings(index as u32), own_time);
+            let local_time = now + skews[index];
+            if has_restarts && random.u32(0..200) == 0 {
+                *scheduler = start_scheduler(settings(index as u32), local_time);
             }
             id += 1;
             let request = Request { units: random.u32(1..=8), ..sample_request(id) };
             units_by_request.insert(id, f64::from(request.units));
-            scheduler.handle(own_time, Event::RequestArrived(request), &mut actions);
+            scheduler.handle(local_time, Event::RequestArrived(request), &mut actions);
             let attempts = actions.drain(..).filter_map(|action| match action {
                 Action::Send { request, node, .. } => Some((request, node)),
                 _ => None,
@@ -79,7 +79,7 @@
             for (request, node) in attempts.collect::<Vec<_>>() {
                 sent.push(Sent { at: now, units: units_by_request[&request.0] });
                 let outcome = served(request, node, 20_000);
-                scheduler.handle(own_time, Event::AttemptEnded(outcome), &mut Vec::new());
+                scheduler.handle(local_time, Event::AttemptEnded(outcome), &mut Vec::new());
             }
         }
     }
@@ -94,8 +94,8 @@
 
 /// Checks the load sent against the node's capacity: in any window against [`MAX_LOAD`], and in the mean
 /// against `max_mean`. Returns the total of the units sent.
-fn check(schedulers: u32, restarts: bool, overload_multiple: f64, max_mean: f64) -> f64 {
-    let sent = sent_under_full_load(schedulers, restarts, overload_multiple);
+fn check_load(schedulers: u32, has_restarts: bool, overload_multiple: f64, max_mean: f64) -> f64 {
+    let sent = sent_under_full_load(schedulers, has_restarts, overload_multiple);
     let (mut load_sum, mut windows) = (0.0, 0.0);
     for start in (START..START + SLOW_START - WINDOW - SKEW).step_by(100_000) {
         let in_window = sent.iter().filter(|sent| (start..start + WINDOW).contains(&sent.at));
@@ -116,7 +116,7 @@
 #[test]
 fn all_schedulers_together_stay_within_the_capacity_of_a_node_in_slow_start() {
     for schedulers in [1, 4, 30, 200] {
-        let sent = check(schedulers, false, 0.0, 1.0);
+        let sent = check_load(schedulers, false, 0.0, 1.0);
         assert!(sent > 100.0, "{schedulers} schedulers sent {sent} units in the slow start");
     }
 }
@@ -124,10 +124,10 @@
 /// Guards against a large fleet that leaves most of the node idle: if the multiple at which it fails is
 /// known, a part of that multiple is used however many schedulers there are, and no window comes near it.
 #[test]
-fn a_part_of_the_overload_multiple_is_used() {
+fn a_fraction_of_the_overload_multiple_is_used() {
     for schedulers in [1, 30, 300] {
-        let without_multiple = check(schedulers, false, 0.0, 1.0);
-        let sent = check(schedulers, false, 4.0, 2.0);
+        let without_multiple = check_load(schedulers, false, 0.0, 1.0);
+        let sent = check_load(schedulers, false, 4.0, 2.0);
         let is_more = sent > 1.3 * without_multiple;
         assert!(is_more, "{schedulers} schedulers: {sent} units, {without_multiple} if it is not known");
     }
@@ -136,6 +136,6 @@
 #[test]
 fn restarted_schedulers_add_no_load() {
     for schedulers in [4, 200] {
-        assert!(check(schedulers, true, 0.0, 1.0) > 20.0);
+        assert!(check_load(schedulers, true, 0.0, 1.0) > 20.0);
     }
 }
