--- a/crates/policy/src/api/settings.rs
+++ b/crates/policy/src/api/settings.rs
@@ -89,7 +89,7 @@
     /// Discovery pushes changes to the scheduler.
     #[default]
     Streamed,
-    /// Changes come after [`crate::Action::Subscribe`].
+    /// Discovery sends changes after [`crate::Action::Subscribe`].
     Polled {
         /// Maximum time without a subscription. The policy limits the backoff after failures by it.
         max_interval: Micros,
--- a/crates/policy/src/api/status.rs
+++ b/crates/policy/src/api/status.rs
@@ -7,9 +7,10 @@
 pub struct EntryCounts {
     /// Requests that have no answer yet or an attempt in flight.
     pub requests: usize,
-    /// Volumes requested within the lookback (at most twice that) or whose rate-limit bucket is not full yet.
+    /// Volumes requested within the lookback time, or twice that at most, and those whose rate-limit bucket
+    /// is not full yet.
     pub volumes: usize,
-    /// Nodes that are listed or answered within the lookback (at most twice that).
+    /// Nodes that are listed, or have answered within the lookback time, or twice that at most.
     pub nodes: usize,
     /// Timestamps within the windows of the retry budget and of cool-downs.
     pub timestamps: usize,
@@ -30,7 +31,7 @@
 }
 
 impl NodeStatus {
-    /// Returns whether the node gets no regular traffic, because it is out of service or unresponsive.
+    /// Returns whether the node is sent no regular traffic, because it is out of service or unresponsive.
     pub fn is_avoided(&self) -> bool {
         !self.ready || self.unresponsive_since.is_some()
     }
--- a/crates/policy/src/node/health.rs
+++ b/crates/policy/src/node/health.rs
@@ -114,8 +114,8 @@
         self.consecutive_errors = if is_served { 0 } else { self.consecutive_errors + 1 };
     }
 
-    /// Records an attempt without a connection. A node that accepts no connections receives no request that
-    /// any node may serve until it serves one again.
+    /// Records an attempt without a connection. Requests that any node may serve avoid the node until it
+    /// serves a request again.
     fn on_no_connection(&mut self, now: Micros, period: Micros) {
         self.unanswered += NO_CONNECTION_ATTEMPTS;
         self.consecutive_errors = self.consecutive_errors.max(UNHEALTHY_ERRORS);
--- a/crates/policy/src/node_ranking.rs
+++ b/crates/policy/src/node_ranking.rs
@@ -73,7 +73,7 @@
     node: NodeId,
 }
 
-/// The lowest scores found so far.
+/// The lowest scores found by a search.
 #[derive(Clone, Copy, Debug, Default)]
 struct LowestScores {
     open: Option<ScoredNode>,
--- a/crates/policy/src/node_ranking/search.rs
+++ b/crates/policy/src/node_ranking/search.rs
@@ -19,7 +19,7 @@
     bound: f64,
     /// Noise of the next member, from 0 to 1.
     noise: f64,
-    /// Number of members drawn so far.
+    /// Number of members already drawn.
     drawn: usize,
     /// Exchanges made by the shuffle; the list of members itself is not changed.
     swaps: Vec<Swap>,
--- a/crates/policy/src/request/tracked.rs
+++ b/crates/policy/src/request/tracked.rs
@@ -1,4 +1,4 @@
-//! A request and what has been done about it.
+//! A request and its progress: timing, quota tier, state and attempts.
 
 use crate::api::{Micros, NodeId, Request, RequestId};
 use crate::volume::QuotaTier;
@@ -43,7 +43,7 @@
     pub(crate) sent_at: Micros,
 }
 
-/// A request and what has been done about it.
+/// A request and its progress in this scheduler.
 #[derive(Clone, Debug)]
 pub(crate) struct TrackedRequest {
     pub(crate) request: Request,
--- a/crates/policy/src/scheduler.rs
+++ b/crates/policy/src/scheduler.rs
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Performs all work whose time has come, independent of the event.
+    /// Performs all work that is due at `now`, independent of the event.
     fn run_due_work(&mut self, now: Micros, actions: &mut Vec<Action>) {
         self.answer_expired_requests(now, actions);
         self.end_cool_downs(now, actions);
--- a/crates/policy/src/scheduler/arrival.rs
+++ b/crates/policy/src/scheduler/arrival.rs
@@ -44,8 +44,8 @@
     fn quota_tier(&mut self, now: Micros, request: &Request) -> QuotaTier {
         let plan = &self.settings.plans[request.plan.0 as usize];
         let started_at = self.timers.started_at(now);
-        let new = || Volume::new(now, started_at, plan, request);
-        let volume = self.volumes.on_request(now, request.volume, new);
+        let create_volume = || Volume::new(now, started_at, plan, request);
+        let volume = self.volumes.on_request(now, request.volume, create_volume);
         let fleet_demand = volume.record_request(now, request, plan);
         let units = f64::from(request.units);
         let draw = self.random.decisions.f64() * units;
--- a/crates/policy/src/scheduler/dispatch.rs
+++ b/crates/policy/src/scheduler/dispatch.rs
@@ -56,7 +56,7 @@
         tracked.attempts_sent == 0 && now >= tracked.timing.deadline.saturating_sub(margin)
     }
 
-    /// Answers the requests whose deadline has come.
+    /// Answers the requests whose deadline has passed, or is so near that a timer might fire too late for it.
     pub(super) fn answer_expired_requests(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let resolution = self.settings.timer_resolution;
         while let Some(expiry) = self.requests.next_expiry(resolution).filter(|expiry| expiry.at <= now) {
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -66,33 +66,33 @@
     items: Vec<T>,
 }
 
-/// Reads a list; `read` reads one item, given the common prefix of the names of its values.
+/// Reads a list; `read_item` reads one item, given the common prefix of the names of its values.
 fn read_list<T>(
     source: &impl SettingsSource,
     list: &str,
-    read: impl Fn(&str) -> Result<T, ConfigError>,
+    read_item: impl Fn(&str) -> Result<T, ConfigError>,
 ) -> Result<NamedItems<T>, ConfigError> {
     let (mut names, mut items) = (Vec::new(), Vec::new());
     for index in 0..source.whole_number(&format!("{list}.count"))? {
         let prefix = format!("{list}.{index}");
         names.push(source.required(&format!("{prefix}.name"))?.into_owned());
-        items.push(read(&prefix)?);
+        items.push(read_item(&prefix)?);
     }
     Ok(NamedItems { names, items })
 }
 
 fn read_classes(source: &impl SettingsSource) -> Result<NamedItems<ClassSettings>, ConfigError> {
     read_list(source, "lanes", |prefix| {
-        let at = |name: &str| format!("{prefix}.{name}");
+        let path = |name: &str| format!("{prefix}.{name}");
         Ok(ClassSettings {
-            latency_objective: source.duration_from_ms(&at("aimMs"))?,
-            deadline: source.duration_from_ms(&at("deadlineMs"))?,
-            priority_weight: source.non_negative(&at("credit"))?,
-            late_weight_fraction: source.non_negative(&at("lateWorth"))?,
-            idempotency: read_idempotency(source, &at("repeat"))?,
-            deduplication_scope: read_deduplication_scope(source, &at("dedupScope"))?,
-            deduplication_window: source.duration_from_ms(&at("dedupWindowMs"))?,
-            ordered_per_key: source.flag(&at("inTurn"))?,
+            latency_objective: source.duration_from_ms(&path("aimMs"))?,
+            deadline: source.duration_from_ms(&path("deadlineMs"))?,
+            priority_weight: source.non_negative(&path("credit"))?,
+            late_weight_fraction: source.non_negative(&path("lateWorth"))?,
+            idempotency: read_idempotency(source, &path("repeat"))?,
+            deduplication_scope: read_deduplication_scope(source, &path("dedupScope"))?,
+            deduplication_window: source.duration_from_ms(&path("dedupWindowMs"))?,
+            ordered_per_key: source.flag(&path("inTurn"))?,
         })
     })
 }
--- a/crates/policy/src/slow_start/token_bucket.rs
+++ b/crates/policy/src/slow_start/token_bucket.rs
@@ -6,7 +6,7 @@
 //! spread over the fleet. Schedulers then get whole tokens one after another, and the sum over all schedulers
 //! in any period is the rate times its length, plus or minus one.
 //!
-//! A scheduler that gets a whole token may have nothing to send. A whole token therefore remains valid for a
+//! A scheduler that has a whole token may have nothing to send. A whole token therefore remains valid for a
 //! part of the window and then expires. To compensate for expired tokens, buckets fill faster by the inverse
 //! of the probability that a token is used, which each scheduler estimates from its own demand. The mean of
 //! the load sent is then the allowed rate.
--- a/crates/policy/src/slow_start/token_bucket/tests.rs
+++ b/crates/policy/src/slow_start/token_bucket/tests.rs
@@ -186,8 +186,8 @@
     let now = 10 * WINDOW;
     member.on_request(now, 1.0, 0.5);
     let sent = member.send_all(now, 0.0);
-    assert!(member.allows(now, 1.0), "some are left after {sent}");
-    assert!(sent > 0, "it gets its part");
+    assert!(member.allows(now, 1.0), "no token is left after {sent} requests");
+    assert!(sent > 0, "no request of low priority was sent");
 }
 
 /// A request that any node may serve would find every token that was added because of the probability of use.
--- a/crates/policy/src/volume.rs
+++ b/crates/policy/src/volume.rs
@@ -12,7 +12,7 @@
 use demand::{FleetUsage, LocalDemand};
 pub(crate) use quota::{PlanQuota, QuotaBucket, QuotaTier};
 
-/// Weight of the latest estimate in the smoothed fraction of the demand that comes through this scheduler.
+/// Weight of the latest estimate in the smoothed fraction of the demand that this scheduler receives.
 const LOCAL_FRACTION_WEIGHT: f64 = 0.2;
 /// Minimum of that fraction, as a multiple of an even share among all the volume's schedulers.
 const MIN_LOCAL_FRACTION: f64 = 0.5;
@@ -25,11 +25,11 @@
     pub(crate) plan: PlanId,
     /// Time of the latest request for the volume.
     pub(crate) requested_at: Micros,
-    /// Number of schedulers through which the volume's requests come.
+    /// Number of schedulers that receive the volume's requests.
     schedulers: u32,
     pub(crate) demand: LocalDemand,
     pub(crate) fleet_usage: FleetUsage,
-    /// Smoothed fraction of the volume's demand that comes through this scheduler.
+    /// Smoothed fraction of the volume's demand that this scheduler receives.
     local_fraction: f64,
     /// This scheduler's part of the plan's rate limit.
     rate_limit: QuotaBucket,
@@ -40,8 +40,8 @@
 }
 
 impl Volume {
-    /// Creates a volume whose first request arrives now. The bucket of its rate limit is taken to have been
-    /// empty when the scheduler started, as a restarted scheduler does not know what it had used.
+    /// Creates a volume whose first request arrives now. The bucket of its rate limit is assumed to have been
+    /// empty when the scheduler started, as a restarted scheduler does not know how much it had used.
     pub(crate) fn new(
         now: Micros,
         scheduler_started_at: Micros,
--- a/crates/policy/src/volume_table.rs
+++ b/crates/policy/src/volume_table.rs
@@ -26,14 +26,14 @@
         self.volumes.get_mut(id)
     }
 
-    /// Returns the volume of a request that arrives now, created by `new` if it is not known yet.
+    /// Returns the volume of a request that arrives now, created by `create` if it is not known yet.
     pub(crate) fn on_request(
         &mut self,
         now: Micros,
         id: VolumeId,
-        new: impl FnOnce() -> Volume,
+        create: impl FnOnce() -> Volume,
     ) -> &mut Volume {
-        let volume = self.volumes.entry(id).or_insert_with(new);
+        let volume = self.volumes.entry(id).or_insert_with(create);
         self.by_last_request.touch(volume.requested_at, now, id);
         volume.requested_at = now;
         volume
--- a/crates/policy/tests/node_health.rs
+++ b/crates/policy/tests/node_health.rs
@@ -151,7 +151,7 @@
     harness.submit(sample_request(40));
     harness.serve_all();
     let nodes: Vec<NodeId> = (41..=60).flat_map(|id| harness.submit(new_object(id))).collect();
-    assert!(nodes.contains(&NodeId(1)), "it serves again: {nodes:?}");
+    assert!(nodes.contains(&NodeId(1)), "the node serves again: {nodes:?}");
 }
 
 /// Guards against a zone that is cut off and whose timeouts make the nodes of all other zones appear full.
--- a/crates/policy/tests/period_budget.rs
+++ b/crates/policy/tests/period_budget.rs
@@ -18,7 +18,7 @@
 }
 
 /// Serves all attempts in flight, including those of queued requests that follow, until none is left.
-fn drain(harness: &mut Harness) {
+fn serve_until_idle(harness: &mut Harness) {
     while !harness.in_flight.is_empty() {
         harness.serve_all();
     }
@@ -29,7 +29,7 @@
     let mut harness = Harness::with_nodes(settings(), &[1]);
     let mut in_flight_counts = vec![fill(&mut harness, 1)];
     for round in 1..60 {
-        drain(&mut harness);
+        serve_until_idle(&mut harness);
         harness.advance(PERIOD);
         in_flight_counts.push(fill(&mut harness, 1 + 100 * round));
     }
@@ -44,7 +44,7 @@
         assert_eq!(harness.submit(sample_request(id)).len(), 1);
     }
     harness.advance(50_000);
-    drain(&mut harness);
+    serve_until_idle(&mut harness);
     harness.advance(PERIOD);
     assert_eq!(fill(&mut harness, 10), 5);
 }
@@ -55,7 +55,7 @@
     let mut before = 0;
     for round in 0..8 {
         before = fill(&mut harness, 1 + 100 * round);
-        drain(&mut harness);
+        serve_until_idle(&mut harness);
         harness.advance(PERIOD);
     }
     harness.advance(20_000_000);
--- a/crates/policy/tests/retries.rs
+++ b/crates/policy/tests/retries.rs
@@ -82,7 +82,7 @@
     let mut harness = Harness::with_nodes(settings, &[1]);
     harness.submit(sample_request(1));
     harness.end_attempt(1, 0, 1, AttemptEnd::Error, false, 1_000);
-    assert_eq!(harness.last_sent_requests(), vec![1], "one is free");
+    assert_eq!(harness.last_sent_requests(), vec![1], "one retry is free");
     harness.end_attempt(1, 1, 1, AttemptEnd::Error, false, 1_000);
     assert!(harness.last_sent_requests().is_empty());
     assert_eq!(harness.answer_count(1), 1);
