--- a/crates/policy/src/node.rs
+++ b/crates/policy/src/node.rs
@@ -91,8 +91,8 @@
         self.budget.record_open_units(self.in_flight.units() + self.queue.units());
     }
 
-    /// Closes the budget periods that have ended. Empty periods that are older than both the recent periods
-    /// and the idle time of sessions have no effect and are skipped.
+    /// Closes the budget periods that have ended. Empty periods that are older than the idle time of sessions
+    /// plus the recent periods have no effect and are skipped.
     pub(crate) fn close_periods(&mut self, now: Micros, period: Micros, mean_units: f64) {
         let idle_time = period * SESSION_IDLE_PERIODS;
         let max_history = (ADMISSION_LOOKBACK / period).max(1) as usize;
--- a/crates/policy/src/node_ranking/bucket.rs
+++ b/crates/policy/src/node_ranking/bucket.rs
@@ -57,8 +57,8 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Placement {
     pub(super) bucket: Bucket,
-    /// Time from which the bucket's floor no longer holds for the node; `None` if it holds until the next
-    /// event.
+    /// Time from which the bucket's floor no longer holds for the node; `None` if it holds until the node's
+    /// next update.
     pub(super) expires_at: Option<Micros>,
 }
 
--- a/crates/policy/src/node_ranking/search.rs
+++ b/crates/policy/src/node_ranking/search.rs
@@ -55,7 +55,7 @@
 /// The next member of a bucket, ordered by the lowest score that it can have.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct NextMember {
-    /// Bits of the score; they order like the score itself, which is not negative.
+    /// Bits of the lowest score that it can have; they order like the score itself, which is not negative.
     lowest_score_bits: u64,
     /// Whether the noise is already drawn, so that the score is exact and not just a bound.
     has_noise: bool,
@@ -104,7 +104,7 @@
         Self { buckets, next_members, unit_service_time }
     }
 
-    /// Returns the next node, or `None` if no other can have a score below `to_beat`.
+    /// Returns the next node, or `None` if no other can have a score below `score_limit`.
     pub(super) fn next(&mut self, random: &mut fastrand::Rng, score_limit: Option<f64>) -> Option<DrawnNode> {
         loop {
             let Reverse(next) = self.next_members.pop()?;
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -27,8 +27,8 @@
     pub connect_timeout: Micros,
     /// Idle time after which a connection is closed.
     pub idle_timeout: Micros,
-    /// Time after which nothing may be sent to a node any more that the endpoint list has as draining or
-    /// removed; `None` if there is no such rule.
+    /// Time after the endpoint list marks a node as draining or removed, from which nothing may be sent to
+    /// it; `None` if there is no such rule.
     pub drain_grace: Option<Micros>,
 }
 
--- a/crates/policy/src/slow_start/demand.rs
+++ b/crates/policy/src/slow_start/demand.rs
@@ -93,7 +93,7 @@
     }
 
     /// Returns the probability by the mean number of nodes or, if the maximum is a surge, by the maximum less
-    /// [`SURGE_DEVIATIONS`]: a surge reaches all schedulers at once.
+    /// [`SURGE_DEVIATIONS`] standard deviations: a surge reaches all schedulers at once.
     fn usual_probability(&self, nodes: usize) -> f64 {
         let nodes = nodes.max(1) as f64;
         let max_nodes = (self.span_max.max(self.previous_span_max) as f64).min(nodes);
