--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -13,7 +13,7 @@
 /// Number of nodes that start at the same time.
 const STARTING_NODES: u32 = NODES * 6 / 10;
 const WINDOW: Micros = 2_000_000;
-const SLOW_START: Micros = 16_000_000;
+const SLOW_START_DURATION: Micros = 16_000_000;
 /// Fraction of its capacity that a node starts with.
 const START_FRACTION: f64 = 0.2;
 /// Units that a node can serve within the window when it starts.
@@ -94,7 +94,7 @@
     }
 
     /// Runs one step in which each source has a request with a probability. Returns the requests that were
-    /// sent. Each attempt ends at once as `ending` returns for its scheduler and shard.
+    /// sent. Each attempt ends at once as `simulated_end` returns for its scheduler and shard.
     fn step(
         &mut self,
         now: Micros,
@@ -160,7 +160,7 @@
         sent.retain(|sent| sent.shard < STARTING_NODES);
         sent
     };
-    (0..SLOW_START / 2 / STEP).map(&mut step).collect()
+    (0..SLOW_START_DURATION / 2 / STEP).map(&mut step).collect()
 }
 
 /// Maximum and mean load on the starting nodes within a window, relative to their capacity.
@@ -173,7 +173,7 @@
     let (mut max, mut sum, mut count) = (0.0_f64, 0.0, 0);
     let steps_per_window = (WINDOW / STEP) as usize;
     for first in (0..steps.len() - steps_per_window).step_by(10) {
-        let age = (first as u64 * STEP) as f64 / SLOW_START as f64;
+        let age = (first as u64 * STEP) as f64 / SLOW_START_DURATION as f64;
         let capacity = START_UNITS * (START_FRACTION + (1.0 - START_FRACTION) * age) / START_FRACTION;
         let mut units = [0.0; STARTING_NODES as usize];
         for sent in steps[first..first + steps_per_window].iter().flatten() {
--- a/crates/policy/tests/slow_start_bound.rs
+++ b/crates/policy/tests/slow_start_bound.rs
@@ -12,14 +12,14 @@
 /// Time at which the schedulers start. They have estimates of every node before one goes down.
 const SCHEDULERS_START: Micros = 20_000_000;
 /// Time at which the node goes down.
-const DOWN: Micros = 40_000_000;
+const DOWN_AT: Micros = 40_000_000;
 /// Time at which the node is back, in slow start.
 const START: Micros = 41_000_000;
 const STEP: Micros = 50_000;
 /// Time for which the node is observed, in microseconds; its capacity is lowest right after its start.
-const OBSERVED: Micros = 10_000_000;
+const OBSERVATION_DURATION: Micros = 10_000_000;
 /// Maximum difference between the schedulers' clocks, in microseconds.
-const SKEW: Micros = 50_000;
+const MAX_CLOCK_SKEW: Micros = 50_000;
 /// Maximum delay until the endpoint list notifies a scheduler of the start, in microseconds.
 const MAX_LIST_DELAY: Micros = 2_000_000;
 /// Latency of the node's answers, in microseconds.
@@ -133,7 +133,7 @@
             received: Vec::new(),
         };
         for index in 0..schedulers {
-            let skew = fleet.random.u64(0..SKEW);
+            let skew = fleet.random.u64(0..MAX_CLOCK_SKEW);
             let is_late = scenario.fault == Fault::LateList;
             let list_delay = if is_late { fleet.random.u64(0..MAX_LIST_DELAY) } else { 0 };
             let harness = fleet.start_scheduler(index, SCHEDULERS_START + skew, None);
@@ -202,7 +202,7 @@
         let Member { harness, skew, notified_at } = &mut self.members[index];
         let previous_actions = harness.actions.len();
         harness.advance((now + *skew).saturating_sub(harness.now));
-        Self::end_attempts(harness, (DOWN..START).contains(&now));
+        Self::end_attempts(harness, (DOWN_AT..START).contains(&now));
         if (*notified_at..*notified_at + STEP).contains(&now) {
             let starting = EndpointEntry { started_at: Some(START), ..endpoint(STARTING_NODE) };
             harness.update_endpoints(EndpointUpdateKind::Changes, vec![starting]);
@@ -250,7 +250,7 @@
 }
 
 fn windows(settings: &Settings, received: &[Received]) -> Vec<Window> {
-    let last = START + OBSERVED - settings.overload_window;
+    let last = START + OBSERVATION_DURATION - settings.overload_window;
     let window = |start: Micros| {
         let end = start + settings.overload_window;
         let (mut size, mut notified_size) = (0.0, 0.0);
@@ -279,7 +279,7 @@
 
 fn run_scenario(settings: &Settings, schedulers: u32, scenario: Scenario, seed: u64) -> Run {
     let mut fleet = Fleet::new(settings, schedulers, scenario, seed);
-    for now in (DOWN - 4_000_000..START + OBSERVED).step_by(STEP as usize) {
+    for now in (DOWN_AT - 4_000_000..START + OBSERVATION_DURATION).step_by(STEP as usize) {
         fleet.step(now);
     }
     let windows = windows(settings, &fleet.received);
@@ -297,8 +297,8 @@
 }
 
 /// Guards against twenty or thirty schedulers that each send little and together overload a node in slow
-/// start. The rule is violated if more than two thirds of the load came from schedulers that had been
-/// notified of the start.
+/// start. A load above the bound violates the rule only if more than two thirds of it came from schedulers
+/// that had been notified of the start.
 #[rstest]
 fn many_schedulers_keep_a_node_in_slow_start_within_its_bound(
     #[values(PREDIO_NORTE, GRANITE_SHELF)] json: &str,
--- a/crates/policy/tests/slow_start_total.rs
+++ b/crates/policy/tests/slow_start_total.rs
@@ -10,11 +10,11 @@
 use heathward_policy::*;
 
 const START: Micros = 40_000_000;
-const SLOW_START: Micros = 16_000_000;
+const SLOW_START_DURATION: Micros = 16_000_000;
 const WINDOW: Micros = 1_000_000;
 const STEP: Micros = 20_000;
 /// Maximum difference between the schedulers' clocks, in microseconds.
-const SKEW: Micros = 50_000;
+const MAX_CLOCK_SKEW: Micros = 50_000;
 /// Units that the node can serve within a window when it starts.
 const START_UNITS: f64 = 11.0;
 /// Fraction of its capacity that the node starts with.
@@ -58,10 +58,10 @@
     let mut fleet: Vec<Scheduler> =
         (0..schedulers).map(|index| start_scheduler(settings(index), START - 5_000_000)).collect();
     let mut random = fastrand::Rng::with_seed(u64::from(schedulers));
-    let skews: Vec<Micros> = (0..schedulers).map(|_| random.u64(0..SKEW)).collect();
+    let skews: Vec<Micros> = (0..schedulers).map(|_| random.u64(0..MAX_CLOCK_SKEW)).collect();
     let (mut sent, mut id, mut actions) = (Vec::new(), 0, Vec::new());
     let mut units_by_request = BTreeMap::new();
-    for step in 0..(SLOW_START - SKEW) / STEP {
+    for step in 0..(SLOW_START_DURATION - MAX_CLOCK_SKEW) / STEP {
         let now = START + step * STEP;
         for (index, scheduler) in fleet.iter_mut().enumerate() {
             let local_time = now + skews[index];
@@ -88,7 +88,7 @@
 
 /// Returns the units that the node can serve within a window at an age.
 fn capacity(age: Micros) -> f64 {
-    let growth = (1.0 - START_FRACTION) * age as f64 / SLOW_START as f64;
+    let growth = (1.0 - START_FRACTION) * age as f64 / SLOW_START_DURATION as f64;
     START_UNITS * (START_FRACTION + growth) / START_FRACTION
 }
 
@@ -97,11 +97,11 @@
 fn check_load(schedulers: u32, has_restarts: bool, overload_multiple: f64, max_mean: f64) -> f64 {
     let sent = sent_under_full_load(schedulers, has_restarts, overload_multiple);
     let (mut load_sum, mut windows) = (0.0, 0.0);
-    for start in (START..START + SLOW_START - WINDOW - SKEW).step_by(100_000) {
+    for start in (START..START + SLOW_START_DURATION - WINDOW - MAX_CLOCK_SKEW).step_by(100_000) {
         let in_window = sent.iter().filter(|sent| (start..start + WINDOW).contains(&sent.at));
         let units: f64 = in_window.map(|sent| sent.units).sum();
         // Capacity at the end of the window.
-        let capacity = capacity(start - START + WINDOW + SKEW);
+        let capacity = capacity(start - START + WINDOW + MAX_CLOCK_SKEW);
         let is_bounded = units <= MAX_LOAD * capacity;
         assert!(is_bounded, "{schedulers} schedulers: {units} units of {capacity} at {}", start - START);
         load_sum += units / capacity;
