--- a/crates/policy/src/slow_start/token_bucket/tests.rs
+++ b/crates/policy/src/slow_start/token_bucket/tests.rs
@@ -141,7 +141,7 @@
         let steady_state = &sent[sent.len() / 4..];
         let mean = f64::from(steady_state.iter().sum::<u32>()) / 15.0;
         let max = f64::from(max_in_a_window(steady_state));
-        println!("probability {probability}: {mean:.1} in the mean, {max} at most of {ALLOWANCE}");
+        println!("probability {probability}: {mean:.1} on average, {max} at most of {ALLOWANCE}");
         let is_used = (0.85 * ALLOWANCE..1.1 * ALLOWANCE).contains(&mean);
         assert!(is_used, "probability {probability}: {mean} in a window");
         let bound = ALLOWANCE + 4.0 * ALLOWANCE.sqrt();
--- a/crates/policy/tests/admission.rs
+++ b/crates/policy/tests/admission.rs
@@ -25,8 +25,8 @@
     }
 }
 
-/// Guards against many schedulers that all send at the same moment as their estimate of a long delay becomes
-/// old: they must send a few requests at a time.
+/// Guards against many schedulers that all send at the same moment when their estimates of a long delay
+/// become old: they must send a few requests at a time.
 #[test]
 fn schedulers_with_an_old_estimate_of_a_long_delay_do_not_all_send_at_once() {
     let sent_after = |elapsed| {
--- a/crates/policy/tests/bounded_memory.rs
+++ b/crates/policy/tests/bounded_memory.rs
@@ -23,7 +23,7 @@
     EndpointEntry { shard: ShardId(node % LISTED_NODES), state, ..endpoint(node) }
 }
 
-/// Ends every attempt in flight with what `end` returns.
+/// Ends every attempt in flight with the result that `end` returns.
 fn end_all(harness: &mut Harness, mut end: impl FnMut() -> AttemptEnd) {
     for open in std::mem::take(&mut harness.in_flight) {
         let end = end();
@@ -32,7 +32,7 @@
     }
 }
 
-/// The harness of the run, with its traffic and replacements of nodes.
+/// A run: the harness, the random traffic and the listed nodes.
 struct Run {
     harness: Harness,
     random: fastrand::Rng,
--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -194,7 +194,7 @@
 fn a_hundred_schedulers_use_nodes_in_slow_start_without_overloading_any() {
     for seed in [1, 2, 3] {
         let Loads { max, mean } = loads(&start_nodes(seed, 0.05));
-        println!("seed {seed}: at most {max:.2}, in the mean {mean:.2} of a node's capacity");
+        println!("seed {seed}: at most {max:.2}, on average {mean:.2} of a node's capacity");
         assert!(max < MAX_LOAD, "seed {seed}: {max} times a node's capacity");
         assert!(mean > 0.48 * OVERLOAD_MULTIPLE, "seed {seed}: nodes get {mean} of their capacity");
     }
--- a/crates/policy/tests/settings.rs
+++ b/crates/policy/tests/settings.rs
@@ -44,7 +44,7 @@
     idempotency: &[Idempotency::Idempotent, Idempotency::NotIdempotent],
     client_retries: ClientRetries::Unmarked,
 })]
-fn what_differs_between_deployments_is_read_from_their_settings(
+fn settings_that_differ_between_deployments_are_read(
     #[case] settings_json: &str,
     #[case] expected: Expected,
 ) {
--- a/crates/policy/tests/slow_start_bound.rs
+++ b/crates/policy/tests/slow_start_bound.rs
@@ -312,7 +312,7 @@
         assert!(run.max_bound_fraction <= 1.0, "{} times the bound", run.max_bound_fraction);
         // The test would prove nothing about a fleet that sends little.
         let is_used = load != Load::Full || run.mean_allowed_fraction > 0.1;
-        assert!(is_used, "{} of N in the mean", run.mean_allowed_fraction);
+        assert!(is_used, "{} of N on average", run.mean_allowed_fraction);
     }
 }
 
--- a/crates/policy/tests/slow_start_total.rs
+++ b/crates/policy/tests/slow_start_total.rs
@@ -1,6 +1,5 @@
-//! Many schedulers and one node in slow start: however many requests they have, the mean of their total load
-//! stays near the node's capacity, and in every window the load stays far below the one at which the node
-//! fails.
+//! Many schedulers and one node in slow start: however many requests they have, their total load stays near
+//! the node's capacity on average, and far below the load at which the node fails in every window.
 #![cfg(test)]
 
 mod common;
@@ -92,7 +91,7 @@
     START_UNITS * (START_FRACTION + growth) / START_FRACTION
 }
 
-/// Checks the load sent against the node's capacity: in any window against [`MAX_LOAD`], and in the mean
+/// Checks the load sent against the node's capacity: in any window against [`MAX_LOAD`], and on average
 /// against `max_mean`. Returns the total of the units sent.
 fn check_load(schedulers: u32, has_restarts: bool, overload_multiple: f64, max_mean: f64) -> f64 {
     let sent = sent_under_full_load(schedulers, has_restarts, overload_multiple);
@@ -108,8 +107,8 @@
         windows += 1.0;
     }
     let mean = load_sum / windows;
-    println!("{schedulers} schedulers: {mean:.2} of the capacity in the mean");
-    assert!(mean <= max_mean, "{schedulers} schedulers: {mean} of the capacity in the mean");
+    println!("{schedulers} schedulers: {mean:.2} of the capacity on average");
+    assert!(mean <= max_mean, "{schedulers} schedulers: {mean} of the capacity on average");
     sent.iter().map(|sent| sent.units).sum()
 }
 
