--- a/crates/config/src/operator.rs
+++ b/crates/config/src/operator.rs
@@ -5,7 +5,7 @@
 
 use heathward_event_log::segment::Rotation;
 use heathward_event_log::StorageLimits;
-use heathward_event_recorder::{Clock, Settings};
+use heathward_event_recorder::{ClockSkew, RecorderSettings};
 use heathward_logs::{Filter, Format};
 use heathward_policy::settings::{ConfigError, Deployment, JsonSource, SettingsSource};
 use heathward_transport::nvme::Map;
@@ -48,7 +48,7 @@
     /// The map of the NVMe front, if that front is on.
     pub nvme_map: Option<Map>,
     /// The event recorder, if it is on.
-    pub recorder: Option<Settings>,
+    pub recorder: Option<RecorderSettings>,
 }
 
 /// The format of the log, and which lines are written.
@@ -121,7 +121,7 @@
     Map::parse(&json::to_string(map), deployment.ok_or_else(no_configuration)?).map_err(in_section)
 }
 
-fn recorder(source: &JsonSource<'_>, section: &Value) -> Result<Settings, ConfigError> {
+fn recorder(source: &JsonSource<'_>, section: &Value) -> Result<RecorderSettings, ConfigError> {
     let fields = ["folder", "segmentMb", "segmentSeconds", "totalMb", "waiting", "requests", "clock"];
     reject_unknown_fields(section, "records.", &fields)?;
     let folder = source.required("records.folder")?;
@@ -134,23 +134,23 @@
     if total_bytes < 2 * segment_bytes {
         return Err(invalid("records.totalMb", "less than two segments"));
     }
-    Ok(Settings {
+    Ok(RecorderSettings {
         folder: PathBuf::from(&*folder),
         limits: StorageLimits {
             rotation: Rotation { max_bytes: segment_bytes, max_age: segment_micros },
             max_total_bytes: total_bytes,
         },
-        waiting: WAITING_EVENTS.read(source)? as usize,
-        requests: source.flag("records.requests")?,
-        clock: recorder_clock(source, section)?,
+        queue_capacity: WAITING_EVENTS.read(source)? as usize,
+        records_requests: source.flag("records.requests")?,
+        clock_skew: recorder_clock_skew(source, section)?,
     })
 }
 
 /// The recorder's clock, which is wrong on purpose in rehearsals.
-fn recorder_clock(source: &JsonSource<'_>, records: &Value) -> Result<Clock, ConfigError> {
-    let Some(clock) = section(records, "clock") else { return Ok(Clock::default()) };
+fn recorder_clock_skew(source: &JsonSource<'_>, records: &Value) -> Result<ClockSkew, ConfigError> {
+    let Some(clock) = section(records, "clock") else { return Ok(ClockSkew::default()) };
     reject_unknown_fields(clock, "records.clock.", &["offsetMs", "stepAfterMs", "stepMs"])?;
-    Ok(Clock {
+    Ok(ClockSkew {
         offset_ms: source.number_or("records.clock.offsetMs", 0)?,
         step_after_ms: source.number_or("records.clock.stepAfterMs", 0)?,
         step_ms: source.number_or("records.clock.stepMs", 0)?,
--- a/crates/config/tests/operator_file.rs
+++ b/crates/config/tests/operator_file.rs
@@ -47,16 +47,16 @@
         writeln!(text, "target node={} subsystem={}", target.node, target.subsystem).unwrap();
     }
     let Some(records) = &operator.recorder else { panic!("no records") };
-    let (rotation, clock) = (&records.limits.rotation, &records.clock);
+    let (rotation, clock) = (&records.limits.rotation, &records.clock_skew);
     writeln!(text, "records.folder={}", records.folder.display()).unwrap();
     writeln!(text, "records.segment bytes={} micros={}", rotation.max_bytes, rotation.max_age).unwrap();
     writeln!(
         text,
         "records.total bytes={}\nrecords.waiting={}",
-        records.limits.max_total_bytes, records.waiting
+        records.limits.max_total_bytes, records.queue_capacity
     )
     .unwrap();
-    writeln!(text, "records.requests={}", records.requests).unwrap();
+    writeln!(text, "records.requests={}", records.records_requests).unwrap();
     write!(text, "records.clock offset_ms={} ", clock.offset_ms).unwrap();
     writeln!(text, "step_after_ms={} step_ms={}", clock.step_after_ms, clock.step_ms).unwrap();
     text
@@ -84,5 +84,8 @@
     assert!(operator.nvme_map.is_none() && operator.recorder.is_none());
     let least = OperatorSettings::parse(r#"{"records":{"folder":"/r"}}"#, None).unwrap().recorder.unwrap();
     assert_eq!((least.limits.rotation.max_bytes, least.limits.rotation.max_age), (16 << 20, 600_000_000));
-    assert_eq!((least.limits.max_total_bytes, least.waiting, least.requests), (512 << 20, 8192, false));
+    assert_eq!(
+        (least.limits.max_total_bytes, least.queue_capacity, least.records_requests),
+        (512 << 20, 8192, false)
+    );
 }
--- a/crates/event-recorder/src/lib.rs
+++ b/crates/event-recorder/src/lib.rs
@@ -21,7 +21,7 @@
 use tokio::time::Instant;
 
 /// How long the program waits at its end for the last events to be written.
-pub const LAST_WRITES: Duration = Duration::from_millis(100);
+pub const FINAL_WRITE_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// Open requests that are followed at a time, where each request is recorded; further ones count as lost
 /// events.
@@ -35,22 +35,22 @@
 
 /// What is recorded, where, and how much of it is kept.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Settings {
+pub struct RecorderSettings {
     /// The folder of the segments.
     pub folder: PathBuf,
     /// How much is kept.
     pub limits: StorageLimits,
     /// The capacity of the queue before the writer, in events.
-    pub waiting: usize,
+    pub queue_capacity: usize,
     /// Whether each request is recorded with its attempts.
-    pub requests: bool,
+    pub records_requests: bool,
     /// A clock that is wrong on purpose, for rehearsals.
-    pub clock: Clock,
+    pub clock_skew: ClockSkew,
 }
 
 /// How the clock of the records differs from that of the machine. All zero in production.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Clock {
+pub struct ClockSkew {
     /// Milliseconds by which it is ahead.
     pub offset_ms: i64,
     /// Milliseconds after the start at which it is set.
@@ -59,7 +59,7 @@
     pub step_ms: i64,
 }
 
-impl Clock {
+impl ClockSkew {
     /// The time of the wall clock at a moment, possibly in the past, so long after the start.
     fn wall_clock(self, start: Instant, monotonic: Micros) -> Micros {
         let moment = start + Duration::from_micros(monotonic);
@@ -85,7 +85,7 @@
 /// Records as long as it lives; its last events are sent when it is dropped.
 pub struct Recorder {
     sender: EventSender,
-    clock: Clock,
+    clock: ClockSkew,
     start: Instant,
     second: Second,
     /// Requests that have not ended, or whose attempt has not; `None` unless each request is recorded.
@@ -112,19 +112,19 @@
     /// # Errors
     /// The system's, where no thread can be started.
     pub fn start(
-        settings: &Settings,
+        settings: &RecorderSettings,
         name: &str,
         boot: u64,
         deployment: &Deployment,
     ) -> std::io::Result<(Self, Writer)> {
-        let (sender, events) = event_channel(settings.waiting);
+        let (sender, events) = event_channel(settings.queue_capacity);
         let opened = segment_opened(settings, name, boot, deployment);
         let writer = Writer::start(Folder(settings.folder.clone()), events, opened, settings.limits)?;
-        Ok((Self::new(sender, settings.clock, settings.requests), writer))
+        Ok((Self::new(sender, settings.clock_skew, settings.records_requests), writer))
     }
 
     /// A recorder that sends its events to `sender`.
-    pub fn new(sender: EventSender, clock: Clock, requests: bool) -> Self {
+    pub fn new(sender: EventSender, clock: ClockSkew, requests: bool) -> Self {
         let followed_requests = requests.then(HashMap::new);
         let (start, second) = (Instant::now(), Second::default());
         let mut new = Self { sender, clock, start, second, followed_requests };
@@ -246,7 +246,12 @@
 }
 
 /// The first event of each segment.
-fn segment_opened(settings: &Settings, name: &str, boot: u64, deployment: &Deployment) -> SegmentOpened {
+fn segment_opened(
+    settings: &RecorderSettings,
+    name: &str,
+    boot: u64,
+    deployment: &Deployment,
+) -> SegmentOpened {
     let policy = &deployment.settings;
     let class = |(name, class): (&String, &ClassSettings)| {
         let with_key = class.idempotency == Idempotency::WithKey;
@@ -269,7 +274,7 @@
         slow_start_fraction: policy.slow_start_fraction,
         slow_start_duration: policy.slow_start_duration,
         overload_window: policy.overload_window,
-        records_requests: settings.requests,
+        records_requests: settings.records_requests,
     }
 }
 
--- a/crates/event-recorder/tests/recorder.rs
+++ b/crates/event-recorder/tests/recorder.rs
@@ -9,7 +9,7 @@
     event_channel, AttemptEnd, Event, EventReceiver, FailureReason, Lifecycle, NodeSecond, NodeState, Record,
     RequestOutcome, RequestRecord, ShedReason, StateChangeCause,
 };
-use heathward_event_recorder::{Clock, Recorder};
+use heathward_event_recorder::{ClockSkew, Recorder};
 use heathward_fakes::{full_node, http_node, member, nobody, request, rig, Does, Log, Rig};
 use heathward_policy::{AttemptEnd as PolicyAttemptEnd, ClassId, PlanId, RequestId, VolumeId};
 use rstest::rstest;
@@ -21,7 +21,7 @@
     let rig = rig(members, None).await;
     rig.until(|counters| counters.endpoint_updates == 1).await;
     let (sender, waiting) = event_channel(4096);
-    rig.core.set_observer(Some(Box::new(Recorder::new(sender, Clock::default(), requests)))).await;
+    rig.core.set_observer(Some(Box::new(Recorder::new(sender, ClockSkew::default(), requests)))).await;
     (rig, waiting)
 }
 
@@ -216,7 +216,7 @@
     #[case] ends: &[AttemptEnd],
 ) {
     let (sender, waiting) = event_channel(4096);
-    let mut recorder = Recorder::new(sender, Clock::default(), true);
+    let mut recorder = Recorder::new(sender, ClockSkew::default(), true);
     let start = Instant::now();
     recorder.observe(start, Step::Received.observation());
     for step in steps {
@@ -240,7 +240,7 @@
 #[tokio::test]
 async fn a_request_whose_attempt_is_in_flight_at_the_end_is_recorded() {
     let (sender, waiting) = event_channel(4096);
-    let mut recorder = Recorder::new(sender, Clock::default(), true);
+    let mut recorder = Recorder::new(sender, ClockSkew::default(), true);
     for step in [Step::Received, Step::Sent, Step::RequestEnded] {
         recorder.observe(Instant::now(), step.observation());
     }
--- a/crates/scheduler/src/recording.rs
+++ b/crates/scheduler/src/recording.rs
@@ -6,7 +6,7 @@
 
 use heathward_core::CoreHandle;
 use heathward_event_log::Writer;
-use heathward_event_recorder::{Recorder, Settings, LAST_WRITES};
+use heathward_event_recorder::{Recorder, RecorderSettings, FINAL_WRITE_TIMEOUT};
 use tokio::time::{sleep_until, Instant};
 
 /// How often the end of the writer thread is polled.
@@ -20,7 +20,7 @@
 
 /// A recorder that runs.
 struct ActiveRecording {
-    settings: Settings,
+    settings: RecorderSettings,
     writer: Writer,
     /// The faults that were logged.
     reported: DiskFaults,
@@ -38,7 +38,12 @@
 impl EventRecording {
     /// Records events as the settings say, or not at all without settings. A recorder that runs with the
     /// same settings goes on. One that cannot start is logged, and the scheduler serves without it.
-    pub async fn apply(&mut self, settings: Option<Settings>, scheduler_name: &str, core: &CoreHandle) {
+    pub async fn apply(
+        &mut self,
+        settings: Option<RecorderSettings>,
+        scheduler_name: &str,
+        core: &CoreHandle,
+    ) {
         if self.active.as_ref().map(|active| &active.settings) == settings.as_ref() {
             return;
         }
@@ -57,12 +62,12 @@
         }
     }
 
-    /// Stops recording and waits for the last events to be written, at most [`LAST_WRITES`]: a disk that
-    /// does not respond must not hold up the shutdown.
+    /// Stops recording and waits for the last events to be written, at most [`FINAL_WRITE_TIMEOUT`]: a disk
+    /// that does not respond must not hold up the shutdown.
     pub async fn stop(&mut self, core: &CoreHandle) {
         let Some(ActiveRecording { writer, .. }) = self.active.take() else { return };
         core.set_observer(None).await;
-        let deadline = Instant::now() + LAST_WRITES;
+        let deadline = Instant::now() + FINAL_WRITE_TIMEOUT;
         while !writer.is_finished() && Instant::now() < deadline {
             sleep_until(Instant::now() + WRITER_POLL_INTERVAL).await;
         }
--- a/testing/measure/src/report.rs
+++ b/testing/measure/src/report.rs
@@ -9,7 +9,7 @@
 use heathward_core::observe::{Observation, Observer};
 use heathward_event_log::segment::Rotation;
 use heathward_event_log::{event_channel, Disk, SegmentOpened, StorageLimits, Writer};
-use heathward_event_recorder::{Clock, Recorder};
+use heathward_event_recorder::{ClockSkew, Recorder};
 use heathward_fakes::staged::{stage, unaccounted, untrue, SCHEDULERS};
 use heathward_fakes::{
     answer, config_text, hour, http_node, member, request, rig, Does, Log, Program, PATIENCE,
@@ -287,7 +287,7 @@
     let limits = StorageLimits { rotation, max_total_bytes: 1 << 30 };
     let writer =
         Writer::start(disk.clone(), waiting, SegmentOpened::default(), limits).expect("a thread to spare");
-    let recorder = Recorder::new(sender, Clock::default(), true);
+    let recorder = Recorder::new(sender, ClockSkew::default(), true);
     rig.core.set_observer(Some(Box::new(Timed(recorder, longest.clone())))).await;
     let mut stream = TcpStream::connect(rig.front).await.expect("a front that listens");
     for id in 0..2000 {
