--- a/crates/core/src/actor/decisions.rs
+++ b/crates/core/src/actor/decisions.rs
@@ -11,7 +11,7 @@
 
 /// The policy's clock counts complete microseconds, so the policy may act on a deadline slightly before its
 /// instant. A deadline counts as passed this much early, which is ample for that.
-const CLOCK_ROUNDING: Duration = Duration::from_millis(1);
+const DEADLINE_TOLERANCE: Duration = Duration::from_millis(1);
 
 impl Actor {
     /// Notifies the policy of the timers that are due.
@@ -61,7 +61,7 @@
     fn fail_request(&mut self, request: RequestId) {
         let Some(open) = self.requests.get(request) else { return };
         let possibly_executed = open.is_possibly_executed();
-        let deadline_passed = Instant::now() + CLOCK_ROUNDING >= open.request.deadline;
+        let deadline_passed = Instant::now() + DEADLINE_TOLERANCE >= open.request.deadline;
         self.answer_request(request, Some(Answer::Failed { possibly_executed, deadline_passed }));
     }
 }
--- a/crates/core/src/actor/endpoint_updates.rs
+++ b/crates/core/src/actor/endpoint_updates.rs
@@ -87,11 +87,11 @@
         }
         let address_changed = node.endpoint.address != endpoint.address;
         if endpoint.state == NodeState::Removed {
-            self.nodes.unlist(id, Instant::now());
+            self.nodes.mark_unlisted(id, Instant::now());
         } else if address_changed || !node.is_listed() {
             // The task that served the old address ends by itself once its attempts have ended.
             if let Some(sender) = self.connections.connect(&endpoint) {
-                self.nodes.list(id, sender);
+                self.nodes.mark_listed(id, sender);
             }
         }
         self.nodes.update(id, endpoint);
--- a/crates/core/src/actor/mod.rs
+++ b/crates/core/src/actor/mod.rs
@@ -145,14 +145,14 @@
     Control(ControlMessage),
     Message(CoreMessage),
     /// Only what every turn does: a client has disconnected, a timer is due, or an update was applied.
-    Nothing,
+    Housekeeping,
 }
 
 impl Actor {
     async fn run(mut self, mut inbox: Inbox) {
-        let mut stalls = StallDetector::new(Instant::now());
+        let mut stall_detector = StallDetector::new(Instant::now());
         while let Some(work) = self.wait_for_turn(&mut inbox).await {
-            if stalls.record_turn(Instant::now()) {
+            if stall_detector.record_turn(Instant::now()) {
                 for message in take_pending_updates(&mut inbox.discovery).await {
                     self.handle_message(message);
                 }
@@ -172,12 +172,12 @@
             Some(message) = inbox.control.recv() => Some(TurnWork::Control(message)),
             Some(message) = inbox.discovery.recv() => {
                 self.handle_message(message);
-                Some(TurnWork::Nothing)
+                Some(TurnWork::Housekeeping)
             }
-            () = self.client_disconnects.notified() => Some(TurnWork::Nothing),
+            () = self.client_disconnects.notified() => Some(TurnWork::Housekeeping),
             message = inbox.messages.recv() => message.map(TurnWork::Message),
             () = tokio::time::sleep_until(timer.unwrap_or_else(Instant::now)), if timer.is_some() => {
-                Some(TurnWork::Nothing)
+                Some(TurnWork::Housekeeping)
             }
         }
     }
@@ -201,7 +201,7 @@
         match work {
             TurnWork::Control(message) => self.handle_control(message),
             TurnWork::Message(message) => self.handle_message(message),
-            TurnWork::Nothing => {}
+            TurnWork::Housekeeping => {}
         }
         self.check_lease(Instant::now());
         let now = Instant::now();
--- a/crates/core/src/actor/nodes.rs
+++ b/crates/core/src/actor/nodes.rs
@@ -135,7 +135,7 @@
     /// The other nodes, by when they left the list.
     unlisted: BTreeSet<(Instant, NodeId)>,
     /// Nodes whose treatment may change by the passage of time, by when it is checked next.
-    checks: BTreeSet<(Instant, NodeId)>,
+    scheduled_checks: BTreeSet<(Instant, NodeId)>,
 }
 
 impl NodeTable {
@@ -204,7 +204,7 @@
     }
 
     /// Records that a node is in the endpoint list, with the channel for its attempts.
-    pub(super) fn list(&mut self, id: NodeId, attempts: mpsc::Sender<Attempt>) {
+    pub(super) fn mark_listed(&mut self, id: NodeId, attempts: mpsc::Sender<Attempt>) {
         let Some(node) = self.by_id.get_mut(&id) else { return };
         if let Listing::Unlisted(since) = std::mem::replace(&mut node.listing, Listing::Listed(attempts)) {
             self.unlisted.remove(&(since, id));
@@ -213,7 +213,7 @@
     }
 
     /// Records that a node is no longer in the endpoint list.
-    pub(super) fn unlist(&mut self, id: NodeId, now: Instant) {
+    pub(super) fn mark_unlisted(&mut self, id: NodeId, now: Instant) {
         let Some(node) = self.by_id.get_mut(&id).filter(|node| node.is_listed()) else { return };
         node.listing = Listing::Unlisted(now);
         self.unlisted.insert((now, id));
@@ -231,7 +231,7 @@
         let listed = self.listed().map(|(id, _)| id);
         let missing: Vec<NodeId> = listed.filter(|id| !named.contains(id)).collect();
         for &id in &missing {
-            self.unlist(id, now);
+            self.mark_unlisted(id, now);
             if let Some(node) = self.by_id.get_mut(&id) {
                 // A node that was listed as draining has drained since that revision, not since this one.
                 node.drain_revision = node.drain_revision.or(Some(revision));
@@ -347,7 +347,11 @@
     }
 
     /// Records that the observer is told how a node is treated. Returns the node if that is new.
-    pub(super) fn report_treatment(&mut self, id: NodeId, treatment: NodeTreatment) -> Option<&Node> {
+    pub(super) fn record_reported_treatment(
+        &mut self,
+        id: NodeId,
+        treatment: NodeTreatment,
+    ) -> Option<&Node> {
         let node = self.by_id.get_mut(&id)?;
         let previous = node.reported_treatment.replace(treatment);
         (previous != Some(treatment)).then_some(&*node)
@@ -367,15 +371,15 @@
     pub(super) fn schedule_check(&mut self, id: NodeId, at: Option<Instant>) {
         let Some(node) = self.by_id.get_mut(&id).filter(|node| node.next_check != at) else { return };
         if let Some(previous) = std::mem::replace(&mut node.next_check, at) {
-            self.checks.remove(&(previous, id));
+            self.scheduled_checks.remove(&(previous, id));
         }
-        self.checks.extend(at.map(|at| (at, id)));
+        self.scheduled_checks.extend(at.map(|at| (at, id)));
     }
 
     /// Takes the nodes whose checks are due, in the order of their numbers.
     pub(super) fn take_due_checks(&mut self, now: Instant) -> Vec<NodeId> {
         let mut due = Vec::new();
-        while let Some(&(_, id)) = self.checks.first().filter(|(at, _)| *at <= now) {
+        while let Some(&(_, id)) = self.scheduled_checks.first().filter(|(at, _)| *at <= now) {
             self.schedule_check(id, None);
             due.push(id);
         }
--- a/crates/core/src/actor/nodes/tests.rs
+++ b/crates/core/src/actor/nodes/tests.rs
@@ -16,7 +16,7 @@
 
 fn list_node(nodes: &mut NodeTable, number: u32, zone: &str) -> NodeId {
     let id = nodes.find_or_add(&endpoint(number, zone), 1, SendGate::default);
-    nodes.list(id, mpsc::channel(1).0);
+    nodes.mark_listed(id, mpsc::channel(1).0);
     id
 }
 
@@ -32,7 +32,7 @@
     let ids: Vec<NodeId> = (0..FLEET_SIZE).map(|number| list_node(&mut nodes, number, "a")).collect();
     assert_eq!((nodes.listed_count(), nodes.unlisted.len()), (FLEET_SIZE as usize, 0));
     for (second, id) in (0..).zip(&ids[..100]) {
-        nodes.unlist(*id, at(start, second));
+        nodes.mark_unlisted(*id, at(start, second));
         nodes.forget_expired(at(start, second));
         let retained = second.min(59) as usize + 1;
         let sizes = (nodes.unlisted.len(), nodes.ids_by_name.len());
@@ -52,13 +52,13 @@
 async fn a_node_that_returns_within_a_minute_keeps_its_number_and_is_not_forgotten() {
     let (mut nodes, start) = (NodeTable::default(), Instant::now());
     let first = list_node(&mut nodes, 1, "a");
-    nodes.unlist(first, start);
-    nodes.unlist(first, at(start, 50));
+    nodes.mark_unlisted(first, start);
+    nodes.mark_unlisted(first, at(start, 50));
     nodes.forget_expired(at(start, 59));
     assert_eq!(list_node(&mut nodes, 1, "a"), first);
     nodes.forget_expired(at(start, 1_000));
     assert!(nodes.get(first).is_some_and(Node::is_listed) && nodes.listed_count() == 1);
-    nodes.unlist(first, at(start, 1_000));
+    nodes.mark_unlisted(first, at(start, 1_000));
     nodes.forget_expired(at(start, 1_060));
     assert_eq!((nodes.find("s-1"), nodes.by_id.len()), (None, 0));
     assert_ne!(list_node(&mut nodes, 1, "a"), first);
@@ -74,7 +74,7 @@
     assert_eq!((zones(&nodes), nodes.zones.len()), (vec![0, 1, 0], 2));
     nodes.update(ids[0], endpoint(0, "b"));
     assert_eq!((zones(&nodes), nodes.zones.len()), (vec![1, 1, 0], 2));
-    nodes.unlist(ids[2], start);
+    nodes.mark_unlisted(ids[2], start);
     nodes.forget_expired(start + UNLISTED_NODE_RETENTION);
     assert_eq!(nodes.zones.len(), 1);
 }
@@ -92,7 +92,7 @@
     assert_eq!(nodes.take_due_checks(start), []);
     assert_eq!(nodes.take_due_checks(at(start, 2)), ids[..2]);
     nodes.schedule_check(ids[0], Some(at(start, 70)));
-    nodes.unlist(ids[0], start);
+    nodes.mark_unlisted(ids[0], start);
     nodes.forget_expired(at(start, 60));
-    assert_eq!((nodes.take_due_checks(at(start, 99)), nodes.checks.len()), (vec![], 0));
+    assert_eq!((nodes.take_due_checks(at(start, 99)), nodes.scheduled_checks.len()), (vec![], 0));
 }
--- a/crates/core/src/actor/observation.rs
+++ b/crates/core/src/actor/observation.rs
@@ -83,8 +83,8 @@
                 // If the policy expects no change before the end, one check at the end is enough. Otherwise
                 // the start is only presumed, and the policy may revoke it at any time, so the next tick
                 // checks again.
-                let lasts = treatment_at(end - 1) == treatment;
-                Some(if lasts { self.policy.instant_at(end) } else { at })
+                let lasts_until_end = treatment_at(end - 1) == treatment;
+                Some(if lasts_until_end { self.policy.instant_at(end) } else { at })
             }
             _ => None,
         };
@@ -96,7 +96,7 @@
             }
         };
         let unused_check = is_unused.then_some(at + UNUSED_NODE_CHECK_INTERVAL);
-        if let Some(node) = self.nodes.report_treatment(id, treatment) {
+        if let Some(node) = self.nodes.record_reported_treatment(id, treatment) {
             let node = &node.endpoint.id;
             self.observer.observe_at(at, Observation::NodeTreatmentChanged { node, treatment, cause });
         }
--- a/crates/core/src/actor/open_requests.rs
+++ b/crates/core/src/actor/open_requests.rs
@@ -16,7 +16,7 @@
 const OVERDUE_GRACE: Duration = Duration::from_millis(5);
 
 /// An answer that must reach the client by half of the request's time is given this much earlier.
-const ANSWER_TRAVEL_MARGIN: Duration = Duration::from_millis(10);
+const ANSWER_DELIVERY_MARGIN: Duration = Duration::from_millis(10);
 
 /// A request that has no answer yet, or whose attempt is still in flight.
 pub(super) struct OpenRequest {
@@ -25,7 +25,7 @@
     pub(super) id_guard: Option<ClientRequestIdGuard>,
     received_at: Instant,
     /// An attempt that is sent before this instant must find a connection by it. It is half of the request's
-    /// time, less [`ANSWER_TRAVEL_MARGIN`].
+    /// time, less [`ANSWER_DELIVERY_MARGIN`].
     early_connect_deadline: Instant,
     /// Where the one answer goes; taken by that answer.
     reply: Option<oneshot::Sender<Answer>>,
@@ -82,7 +82,7 @@
     ) -> Self {
         let time_budget = request.deadline.saturating_duration_since(received_at);
         Self {
-            early_connect_deadline: received_at + (time_budget / 2).saturating_sub(ANSWER_TRAVEL_MARGIN),
+            early_connect_deadline: received_at + (time_budget / 2).saturating_sub(ANSWER_DELIVERY_MARGIN),
             request,
             id_guard: Some(id_guard),
             received_at,
@@ -185,7 +185,7 @@
     /// The client request ids of these, and of replies that are still being streamed.
     client_ids: ClientRequestIds,
     /// All requests without an answer, by when the core answers them itself.
-    answer_limits: BTreeSet<(Instant, RequestId)>,
+    overdue_schedule: BTreeSet<(Instant, RequestId)>,
     /// No request gets more time than that; set once the program shuts down.
     shutdown_deadline: Option<Instant>,
 }
@@ -207,7 +207,7 @@
     }
 
     pub(super) fn insert(&mut self, id: RequestId, open: OpenRequest) {
-        self.answer_limits.insert((open.overdue_at(), id));
+        self.overdue_schedule.insert((open.overdue_at(), id));
         self.by_id.insert(id, open);
     }
 
@@ -237,7 +237,7 @@
             attempts: open.attempts,
             last_attempt_end: open.last_attempt_end,
         };
-        self.answer_limits.remove(&(open.overdue_at(), id));
+        self.overdue_schedule.remove(&(open.overdue_at(), id));
         if open.in_flight.is_none() {
             self.by_id.remove(&id);
         }
@@ -251,7 +251,7 @@
 
     /// Number of requests without an answer.
     pub(super) fn unanswered_count(&self) -> usize {
-        self.answer_limits.len()
+        self.overdue_schedule.len()
     }
 
     /// Number of requests without an answer and of replies that are being streamed.
@@ -261,13 +261,13 @@
 
     /// When the core answers a request itself next.
     pub(super) fn next_overdue(&self) -> Option<Instant> {
-        self.answer_limits.first().map(|(at, _)| *at)
+        self.overdue_schedule.first().map(|(at, _)| *at)
     }
 
     /// Removes a request that is overdue from the schedule.
     pub(super) fn pop_overdue(&mut self, now: Instant) -> Option<RequestId> {
-        let &(at, id) = self.answer_limits.first().filter(|(at, _)| *at <= now)?;
-        self.answer_limits.remove(&(at, id));
+        let &(at, id) = self.overdue_schedule.first().filter(|(at, _)| *at <= now)?;
+        self.overdue_schedule.remove(&(at, id));
         Some(id)
     }
 
@@ -275,13 +275,13 @@
     /// platform lets the program run, and the end of their connection is no answer.
     pub(super) fn set_shutdown_deadline(&mut self, deadline: Instant) {
         self.shutdown_deadline = Some(deadline);
-        let first_later = (deadline + OVERDUE_GRACE, RequestId(0));
+        let first_too_late = (deadline + OVERDUE_GRACE, RequestId(0));
         // The limits are ordered by time, so this takes those that are later than the new one.
-        for (_, id) in self.answer_limits.split_off(&first_later) {
+        for (_, id) in self.overdue_schedule.split_off(&first_too_late) {
             // Each request that has a limit is in the table.
             if let Some(open) = self.by_id.get_mut(&id) {
                 open.request.deadline = deadline;
-                self.answer_limits.insert((open.overdue_at(), id));
+                self.overdue_schedule.insert((open.overdue_at(), id));
             }
         }
     }
--- a/crates/core/src/actor/published.rs
+++ b/crates/core/src/actor/published.rs
@@ -83,7 +83,7 @@
 
 /// Applies a change and returns whether the value is different from before.
 fn modify<T: Copy + PartialEq>(value: &mut T, change: impl FnOnce(&mut T)) -> bool {
-    let before = *value;
+    let previous = *value;
     change(value);
-    before != *value
+    previous != *value
 }
--- a/crates/core/src/endpoint_lease/tests.rs
+++ b/crates/core/src/endpoint_lease/tests.rs
@@ -6,7 +6,7 @@
     start + Duration::from_secs_f64(seconds)
 }
 
-fn limited(start: Instant) -> EndpointLease {
+fn limited_lease(start: Instant) -> EndpointLease {
     let mut lease = EndpointLease::new(start);
     lease.set_limits(true, None);
     lease
@@ -32,7 +32,7 @@
     let start = Instant::now();
     let unlimited = EndpointLease::new(start);
     assert!(valid_tenths(&unlimited, start) == [0..=199] && unlimited.next_change(start).is_none());
-    let mut lease = limited(start);
+    let mut lease = limited_lease(start);
     assert_eq!(
         valid_tenths(&lease, start),
         [10..=59],
@@ -119,7 +119,7 @@
 #[test]
 fn after_a_discovery_move_the_lease_lasts_for_4_s_without_contact() {
     let start = Instant::now();
-    let mut lease = limited(start);
+    let mut lease = limited_lease(start);
     lease.record_contact(at(start, 10.0));
     lease.record_discovery_move(at(start, 11.0));
     assert_eq!(lease.expires_at(), Some(at(start, 15.0)));
@@ -135,7 +135,7 @@
 #[test]
 fn the_lease_on_a_handed_over_list_is_valid_at_once_and_for_2_s() {
     let start = Instant::now();
-    let mut lease = limited(start);
+    let mut lease = limited_lease(start);
     lease.record_takeover(at(start, 0.2));
     assert_eq!(valid_tenths(&lease, start), [2..=21]);
     lease.record_contact(at(start, 1.0));
--- a/crates/core/src/stall_detection.rs
+++ b/crates/core/src/stall_detection.rs
@@ -16,7 +16,7 @@
 /// How often all other tasks are given a turn. An update passes three tasks between its socket and the core
 /// (connection, watch reader, discovery actor), each of which needs a turn, and the runtime polls the
 /// operating system for input only between turns.
-const HANDOFF_ROUNDS: u32 = 8;
+const YIELD_ROUNDS: u32 = 8;
 
 /// Remembers when the core had its last turn.
 #[derive(Clone, Copy, Debug)]
@@ -42,7 +42,7 @@
 /// Takes the messages from discovery that had reached this machine when the process resumed.
 pub(crate) async fn take_pending_updates(discovery: &mut mpsc::Receiver<CoreMessage>) -> Vec<CoreMessage> {
     let mut pending = Vec::new();
-    for _ in 0..HANDOFF_ROUNDS {
+    for _ in 0..YIELD_ROUNDS {
         tokio::task::yield_now().await;
         pending.extend(std::iter::from_fn(|| discovery.try_recv().ok()));
     }
--- a/crates/core/src/stall_detection/tests.rs
+++ b/crates/core/src/stall_detection/tests.rs
@@ -3,10 +3,10 @@
 #[tokio::test(start_paused = true)]
 async fn updates_that_arrived_during_a_stall_are_taken_before_a_request() {
     let (discovery_actor, mut discovery) = mpsc::channel(4);
-    let mut stalls = StallDetector::new(Instant::now());
+    let mut stall_detector = StallDetector::new(Instant::now());
     assert!(
-        !stalls.record_turn(Instant::now() + STALL_THRESHOLD / 2)
-            && stalls.record_turn(Instant::now() + STALL_THRESHOLD * 2)
+        !stall_detector.record_turn(Instant::now() + STALL_THRESHOLD / 2)
+            && stall_detector.record_turn(Instant::now() + STALL_THRESHOLD * 2)
     );
     // Three tasks hand the message on, one after the other, as between a socket and the core.
     let (connection, mut from_connection) = mpsc::channel(1);
