--- a/crates/core/src/actor/attempts.rs
+++ b/crates/core/src/actor/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: the one place that sends them, and what follows from how each ended.
+//! Sends attempts to nodes and handles their ends.
 
 use tokio::time::Instant;
 
@@ -9,7 +9,7 @@
 use crate::{Answer, Attempt, EndedAttempt, NodeReply, StreamedReply, WriteCompletion, WrittenAttempts};
 use heathward_policy::{AttemptEnd, AttemptOutcome, Event, Micros, NodeId, RequestId};
 
-/// Which attempt it is.
+/// Identifies one attempt of a request at a node.
 #[derive(Clone, Copy)]
 struct AttemptKey {
     request: RequestId,
@@ -18,9 +18,10 @@
 }
 
 impl Actor {
-    /// The one place where attempts are sent. It prevents two attempts of a request at the same time, and
-    /// attempts after the final answer, the deadline, or the deduplication window of an idempotency key.
-    /// If nothing was sent, the policy is notified of that.
+    /// Sends an attempt of a request to a node. All attempts are sent here, so that a request never has two
+    /// attempts in flight, and none is sent after the final answer, after the deadline, or after the
+    /// deduplication window of the idempotency key. If the attempt cannot be sent, the policy is notified
+    /// with [`AttemptEnd::NotSent`].
     pub(super) fn send_attempt(&mut self, request: RequestId, node: NodeId, timeout: Option<Micros>) {
         let now = Instant::now();
         let Some(open) = self.requests.get_mut(request) else { return };
@@ -50,7 +51,8 @@
         }
     }
 
-    /// Answers the request if its attempt was served, and notifies the policy of the end of the attempt.
+    /// Handles the end of an attempt: answers the request if the attempt was served, and notifies the
+    /// policy.
     pub(super) fn attempt_ended(&mut self, attempt: EndedAttempt) {
         let EndedAttempt { request, number, node, end, reply } = attempt;
         let Some(open) = self.requests.get_mut(request) else { return };
@@ -94,8 +96,8 @@
     }
 }
 
-/// Hands an attempt to the connections of a node. `None` if nothing may be sent to the node, or its channel
-/// is full.
+/// Passes an attempt to the connections of a node. Returns `None` if the node's send gate is closed, the
+/// node is not in the endpoint list, or its channel is full.
 fn try_send(attempt: Attempt, target: &Node, now: Instant) -> Option<InFlightAttempt> {
     if target.send_gate.is_closed() {
         return None;
@@ -116,7 +118,8 @@
     }
 }
 
-/// The outcome of an attempt for the policy. Nodes behind this core report no load.
+/// Builds the outcome of an attempt for the policy. The load fields are `None`, because the nodes that this
+/// core drives report no load.
 fn attempt_outcome(
     key: AttemptKey,
     end: AttemptEnd,
@@ -136,7 +139,8 @@
     }
 }
 
-/// A reply that is streamed keeps the client's request id reserved until its last byte.
+/// Moves the guard of the client's request id into a streamed reply, so that the id stays reserved until
+/// the reply has been streamed.
 fn keep_id_while_streaming(reply: NodeReply, open: &mut OpenRequest) -> NodeReply {
     match reply {
         NodeReply::Streamed(reply) => {
--- a/crates/core/src/actor/commands.rs
+++ b/crates/core/src/actor/commands.rs
@@ -1,4 +1,4 @@
-//! Commands of operators, which also come from the peer process during a handover.
+//! Runs the commands of operators. During a handover they also come from the peer process.
 
 use tokio::sync::oneshot;
 use tokio::time::Instant;
@@ -8,7 +8,8 @@
 use crate::{CommandError, ForwardedCommand, OperatorCommand};
 
 impl Actor {
-    /// Carries a command out here, and has the peer process, if there is one, do the same.
+    /// Runs a command in this process. If it succeeds and did not come from the peer process, it is
+    /// forwarded to the peer process, if there is one, which then sends the reply.
     pub(super) fn run_command(
         &mut self,
         command: OperatorCommand,
@@ -24,26 +25,27 @@
         if result.is_ok() && !from_peer_process {
             self.peer_process.forward(ForwardedCommand { command, reply });
         } else {
-            // Whoever asked for it may have left.
+            // The requester may have dropped the receiver.
             let _ = reply.send(result);
         }
     }
 
-    /// Pauses or resumes the scheduler. This can't fail; the result is that of any command.
+    /// Pauses or resumes the scheduler. It never fails; it returns a `Result` because all commands do.
     fn set_paused(&mut self, paused: bool) -> Result<(), CommandError> {
         self.published.set_paused(paused);
         self.observer.observe(Observation::PauseChanged { paused });
         Ok(())
     }
 
-    /// Suspends a node; repeating the command changes nothing.
+    /// Suspends a node. Suspending it again has no effect.
     fn suspend_node(&mut self, id: Box<str>) -> Result<(), CommandError> {
         let node = self.nodes.suspend(id)?;
         self.resend_policy_entry(node, TreatmentCause::Command);
         Ok(())
     }
 
-    /// Ends the suspension of a node, which was restarted meanwhile.
+    /// Ends the suspension of a node. The node was restarted while it was suspended, so it begins with slow
+    /// start.
     fn restore_node(&mut self, id: &str) -> Result<(), CommandError> {
         let now = self.policy.micros_at(Instant::now());
         if let Some(node) = self.nodes.restore(id, now)? {
--- a/crates/core/src/actor/decisions.rs
+++ b/crates/core/src/actor/decisions.rs
@@ -9,8 +9,8 @@
 use crate::Answer;
 use heathward_policy::{Action, Event, RequestId};
 
-/// The policy's clock counts complete microseconds, so the policy may act on a deadline slightly before its
-/// instant. A deadline counts as passed this much early, which is ample for that.
+/// A deadline counts as passed this long before its instant. The policy's clock is truncated to whole
+/// microseconds, so the policy may act on a deadline slightly early; 1 ms is ample for that.
 const DEADLINE_TOLERANCE: Duration = Duration::from_millis(1);
 
 impl Actor {
@@ -49,7 +49,7 @@
             }
             Action::Fail { request } => self.fail_request(request),
             Action::SetTimer { token, at } => self.policy.set_timer(at, token),
-            // Discovery keeps its subscription by itself, in either mode.
+            // The discovery client maintains its subscription itself, whether lists are streamed or polled.
             Action::Subscribe => {}
             Action::Log { text, node } => {
                 let node = node.and_then(|node| self.nodes.get(node)).map_or("", |node| &node.endpoint.id);
--- a/crates/core/src/actor/endpoint_updates.rs
+++ b/crates/core/src/actor/endpoint_updates.rs
@@ -1,4 +1,5 @@
-//! Updates of the endpoint list, the expiry of the lease on it, and what the policy is told of each node.
+//! Applies updates of the endpoint list, tracks the lease on it, and sends the entries of nodes to the
+//! policy.
 
 use std::collections::BTreeSet;
 
@@ -11,7 +12,8 @@
 use heathward_policy::{EndpointEntry, EndpointUpdateKind, Event, NodeId, NodeState};
 
 impl Actor {
-    /// Publishes the state of the lease. While it is expired nothing is sent to nodes.
+    /// Refreshes the lease on the endpoint list and publishes its state. While the lease is expired,
+    /// nothing is sent to nodes.
     pub(super) fn check_lease(&mut self, now: Instant) {
         if let Some(change) = self.lease.refresh(now) {
             self.lease_changed(change);
@@ -41,12 +43,12 @@
         self.check_all_node_treatments(TreatmentCause::EndpointUpdate(self.nodes.revision()));
     }
 
-    /// Applies an update of the endpoint list. The cost of changes depends on their own number only; a
-    /// snapshot walks all nodes once.
+    /// Applies an update of the endpoint list. The cost of an update with changes depends only on the
+    /// number of changes; a snapshot walks all nodes once.
     pub(super) fn apply_endpoint_update(&mut self, update: EndpointUpdate) {
         let EndpointUpdate { revision, kind, endpoints } = update;
         if kind == EndpointUpdateKind::Cached && revision < self.nodes.revision() {
-            // The list was cached before discovery sent a newer one.
+            // Discovery has already sent a newer list than the cached one.
             return;
         }
         let is_complete = matches!(kind, EndpointUpdateKind::Snapshot | EndpointUpdateKind::Cached);
@@ -72,8 +74,8 @@
         self.nodes.forget_expired(now);
     }
 
-    /// Merges what the list says of a node into the table of nodes, and starts or ends to serve its
-    /// connections. Returns the entry for the policy; `None` if newer information is already known.
+    /// Merges an endpoint into the table of nodes, and starts or stops serving the node's connections.
+    /// Returns the entry for the policy; `None` if newer information about the node is already known.
     fn merge_endpoint(
         &mut self,
         mut endpoint: Endpoint,
--- a/crates/core/src/actor/handle.rs
+++ b/crates/core/src/actor/handle.rs
@@ -34,7 +34,8 @@
 
 impl std::error::Error for CoreStopped {}
 
-/// A handle to the core's actor. All clones reach the same actor, which ends once all of them are dropped.
+/// A handle to the core's actor. All clones reach the same actor; see [`start_core`](super::start_core) for
+/// when it ends.
 #[derive(Clone, Debug)]
 pub struct CoreHandle {
     pub(super) messages: mpsc::Sender<CoreMessage>,
@@ -48,18 +49,18 @@
 }
 
 impl CoreHandle {
-    /// The channel for discovery. Its messages are handled before requests and ends of attempts: a drain must
-    /// not wait behind requests that would be sent to the draining node meanwhile.
+    /// Returns the channel for messages from discovery. They are handled before requests and ends of
+    /// attempts: a drain must not wait behind requests that would be sent to the draining node meanwhile.
     pub fn discovery_sender(&self) -> mpsc::Sender<CoreMessage> {
         self.discovery.clone()
     }
 
-    /// The current status.
+    /// Returns the current status.
     pub fn status(&self) -> CoreStatus {
         *self.status.borrow()
     }
 
-    /// Whether and why clients are to use another scheduler, now and from now on.
+    /// Subscribes to the reasons for which clients are asked to use another scheduler.
     pub fn draining(&self) -> watch::Receiver<Draining> {
         self.draining.subscribe()
     }
@@ -76,15 +77,15 @@
         handover.await.ok()
     }
 
-    /// Continues from the state of the previous process. Returns the commands that are to be forwarded to
-    /// that process; `None` if the core has stopped.
+    /// Takes over the state of the previous process. Returns the commands that are to be forwarded to that
+    /// process; `None` if the core has stopped.
     pub async fn take_over(&self, state: HandoverState) -> Option<mpsc::Receiver<ForwardedCommand>> {
         let (reply, commands) = oneshot::channel();
         self.control.send(ControlMessage::TakeOver { state, reply }).await.ok()?;
         commands.await.ok()
     }
 
-    /// The current settings.
+    /// Returns the current settings.
     pub fn deployment(&self) -> Arc<Deployment> {
         self.deployment.borrow().clone()
     }
@@ -103,13 +104,14 @@
         result.await.unwrap_or_else(|_| Err(stopped()))
     }
 
-    /// The program shuts down: every request, now and from now on, is answered by `deadline`.
+    /// Starts the shutdown: all open and all later requests are answered by `deadline`.
     pub async fn set_shutdown_deadline(&self, deadline: Instant) {
         // A core that has stopped has no open requests.
         let _ = self.messages.send(CoreMessage::ShutdownDeadline(deadline)).await;
     }
 
-    /// Replaces the observer, or removes it. When this returns, the previous one was dropped.
+    /// Replaces the observer, or removes it if `observer` is `None`. When this returns, the previous
+    /// observer has been dropped.
     pub async fn set_observer(&self, observer: Option<Box<dyn Observer>>) {
         let (reply, done) = oneshot::channel();
         // A core that has stopped has nothing to observe.
@@ -120,30 +122,31 @@
 
     /// Counts a request that a front end rejected as malformed.
     pub fn count_malformed_request(&self) {
-        // The count is not worth waiting for if the channel is full.
+        // If the channel is full, the count is skipped rather than waited for.
         let _ = self.messages.try_send(CoreMessage::MalformedRequest);
     }
 
     /// Counts a reload of the configuration, which was either applied or rejected.
     pub fn count_configuration_reload(&self, applied: bool) {
-        // The count is not worth waiting for if the channel is full.
+        // If the channel is full, the count is skipped rather than waited for.
         let _ = self.messages.try_send(CoreMessage::ConfigurationReloaded { applied });
     }
 
-    /// The current metrics, before any message that waits; `None` if the core has stopped.
+    /// Returns the current metrics, ahead of all queued requests and updates; `None` if the core has
+    /// stopped.
     pub async fn metrics(&self) -> Option<CoreMetrics> {
         let (reply, metrics) = oneshot::channel();
         self.control.send(ControlMessage::Metrics(reply)).await.ok()?;
         metrics.await.ok()
     }
 
-    /// Carries a command out, before any message that waits. The inner result is that of the command; `Ok`
-    /// means that it holds in this process and in the peer process, if there is one. A command
-    /// `from_peer_process` was already carried out there.
+    /// Runs a command, ahead of all queued requests and updates. The inner result is that of the command;
+    /// `Ok` means that it is in effect in this process and in the peer process, if there is one.
+    /// `from_peer_process` marks a command that the peer process has already run.
     ///
     /// # Errors
     ///
-    /// [`CoreStopped`] if nothing is known of the command because the core has stopped.
+    /// [`CoreStopped`] if the core has stopped; the command may or may not have been run.
     pub async fn run_command(
         &self,
         command: OperatorCommand,
--- a/crates/core/src/actor/mod.rs
+++ b/crates/core/src/actor/mod.rs
@@ -2,8 +2,8 @@
 //! exactly one answer.
 //!
 //! This file has the actor's state and its loop. The types that own parts of the state are in
-//! [`policy_driver`], [`open_requests`], [`nodes`], [`shared_lease`], [`peer_process`], [`observer_slot`] and
-//! [`published`]. What the actor does is in the other submodules, one for each concern.
+//! [`policy_driver`], [`open_requests`], [`nodes`], [`shared_lease`], [`peer_process`], [`observer_slot`]
+//! and [`published`]. The other submodules implement the actor's handlers, one submodule for each concern.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::Arc;
@@ -49,19 +49,19 @@
 use published::PublishedState;
 use shared_lease::SharedLease;
 
-/// Requests, ends of attempts and settings that wait for the actor; a sender waits while the channel is full.
+/// Capacity of the channel for requests, ends of attempts and settings; a sender waits while it is full.
 const REQUEST_CHANNEL_CAPACITY: usize = 4096;
 
-/// Messages from discovery that wait for the actor; discovery waits while the channel is full.
+/// Capacity of the channel for messages from discovery, which waits while it is full.
 const DISCOVERY_CHANNEL_CAPACITY: usize = 16;
 
-/// Control messages that wait for the actor; an operator's connection waits while the channel is full.
+/// Capacity of the channel for control messages; an operator's connection waits while it is full.
 const CONTROL_CHANNEL_CAPACITY: usize = 64;
 
 /// Starts the core's actor on the current tokio runtime, with `seed` for the random draws of the policy.
 ///
-/// The spawned task is the only owner of the core's state. Nobody aborts or joins it: it ends by itself once
-/// all [`CoreHandle`]s and all senders that `connect_node` was given are dropped.
+/// The spawned task is the only owner of the core's state. It is never aborted or joined: it ends once all
+/// [`CoreHandle`]s and all senders that `connect_node` was given are dropped.
 ///
 /// # Errors
 ///
@@ -69,7 +69,7 @@
 ///
 /// # Panics
 ///
-/// If it is called outside of a tokio runtime.
+/// If called outside of a tokio runtime.
 pub fn start_core(
     deployment: Arc<Deployment>,
     seed: u64,
@@ -113,15 +113,15 @@
     Ok(handle)
 }
 
-/// The one owner of the policy and of all state around it.
+/// The actor, which is the only owner of the policy and of all state around it.
 struct Actor {
     policy: PolicyDriver,
     connections: NodeConnections,
     /// Shared with the handles, which record the requests whose clients have disconnected.
     client_disconnects: Arc<ClientDisconnects>,
     requests: OpenRequests,
-    /// The request of whose arrival the policy is being notified: one that is shed meanwhile was never
-    /// queued.
+    /// The request whose arrival the policy is handling at this moment. If that request is shed before the
+    /// policy has finished, it was never queued.
     arriving_request: Option<RequestId>,
     nodes: NodeTable,
     lease: SharedLease,
@@ -140,11 +140,12 @@
     control: mpsc::Receiver<ControlMessage>,
 }
 
-/// What is to be done in a turn of the actor, after pending updates of the endpoint list were applied.
+/// The work of one turn of the actor's loop, after pending updates of the endpoint list have been applied.
 enum TurnWork {
     Control(ControlMessage),
     Message(CoreMessage),
-    /// Only what every turn does: a client has disconnected, a timer is due, or an update was applied.
+    /// No message, only the work that every turn does: a client has disconnected, a timer is due, or a
+    /// message from discovery has been handled.
     Housekeeping,
 }
 
@@ -162,9 +163,10 @@
         }
     }
 
-    /// Waits for the reason of the next turn. Control messages come first, then messages from discovery.
-    /// These are handled here, before anything else of the turn, so that nothing is sent to a node that has
-    /// just started draining. Returns `None` when nobody can send requests any more.
+    /// Waits until there is work for the next turn of the loop. Control messages come first, then messages
+    /// from discovery. The latter are handled here, before anything else in the turn, so that nothing is
+    /// sent to a node that has just started draining. Returns `None` once all senders of requests are
+    /// dropped.
     async fn wait_for_turn(&mut self, inbox: &mut Inbox) -> Option<TurnWork> {
         let timer = self.next_timer();
         tokio::select! {
@@ -182,7 +184,7 @@
         }
     }
 
-    /// When time alone changes something next.
+    /// Returns the next instant at which the passage of time alone requires a turn.
     fn next_timer(&self) -> Option<Instant> {
         let timers = [
             self.policy.next_timer(),
@@ -230,7 +232,7 @@
             CoreMessage::DiscoveryUnanswered(at) => self.lease.get_mut().record_unanswered_call(at),
             CoreMessage::DiscoveryMoved(at) => self.lease.get_mut().record_discovery_move(at),
             CoreMessage::UpdateSettings { deployment, reply } => {
-                // Whoever asked for it may have left.
+                // The requester may have dropped the receiver.
                 let _ = reply.send(self.update_settings(deployment));
             }
             CoreMessage::ShutdownDeadline(deadline) => self.set_shutdown_deadline(deadline),
@@ -240,13 +242,13 @@
             }
             CoreMessage::SetObserver { observer, reply } => {
                 self.set_observer(observer);
-                // Whoever asked for it may have left.
+                // The requester may have dropped the receiver.
                 let _ = reply.send(());
             }
         }
     }
 
-    /// Handles a control message. Whoever sent it may have left meanwhile and then gets no reply.
+    /// Handles a control message. The reply is discarded if its receiver was dropped.
     fn handle_control(&mut self, message: ControlMessage) {
         match message {
             ControlMessage::RunCommand { command, from_peer_process, reply } => {
--- a/crates/core/src/actor/node_connections.rs
+++ b/crates/core/src/actor/node_connections.rs
@@ -1,4 +1,4 @@
-//! Starts to serve the connections of nodes.
+//! Starts the tasks that serve the connections of nodes.
 
 use tokio::sync::mpsc;
 
@@ -9,7 +9,8 @@
 /// each ends once the channel for its attempts is closed and its attempts have ended.
 pub(super) struct NodeConnections {
     connect_node: NodeConnector,
-    /// Where the ends of attempts are reported. It is weak, so that the actor does not keep itself alive.
+    /// The channel to which the ends of attempts are reported. It is weak, so that the actor does not keep
+    /// itself alive.
     core: mpsc::WeakSender<CoreMessage>,
 }
 
@@ -18,7 +19,8 @@
         Self { connect_node, core }
     }
 
-    /// Starts to serve the connections of a node; `None` if nobody uses the core any more.
+    /// Starts to serve the connections of a node, and returns the channel for its attempts; `None` if all
+    /// senders to the core are dropped.
     pub(super) fn connect(&self, endpoint: &Endpoint) -> Option<mpsc::Sender<Attempt>> {
         let core = self.core.upgrade()?;
         Some((self.connect_node)(endpoint, core))
--- a/crates/core/src/actor/nodes.rs
+++ b/crates/core/src/actor/nodes.rs
@@ -1,10 +1,10 @@
 //! The table of storage nodes: those in the endpoint list, and those that were in it until recently.
 //!
-//! A node has two ids: its name, which is the id in the endpoint list ([`Endpoint::id`]), and its number, the
-//! [`NodeId`] by which the policy knows it.
+//! A node has two ids: its name, which is its id in the endpoint list ([`Endpoint::id`]), and its number,
+//! the [`NodeId`] that identifies it in the policy.
 //!
 //! The cost of a change depends on the nodes that it names and on the logarithm of the size of the table.
-//! Only the functions whose comment says so walk all nodes.
+//! Functions that walk all nodes say so in their comment.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
@@ -26,36 +26,37 @@
 
 /// A storage node.
 pub(super) struct Node {
-    /// What the endpoint list said of it last.
+    /// The latest entry of the node in the endpoint list.
     pub(super) endpoint: Endpoint,
-    /// Number of its zone.
+    /// Number of the node's zone.
     pub(super) zone: u32,
-    /// Whether anything new may be sent to it.
+    /// Closed while no new attempt may be sent to the node.
     pub(super) send_gate: SendGate,
-    /// How the observer was told last that it is treated.
+    /// The treatment that was last reported to the observer.
     pub(super) reported_treatment: Option<NodeTreatment>,
     /// When slow start began according to an operator or a handover, in microseconds of Unix time. The later
     /// of this and [`Endpoint::started_at`] counts.
     slow_start_since: Option<Micros>,
-    /// Revision of the last list that named it.
+    /// Revision of the last update that named the node.
     last_revision: u64,
-    /// Revision of the list that said that it drains or is removed, unless a later one has revoked that.
+    /// Revision of the update by which the node started draining or was removed, unless a later one has
+    /// revoked that.
     drain_revision: Option<u64>,
     listing: Listing,
-    /// When its treatment is checked next.
+    /// When the node's treatment is checked next; `None` if no check is scheduled.
     next_check: Option<Instant>,
 }
 
 /// Whether a node is in the endpoint list.
 enum Listing {
-    /// It is; this is the channel for its attempts.
+    /// In the endpoint list, with the channel for the node's attempts.
     Listed(mpsc::Sender<Attempt>),
-    /// It has not been since then.
+    /// Not in the endpoint list since this instant.
     Unlisted(Instant),
 }
 
 impl Node {
-    /// The channel for its attempts; `None` if it is not in the endpoint list.
+    /// Returns the channel for the node's attempts; `None` if the node is not in the endpoint list.
     pub(super) fn attempt_sender(&self) -> Option<&mpsc::Sender<Attempt>> {
         match &self.listing {
             Listing::Listed(sender) => Some(sender),
@@ -63,12 +64,12 @@
         }
     }
 
-    /// It is in the endpoint list.
+    /// Returns whether the node is in the endpoint list.
     pub(super) fn is_listed(&self) -> bool {
         self.attempt_sender().is_some()
     }
 
-    /// Its state according to the endpoint list.
+    /// Returns the node's state according to the endpoint list.
     pub(super) fn listed_state(&self) -> NodeState {
         if self.is_listed() {
             self.endpoint.state
@@ -77,9 +78,10 @@
         }
     }
 
-    /// Decides whether an update with `revision` may replace what is known. While two watches are open, the
-    /// slower one may deliver an older list: changes in it are ignored, and it never revokes a drain. The
-    /// state in `endpoint` is corrected accordingly.
+    /// Returns whether an update with `revision` may replace the node's current entry. While two watches
+    /// are open, the slower one may deliver an older list: its changes are ignored, and as a complete list
+    /// it never revokes a drain, unless it shows that the node has restarted. The state in `endpoint` is
+    /// corrected accordingly.
     pub(super) fn accept_update(
         &mut self,
         endpoint: &mut Endpoint,
@@ -101,8 +103,9 @@
         true
     }
 
-    /// Determines its state, closes or opens its send gate accordingly, and returns its entry for the policy.
-    /// It drains if the endpoint list says so, if it is suspended, or if the lease on the list has expired.
+    /// Determines the node's state, closes or opens its send gate accordingly, and returns its entry for
+    /// the policy. The node drains if the endpoint list says so, if it is suspended, or if the lease on the
+    /// list has expired.
     fn refresh_entry(&self, id: NodeId, suspended: bool, lease_expired: bool) -> EndpointEntry {
         let listed = self.endpoint.state;
         let out_of_service = listed == NodeState::Ready && (lease_expired || suspended);
@@ -123,7 +126,7 @@
 pub(super) struct NodeTable {
     by_id: BTreeMap<NodeId, Node>,
     ids_by_name: HashMap<Box<str>, NodeId>,
-    /// Number of the next new node.
+    /// The number that the next new node gets.
     next_id: u32,
     zones: Zones,
     /// Revision of the endpoint list that was applied last.
@@ -132,14 +135,14 @@
     suspended: BTreeSet<Box<str>>,
     /// Number of nodes in the endpoint list.
     listed_count: usize,
-    /// The other nodes, by when they left the list.
+    /// Known nodes that are not in the endpoint list, by when they left it.
     unlisted: BTreeSet<(Instant, NodeId)>,
-    /// Nodes whose treatment may change by the passage of time, by when it is checked next.
+    /// Nodes whose treatment may change by the passage of time, by the time of their next check.
     scheduled_checks: BTreeSet<(Instant, NodeId)>,
 }
 
 impl NodeTable {
-    /// Revision of the endpoint list that was applied last.
+    /// Returns the revision of the endpoint list that was applied last.
     pub(super) fn revision(&self) -> u64 {
         self.revision
     }
@@ -149,12 +152,13 @@
         self.revision = revision;
     }
 
-    /// The number of the node with that name.
+    /// Returns the number of the node with that name.
     pub(super) fn find(&self, name: &str) -> Option<NodeId> {
         self.ids_by_name.get(name).copied()
     }
 
-    /// The number of that node. A new node is not listed yet, and is named by the list with that revision.
+    /// Returns the number of the node of `endpoint`, and adds the node if it is not known. A new node is
+    /// not listed yet; `revision` is that of the update that names it.
     pub(super) fn find_or_add(
         &mut self,
         endpoint: &Endpoint,
@@ -183,17 +187,17 @@
         id
     }
 
-    /// A known node.
+    /// Returns a known node.
     pub(super) fn get(&self, id: NodeId) -> Option<&Node> {
         self.by_id.get(&id)
     }
 
-    /// A known node, to be changed.
+    /// Returns a known node for modification.
     pub(super) fn get_mut(&mut self, id: NodeId) -> Option<&mut Node> {
         self.by_id.get_mut(&id)
     }
 
-    /// Replaces what the endpoint list says of a node.
+    /// Replaces the endpoint list's entry of a node, and its zone if that has changed.
     pub(super) fn update(&mut self, id: NodeId, endpoint: Endpoint) {
         let Some(node) = self.by_id.get_mut(&id) else { return };
         if node.endpoint.zone != endpoint.zone {
@@ -233,7 +237,7 @@
         for &id in &missing {
             self.mark_unlisted(id, now);
             if let Some(node) = self.by_id.get_mut(&id) {
-                // A node that was listed as draining has drained since that revision, not since this one.
+                // A node that was already draining keeps the revision at which it started to.
                 node.drain_revision = node.drain_revision.or(Some(revision));
                 node.send_gate.set_closed(true);
                 node.endpoint.state = NodeState::Removed;
@@ -242,7 +246,7 @@
         missing
     }
 
-    /// Forgets the nodes that left the endpoint list [`UNLISTED_NODE_RETENTION`] ago.
+    /// Forgets the nodes that left the endpoint list [`UNLISTED_NODE_RETENTION`] ago or earlier.
     pub(super) fn forget_expired(&mut self, now: Instant) {
         let is_expired = |since: Instant| since + UNLISTED_NODE_RETENTION <= now;
         while let Some(&(since, id)) = self.unlisted.first().filter(|(since, _)| is_expired(*since)) {
@@ -255,25 +259,26 @@
         }
     }
 
-    /// The entry of a node for the policy. This closes or opens its send gate.
+    /// Returns the entry of a node for the policy, and closes or opens the node's send gate.
     pub(super) fn refresh_entry(&self, id: NodeId, lease_expired: bool) -> Option<EndpointEntry> {
         let node = self.get(id)?;
         Some(node.refresh_entry(id, self.is_suspended(&node.endpoint.id), lease_expired))
     }
 
-    /// The entry of a node for the policy, if it is in the endpoint list. This closes or opens its send gate.
+    /// Returns the entry of a node for the policy if the node is in the endpoint list, and closes or opens
+    /// the node's send gate.
     pub(super) fn refresh_listed_entry(&self, id: NodeId, lease_expired: bool) -> Option<EndpointEntry> {
         self.get(id).filter(|node| node.is_listed())?;
         self.refresh_entry(id, lease_expired)
     }
 
-    /// The entries of all nodes in the endpoint list, for the policy. This closes or opens their send gates,
-    /// and walks all nodes.
+    /// Returns the entries of all nodes in the endpoint list for the policy, and closes or opens the nodes'
+    /// send gates. This walks all nodes.
     pub(super) fn refresh_listed_entries(&self, lease_expired: bool) -> Vec<EndpointEntry> {
         self.listed().filter_map(|(id, _)| self.refresh_entry(id, lease_expired)).collect()
     }
 
-    /// Suspends the node with that name.
+    /// Suspends the node with that name, and returns its number.
     ///
     /// # Errors
     ///
@@ -293,8 +298,9 @@
         self.suspended.extend(names);
     }
 
-    /// Ends the suspension of the node with that name. It is in slow start from `now` at the latest, because
-    /// it was restarted meanwhile. Returns the node if it is known and was suspended.
+    /// Ends the suspension of the node with that name. Its slow start begins at `now`, in microseconds of
+    /// Unix time, or at the start that the endpoint list reports if that is later, because the node was
+    /// restarted while it was suspended. Returns the node's number if the node is known and was suspended.
     ///
     /// # Errors
     ///
@@ -313,7 +319,7 @@
         Ok(Some(id))
     }
 
-    /// Records that a node was in slow start in another process, since that time in microseconds of Unix
+    /// Records that a node was in slow start in another process since `since`, in microseconds of Unix
     /// time.
     pub(super) fn record_slow_start(&mut self, id: NodeId, since: Micros) {
         if let Some(node) = self.by_id.get_mut(&id) {
@@ -321,32 +327,33 @@
         }
     }
 
-    /// Whether operators have suspended the node with that name.
+    /// Returns whether operators have suspended the node with that name.
     pub(super) fn is_suspended(&self, name: &str) -> bool {
         self.suspended.contains(name)
     }
 
-    /// Names of the suspended nodes, in order.
+    /// Returns the names of the suspended nodes, in ascending order.
     pub(super) fn suspended(&self) -> impl Iterator<Item = &Box<str>> {
         self.suspended.iter()
     }
 
-    /// Number of nodes in the endpoint list.
+    /// Returns the number of nodes in the endpoint list.
     pub(super) fn listed_count(&self) -> usize {
         self.listed_count
     }
 
-    /// The nodes in the endpoint list, by their numbers. This walks all nodes.
+    /// Returns the nodes in the endpoint list, in ascending order of their numbers. This walks all nodes.
     pub(super) fn listed(&self) -> impl Iterator<Item = (NodeId, &Node)> {
         self.by_id.iter().map(|(id, node)| (*id, node)).filter(|(_, node)| node.is_listed())
     }
 
-    /// The numbers of all nodes, in order. This walks all nodes.
+    /// Returns the numbers of all nodes, in ascending order. This walks all nodes.
     pub(super) fn ids(&self) -> Vec<NodeId> {
         self.by_id.keys().copied().collect()
     }
 
-    /// Records that the observer is told how a node is treated. Returns the node if that is new.
+    /// Records the treatment of a node that is reported to the observer. Returns the node if the treatment
+    /// differs from the one that was reported last.
     pub(super) fn record_reported_treatment(
         &mut self,
         id: NodeId,
@@ -357,7 +364,7 @@
         (previous != Some(treatment)).then_some(&*node)
     }
 
-    /// Forgets what an observer was told, for a new observer. This walks all nodes.
+    /// Clears all reported treatments and scheduled checks, for a new observer. This walks all nodes.
     pub(super) fn forget_reported_treatments(&mut self) {
         for id in self.ids() {
             self.schedule_check(id, None);
@@ -367,7 +374,7 @@
         }
     }
 
-    /// Schedules the next check of a node's treatment, or none.
+    /// Schedules the next check of a node's treatment in place of the previous one; `None` cancels it.
     pub(super) fn schedule_check(&mut self, id: NodeId, at: Option<Instant>) {
         let Some(node) = self.by_id.get_mut(&id).filter(|node| node.next_check != at) else { return };
         if let Some(previous) = std::mem::replace(&mut node.next_check, at) {
@@ -376,7 +383,7 @@
         self.scheduled_checks.extend(at.map(|at| (at, id)));
     }
 
-    /// Takes the nodes whose checks are due, in the order of their numbers.
+    /// Removes the checks that are due, and returns their nodes in ascending order of their numbers.
     pub(super) fn take_due_checks(&mut self, now: Instant) -> Vec<NodeId> {
         let mut due = Vec::new();
         while let Some(&(_, id)) = self.scheduled_checks.first().filter(|(at, _)| *at <= now) {
--- a/crates/core/src/actor/nodes/tests.rs
+++ b/crates/core/src/actor/nodes/tests.rs
@@ -24,8 +24,9 @@
     start + Duration::from_secs(seconds)
 }
 
-/// Guards against a walk of all nodes to forget a few: each is found at the front of the schedule when its
-/// time has come and not before, and only nodes that left within the last minute are retained.
+/// Guards against walking all nodes to forget a few: each node is at the front of the schedule when its
+/// retention ends and is not forgotten before, and only nodes that left within the last minute are
+/// retained.
 #[tokio::test(start_paused = true)]
 async fn unlisted_nodes_are_forgotten_a_minute_after_they_left_and_no_others() {
     let (mut nodes, start) = (NodeTable::default(), Instant::now());
@@ -41,13 +42,13 @@
     assert_eq!(nodes.listed_count(), FLEET_SIZE as usize - 100);
     assert_eq!(nodes.listed().count(), nodes.listed_count());
     nodes.forget_expired(at(start, 99 + 59));
-    assert_eq!(nodes.unlisted.len(), 1, "the last, for one second more");
+    assert_eq!(nodes.unlisted.len(), 1, "the last node is retained for one more second");
     nodes.forget_expired(at(start, 99 + 60));
     assert_eq!((nodes.unlisted.len(), nodes.by_id.len()), (0, FLEET_SIZE as usize - 100));
 }
 
-/// Guards against a node that is new to the policy each time it leaves its list for a moment, and against one
-/// that is forgotten although it is listed.
+/// Guards against a node that gets a new number, and so is new to the policy, each time it leaves the
+/// endpoint list for a moment, and against a listed node that is forgotten.
 #[tokio::test(start_paused = true)]
 async fn a_node_that_returns_within_a_minute_keeps_its_number_and_is_not_forgotten() {
     let (mut nodes, start) = (NodeTable::default(), Instant::now());
@@ -64,7 +65,8 @@
     assert_ne!(list_node(&mut nodes, 1, "a"), first);
 }
 
-/// Guards against zones that are retained for ever, and against a node whose zone stays the one it came from.
+/// Guards against zones that are never forgotten, and against a node that keeps its old zone after it has
+/// moved to another.
 #[tokio::test(start_paused = true)]
 async fn a_zone_is_known_while_a_node_is_in_it() {
     let (mut nodes, start) = (NodeTable::default(), Instant::now());
@@ -79,7 +81,7 @@
     assert_eq!(nodes.zones.len(), 1);
 }
 
-/// Guards against a node that is checked twice, and one that is checked after it was forgotten.
+/// Guards against a node that is checked twice, and against one that is checked after it was forgotten.
 #[tokio::test(start_paused = true)]
 async fn a_node_is_checked_once_at_the_time_that_was_scheduled_last() {
     let (mut nodes, start) = (NodeTable::default(), Instant::now());
--- a/crates/core/src/actor/observation.rs
+++ b/crates/core/src/actor/observation.rs
@@ -1,4 +1,4 @@
-//! Metrics for operators, and what the observer is told of each node.
+//! Metrics for operators, and reports of the treatment of nodes to the observer.
 
 use std::time::Duration;
 
@@ -9,13 +9,13 @@
 use crate::{CoreMetrics, Counters, Endpoint};
 use heathward_policy::{EndpointUpdateKind, Micros, NodeId};
 
-/// The policy drops a node that has had no new requests for some time (at most a minute), and does not
-/// announce it. This is how often the core checks whether it has.
+/// How often the core checks whether the policy has dropped an unused node. The policy drops a node that
+/// has had no new requests for some time (at most a minute), and does not announce it.
 const UNUSED_NODE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 impl Actor {
-    /// Counters and the current state. This walks all listed nodes; operators ask for it a few times a second
-    /// at most.
+    /// Returns the counters and the current state. This walks all listed nodes; operators request it a few
+    /// times a second at most.
     pub(super) fn metrics(&self) -> CoreMetrics {
         let now = self.policy.micros_at(Instant::now());
         let is_avoided = |id| self.policy.node_status(now, id).is_none_or(|status| status.is_avoided());
@@ -32,7 +32,7 @@
         self.observer.replace(observer, &self.published.deployment());
         let endpoints: Vec<Endpoint> = self.nodes.listed().map(|(_, node)| node.endpoint.clone()).collect();
         let revision = self.nodes.revision();
-        // It is marked as cached because it is no update: the list was received at an earlier time.
+        // It is marked as cached because the list was received earlier and is not an update.
         self.observer.observe(Observation::EndpointsUpdated {
             revision,
             kind: EndpointUpdateKind::Cached,
@@ -42,7 +42,7 @@
         self.check_all_node_treatments(TreatmentCause::EndpointUpdate(revision));
     }
 
-    /// Checks the treatment of all nodes, for when anything may have changed. This walks all nodes.
+    /// Checks the treatment of all nodes, after a change that may affect any of them. This walks all nodes.
     pub(super) fn check_all_node_treatments(&mut self, cause: TreatmentCause) {
         if self.observer.is_set() {
             let now = Instant::now();
@@ -53,6 +53,7 @@
     }
 
     /// Schedules a check of all nodes for the next tick of the observer, after a change of the settings.
+    /// This walks all nodes.
     pub(super) fn schedule_all_node_checks(&mut self) {
         if self.observer.is_set() {
             let now = Instant::now();
@@ -62,8 +63,8 @@
         }
     }
 
-    /// Notifies the observer if a node is treated differently than it was told last, and schedules the next
-    /// check if the treatment may change by the passage of time.
+    /// Notifies the observer if a node's treatment differs from the one that was reported last, and
+    /// schedules the next check if the treatment may change by the passage of time.
     pub(super) fn check_node_treatment(&mut self, id: NodeId, at: Instant, cause: TreatmentCause) {
         if !self.observer.is_set() {
             return;
@@ -103,7 +104,8 @@
         self.nodes.schedule_check(id, slow_start_check.into_iter().chain(unused_check).min());
     }
 
-    /// Notifies the observer that time has passed, and of what has changed only by that.
+    /// Notifies the observer that time has passed, and of treatments that have changed by the passage of
+    /// time alone.
     pub(super) fn tick_observer(&mut self, now: Instant) {
         if self.observer.take_due_tick(now) {
             for id in self.nodes.take_due_checks(now) {
--- a/crates/core/src/actor/observer_slot.rs
+++ b/crates/core/src/actor/observer_slot.rs
@@ -1,4 +1,4 @@
-//! The place of the observer, if there is one, and when it is notified next that time has passed.
+//! Holds the observer, if there is one, and schedules its regular notifications that time has passed.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use crate::observe::{Observation, Observer};
 use heathward_policy::settings::Deployment;
 
-/// How often the observer is notified that time has passed.
+/// Interval at which the observer is notified that time has passed.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The observer, if there is one. Without an observer nothing is recorded.
@@ -17,12 +17,12 @@
 }
 
 impl ObserverSlot {
-    /// No observer yet.
+    /// Creates a slot without an observer.
     pub(super) fn new(now: Instant) -> Self {
         Self { observer: None, next_tick: now }
     }
 
-    /// There is an observer.
+    /// Returns whether there is an observer.
     pub(super) fn is_set(&self) -> bool {
         self.observer.is_some()
     }
@@ -55,12 +55,12 @@
         }
     }
 
-    /// When the observer is notified next that time has passed.
+    /// Returns when the observer is next notified that time has passed; `None` without an observer.
     pub(super) fn next_tick(&self) -> Option<Instant> {
         self.observer.as_ref().map(|_| self.next_tick)
     }
 
-    /// Whether a notification that time has passed is due; if so, schedules the one after it.
+    /// Returns whether a notification that time has passed is due; if so, schedules the next one.
     pub(super) fn take_due_tick(&mut self, now: Instant) -> bool {
         let is_due = self.is_set() && now >= self.next_tick;
         if is_due {
--- a/crates/core/src/actor/open_requests.rs
+++ b/crates/core/src/actor/open_requests.rs
@@ -11,11 +11,12 @@
 use crate::{Answer, ClientRequest, Upload, WriteCompletion};
 use heathward_policy::{AttemptEnd, ClassId, ClassSettings, Idempotency, Micros, RequestId};
 
-/// The policy answers a request at its deadline; the core answers what is still open this much later. It is
-/// well within the time that clients grant beyond the deadline, and longer than a timer can be late.
+/// How long after its deadline the core itself answers a request that the policy has left open. It is well
+/// within the time that clients grant beyond the deadline, and longer than a timer can be late.
 const OVERDUE_GRACE: Duration = Duration::from_millis(5);
 
-/// An answer that must reach the client by half of the request's time is given this much earlier.
+/// Time for an answer to reach the client: an answer that must arrive by half of the request's time budget
+/// is given this much earlier.
 const ANSWER_DELIVERY_MARGIN: Duration = Duration::from_millis(10);
 
 /// A request that has no answer yet, or whose attempt is still in flight.
@@ -24,17 +25,18 @@
     /// Keeps the client's request id reserved; taken by a reply that is streamed.
     pub(super) id_guard: Option<ClientRequestIdGuard>,
     received_at: Instant,
-    /// An attempt that is sent before this instant must find a connection by it. It is half of the request's
-    /// time, less [`ANSWER_DELIVERY_MARGIN`].
+    /// The connect deadline of attempts that are sent before it: half of the request's time budget, less
+    /// [`ANSWER_DELIVERY_MARGIN`].
     early_connect_deadline: Instant,
-    /// Where the one answer goes; taken by that answer.
+    /// The channel for the final answer; taken when the answer is given.
     reply: Option<oneshot::Sender<Answer>>,
-    /// Cancelled by the final answer and by the disconnect of the client: nothing is written from then on.
+    /// Cancelled by the final answer and by the disconnect of the client: nothing is written to a node from
+    /// then on.
     pub(super) cancel: CancellationToken,
     /// Number of attempts that were sent or that could not be sent.
     attempts: u32,
     in_flight: Option<InFlightAttempt>,
-    /// When the first attempt that may have been executed was sent.
+    /// When the first attempt was sent that has ended and may have been executed.
     first_possible_execution: Option<Instant>,
     /// How the last attempt ended.
     last_attempt_end: Option<AttemptEnd>,
@@ -46,9 +48,9 @@
     pub(super) number: u32,
     /// Id of the node, which may leave the endpoint list before the attempt ends.
     pub(super) node: Box<str>,
-    /// When it was handed to the connections of the node.
+    /// When it was passed to the connections of the node.
     pub(super) sent_at: Instant,
-    /// Whether the node can execute it.
+    /// Set once the last byte is written; until then the node cannot execute the attempt.
     pub(super) write_completion: WriteCompletion,
 }
 
@@ -56,17 +58,18 @@
 pub(super) struct FinishedAttempt {
     /// Id of the node.
     pub(super) node: Box<str>,
-    /// From when on the node worked on it: from when it was sent, or from the last byte of the body.
+    /// When the node could begin to execute it: when it was sent, or when the last byte of a streamed body
+    /// arrived, if that is later.
     pub(super) started_at: Instant,
 }
 
-/// What remains of a request that has got its answer.
+/// What is needed to answer a request and to report the answer.
 pub(super) struct AnsweredRequest {
     pub(super) class: ClassId,
     pub(super) received_at: Instant,
-    /// Where the answer goes.
+    /// The channel for the final answer.
     pub(super) reply: oneshot::Sender<Answer>,
-    /// Number of attempts.
+    /// Number of attempts that were sent or that could not be sent.
     pub(super) attempts: u32,
     /// How the last attempt ended.
     pub(super) last_attempt_end: Option<AttemptEnd>,
@@ -95,29 +98,30 @@
         }
     }
 
-    /// It has got its answer, or nobody waits for one.
+    /// Returns whether it has its final answer, or its client no longer waits for one.
     pub(super) fn is_answered(&self) -> bool {
         self.reply.is_none()
     }
 
-    /// A node may have executed it, or may do so now. An attempt that still waits for a connection, or is not
-    /// written completely, cannot be executed.
+    /// Returns whether a node may have executed it, or may be executing it. An attempt that still waits for
+    /// a connection, or is not written completely, cannot be executed.
     pub(super) fn is_possibly_executed(&self) -> bool {
         let is_in_execution =
             self.in_flight.as_ref().is_some_and(|attempt| attempt.write_completion.is_set());
         self.first_possible_execution.is_some() || is_in_execution
     }
 
-    /// Takes the number of the next attempt.
+    /// Counts one more attempt and returns its number.
     pub(super) fn next_attempt_number(&mut self) -> u32 {
         let number = self.attempts;
         self.attempts += 1;
         number
     }
 
-    /// When an attempt that is sent now is given up, if the policy gives it `timeout` microseconds: no later
-    /// than the deadline of the request, and no later than nodes remember an idempotency key. A request whose
-    /// body is still being received has until its deadline, as it advances at the pace of its client.
+    /// Returns when an attempt that is sent at `now` is given up: after `timeout` microseconds, but no
+    /// later than the deadline of the request and, after an attempt that may have been executed, no later
+    /// than nodes remember an idempotency key. An attempt with a streamed body has until the deadline of
+    /// the request, as it advances at the pace of the client.
     pub(super) fn attempt_deadline(
         &self,
         now: Instant,
@@ -138,14 +142,14 @@
         }
     }
 
-    /// Whether an attempt may be sent now: there is no answer yet, no other attempt is in flight, there is
-    /// time left, and no part of a streamed body was sent before.
+    /// Returns whether an attempt may be sent at `now`: there is no answer yet, no other attempt is in
+    /// flight, there is time left, and no part of a streamed body was sent before.
     pub(super) fn may_send(&self, now: Instant, attempt_deadline: Instant) -> bool {
         let is_resendable = self.request.node_request.upload.as_ref().is_none_or(Upload::is_unsent);
         !self.is_answered() && self.in_flight.is_none() && now < attempt_deadline && is_resendable
     }
 
-    /// By when an attempt that is sent now has to find a connection.
+    /// Returns by when an attempt that is sent at `now` must have a connection.
     pub(super) fn connect_deadline(&self, now: Instant, attempt_deadline: Instant) -> Instant {
         if now < self.early_connect_deadline {
             attempt_deadline.min(self.early_connect_deadline)
@@ -159,7 +163,8 @@
         self.in_flight = Some(attempt);
     }
 
-    /// Records how the attempt in flight ended. `None` if it is not the attempt in flight.
+    /// Records how the attempt in flight ended. Returns `None` if `number` is not that of the attempt in
+    /// flight.
     pub(super) fn attempt_ended(&mut self, number: u32, end: AttemptEnd) -> Option<FinishedAttempt> {
         let InFlightAttempt { node, sent_at, .. } =
             self.in_flight.take_if(|attempt| attempt.number == number)?;
@@ -172,7 +177,7 @@
         Some(FinishedAttempt { node, started_at: body_completed_at.map_or(sent_at, |at| at.max(sent_at)) })
     }
 
-    /// When the core answers it itself.
+    /// Returns when the core answers the request itself.
     fn overdue_at(&self) -> Instant {
         self.request.deadline + OVERDUE_GRACE
     }
@@ -182,26 +187,26 @@
 #[derive(Default)]
 pub(super) struct OpenRequests {
     by_id: HashMap<RequestId, OpenRequest>,
-    /// The client request ids of these, and of replies that are still being streamed.
+    /// The client request ids of the open requests, and of replies that are still being streamed.
     client_ids: ClientRequestIds,
-    /// All requests without an answer, by when the core answers them itself.
+    /// All requests without an answer, by the time at which the core answers them itself.
     overdue_schedule: BTreeSet<(Instant, RequestId)>,
-    /// No request gets more time than that; set once the program shuts down.
+    /// Upper bound of the deadlines of all requests; set once the program shuts down.
     shutdown_deadline: Option<Instant>,
 }
 
 impl OpenRequests {
-    /// Reserves a client's request id; `None` if it is in use.
+    /// Reserves a client's request id; returns `None` if it is in use.
     pub(super) fn reserve_client_id(&self, id: &str) -> Option<ClientRequestIdGuard> {
         self.client_ids.reserve(id)
     }
 
-    /// The deadline of a request, which is limited by that of a shutdown.
+    /// Returns `deadline`, or the deadline of the shutdown if that is earlier.
     pub(super) fn limit_deadline(&self, deadline: Instant) -> Instant {
         self.shutdown_deadline.map_or(deadline, |shutdown| shutdown.min(deadline))
     }
 
-    /// The program shuts down.
+    /// Returns whether the program is shutting down.
     pub(super) fn is_shutting_down(&self) -> bool {
         self.shutdown_deadline.is_some()
     }
@@ -219,13 +224,14 @@
         self.by_id.get_mut(&id)
     }
 
-    /// It has got its answer, or is not known any more.
+    /// Returns whether a request has its final answer, or is not known any more.
     pub(super) fn is_answered(&self, id: RequestId) -> bool {
         self.by_id.get(&id).is_none_or(OpenRequest::is_answered)
     }
 
-    /// Takes what is needed to answer a request, cancels what is in flight, and drops the request unless the
-    /// end of an attempt is still expected. `None` if it was answered before.
+    /// Prepares the answer to a request: cancels its attempt in flight, drops the request unless the end of
+    /// an attempt is still expected, and returns what is needed to answer it. Returns `None` if it was
+    /// answered before.
     pub(super) fn take_for_answer(&mut self, id: RequestId) -> Option<AnsweredRequest> {
         let open = self.by_id.get_mut(&id)?;
         let reply = open.reply.take()?;
@@ -249,36 +255,37 @@
         self.by_id.remove(&id);
     }
 
-    /// Number of requests without an answer.
+    /// Returns the number of requests without an answer.
     pub(super) fn unanswered_count(&self) -> usize {
         self.overdue_schedule.len()
     }
 
-    /// Number of requests without an answer and of replies that are being streamed.
+    /// Returns the number of requests without an answer and of replies that are being streamed.
     pub(super) fn active_count(&self) -> usize {
         self.unanswered_count() + self.client_ids.streaming_count()
     }
 
-    /// When the core answers a request itself next.
+    /// Returns when the core next has to answer a request itself.
     pub(super) fn next_overdue(&self) -> Option<Instant> {
         self.overdue_schedule.first().map(|(at, _)| *at)
     }
 
-    /// Removes a request that is overdue from the schedule.
+    /// Removes one overdue request from the schedule and returns its id.
     pub(super) fn pop_overdue(&mut self, now: Instant) -> Option<RequestId> {
         let &(at, id) = self.overdue_schedule.first().filter(|(at, _)| *at <= now)?;
         self.overdue_schedule.remove(&(at, id));
         Some(id)
     }
 
-    /// Limits the deadlines of all requests, now and from now on: clients may wait for longer than the
-    /// platform lets the program run, and the end of their connection is no answer.
+    /// Limits the deadlines of all open and all later requests. Clients may wait for longer than the
+    /// platform lets the program run, and a closed connection is not an answer.
     pub(super) fn set_shutdown_deadline(&mut self, deadline: Instant) {
         self.shutdown_deadline = Some(deadline);
         let first_too_late = (deadline + OVERDUE_GRACE, RequestId(0));
-        // The limits are ordered by time, so this takes those that are later than the new one.
+        // The schedule is ordered by time, so this takes the requests that would be answered later than
+        // `deadline` allows.
         for (_, id) in self.overdue_schedule.split_off(&first_too_late) {
-            // Each request that has a limit is in the table.
+            // Each request in the schedule is also in the table.
             if let Some(open) = self.by_id.get_mut(&id) {
                 open.request.deadline = deadline;
                 self.overdue_schedule.insert((open.overdue_at(), id));
--- a/crates/core/src/actor/policy_driver.rs
+++ b/crates/core/src/actor/policy_driver.rs
@@ -1,4 +1,4 @@
-//! The policy with its clock, its timers and the events that it has not seen yet.
+//! The policy with its clock, its timers and the events that it has not handled yet.
 
 use std::collections::{BTreeSet, VecDeque};
 
@@ -7,16 +7,16 @@
 use crate::Clock;
 use heathward_policy::{Action, Event, Micros, NodeId, NodeStatus, Scheduler, Settings, SettingsError};
 
-/// The policy with its clock, its timers and the events that it has not seen yet.
+/// The policy with its clock, its timers and the events that it has not handled yet.
 pub(super) struct PolicyDriver {
     scheduler: Scheduler,
     clock: Clock,
     timers: BTreeSet<Timer>,
-    /// Events that the policy's own actions have caused.
+    /// Events that the policy has not handled yet, oldest first.
     pending_events: VecDeque<Event>,
 }
 
-/// A timer that the policy has set; `token` tells the policy what it is for.
+/// A timer that the policy has set; `token` identifies its purpose to the policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Timer {
     at: Micros,
@@ -28,7 +28,7 @@
         Self { scheduler, clock, timers: BTreeSet::new(), pending_events: VecDeque::new() }
     }
 
-    /// Changes the settings.
+    /// Replaces the settings.
     ///
     /// # Errors
     ///
@@ -42,27 +42,27 @@
         self.pending_events.push_back(event);
     }
 
-    /// The policy's time at an instant.
+    /// Converts an instant to the policy's time.
     pub(super) fn micros_at(&self, at: Instant) -> Micros {
         self.clock.micros_at(at)
     }
 
-    /// The instant of a time of the policy.
+    /// Converts a time of the policy to an instant.
     pub(super) fn instant_at(&self, at: Micros) -> Instant {
         self.clock.instant_at(at)
     }
 
-    /// The policy's current view of a node; `None` if it does not know the node.
+    /// Returns the policy's view of a node at `now`; `None` if it does not know the node.
     pub(super) fn node_status(&self, now: Micros, node: NodeId) -> Option<NodeStatus> {
         self.scheduler.node_status(now, node)
     }
 
-    /// Sets a timer; `token` tells the policy what it is for.
+    /// Sets a timer; `token` identifies its purpose to the policy.
     pub(super) fn set_timer(&mut self, at: Micros, token: u64) {
         self.timers.insert(Timer { at, token });
     }
 
-    /// Takes the event that has been pending for longest.
+    /// Removes and returns the event that has been pending for longest.
     pub(super) fn next_event(&mut self) -> Option<Event> {
         self.pending_events.pop_front()
     }
@@ -72,7 +72,7 @@
         self.scheduler.handle(self.clock.micros_at(now), event, actions);
     }
 
-    /// When the next timer is due.
+    /// Returns when the next timer is due.
     pub(super) fn next_timer(&self) -> Option<Instant> {
         self.timers.first().map(|timer| self.clock.instant_at(timer.at))
     }
--- a/crates/core/src/actor/published.rs
+++ b/crates/core/src/actor/published.rs
@@ -8,7 +8,7 @@
 use crate::{CoreStatus, Draining};
 use heathward_policy::settings::Deployment;
 
-/// The senders of what the actor publishes.
+/// The watch channels through which the actor publishes its state.
 pub(super) struct PublishedState {
     status: watch::Sender<CoreStatus>,
     /// Shared with the handles, as the program itself sets [`Draining::replaced`].
@@ -37,7 +37,7 @@
         Arc::clone(&self.draining)
     }
 
-    /// The current settings. The guard must not be held while they are replaced.
+    /// Returns the current settings. The guard must not be held while they are replaced.
     pub(super) fn deployment(&self) -> watch::Ref<'_, Arc<Deployment>> {
         self.deployment.borrow()
     }
@@ -47,7 +47,7 @@
         self.deployment.send_replace(deployment);
     }
 
-    /// An operator has paused the scheduler.
+    /// Returns whether an operator has paused the scheduler.
     pub(super) fn is_paused(&self) -> bool {
         self.draining.borrow().paused
     }
@@ -62,7 +62,7 @@
         self.update_status(|status| status.open_requests = open_requests);
     }
 
-    /// Publishes whether the core has an endpoint list that it may use, and otherwise, if the lease has
+    /// Publishes whether the core has an endpoint list that it may use, and, while the lease on it is
     /// expired, the last contact with discovery.
     pub(super) fn set_lease(&self, ready: bool, expired_lease_last_contact: Option<Instant>) {
         self.update_status(|status| {
@@ -76,7 +76,7 @@
     }
 }
 
-/// Changes the reasons for draining; receivers are notified only of a difference.
+/// Changes the reasons for draining; receivers are notified only if they differ from before.
 pub(super) fn update_draining(draining: &watch::Sender<Draining>, change: impl FnOnce(&mut Draining)) {
     draining.send_if_modified(|draining| modify(draining, change));
 }
--- a/crates/core/src/actor/requests.rs
+++ b/crates/core/src/actor/requests.rs
@@ -1,4 +1,4 @@
-//! Requests from their arrival to the one final answer.
+//! Handles requests from their arrival to the final answer.
 
 use tokio::sync::oneshot;
 use tokio::time::Instant;
@@ -20,14 +20,15 @@
     ) {
         let Some(id_guard) = self.requests.reserve_client_id(&request.node_request.client_request_id) else {
             self.counters.malformed_requests += 1;
-            // A front end that has left meanwhile needs no answer.
+            // The front end may have dropped the receiver.
             let _ = reply.send(Answer::Duplicate);
             return;
         };
         self.counters.requests_received += 1;
         let now = Instant::now();
-        // The policy tells from the client's time how long that has waited already. What a shutdown takes of
-        // that time is no waiting: this core alone keeps to it.
+        // The policy derives from the client's remaining time how long the request has already waited. So
+        // it gets the client's own deadline: the time that a shutdown takes away was not spent waiting, and
+        // only the core enforces the shutdown's deadline.
         let policy_request = policy_request(id, &request, now);
         request.deadline = self.requests.limit_deadline(request.deadline);
         let Request { class, plan, volume, units, .. } = policy_request;
@@ -39,7 +40,7 @@
         self.arriving_request = None;
     }
 
-    /// Drops a request for which nobody waits any more. One that is still in the request channel is dropped
+    /// Drops a request whose client has disconnected. One that is still in the request channel is dropped
     /// when it is received.
     pub(super) fn client_disconnected(&mut self, id: RequestId) {
         if self.answer_request(id, None) {
@@ -48,8 +49,8 @@
         }
     }
 
-    /// Gives a request its one final answer, or none if nobody waits for it. Returns false if it was answered
-    /// before.
+    /// Gives a request its final answer; `answer` is `None` if the client has disconnected. Returns false
+    /// if the request was answered before.
     pub(super) fn answer_request(&mut self, id: RequestId, answer: Option<Answer>) -> bool {
         let Some(answered) = self.requests.take_for_answer(id) else { return false };
         let on_arrival = self.arriving_request == Some(id) && answered.attempts == 0;
@@ -73,7 +74,7 @@
                 Answer::Shed { .. } => counts.shed += 1,
                 Answer::Failed { .. } => counts.failed += 1,
             }
-            // A front end that has left meanwhile reports the disconnect by itself.
+            // A front end that has dropped the receiver reports the disconnect itself.
             let _ = answered.reply.send(answer);
         }
         true
@@ -84,27 +85,27 @@
         while let Some(id) = self.requests.pop_overdue(now) {
             self.counters.overdue_requests += 1;
             let possibly_executed = self.requests.get(id).is_some_and(OpenRequest::is_possibly_executed);
-            // In a shutdown the client itself still has time: another scheduler can take the request, unless
-            // it may have been executed.
+            // In a shutdown the client's own deadline has not passed yet: another scheduler can serve the
+            // request, unless it may have been executed.
             let answer = if self.requests.is_shutting_down() && !possibly_executed {
                 Answer::Shed { retry_after: None }
             } else {
                 Answer::Failed { possibly_executed, deadline_passed: true }
             };
             self.answer_request(id, Some(answer));
-            // To the policy this is the same as a disconnect: nobody waits for its answer any more.
+            // For the policy this is the same as a disconnect: its answer is no longer needed.
             self.handle_event(Event::ClientDisconnected { request: id });
         }
     }
 
-    /// The program shuts down: every answer must be given by `deadline`.
+    /// Starts the shutdown: every answer must be given by `deadline`.
     pub(super) fn set_shutdown_deadline(&mut self, deadline: Instant) {
         self.requests.set_shutdown_deadline(deadline);
         self.observer.observe(Observation::ShuttingDown);
     }
 }
 
-/// The policy's view of a request that is received now.
+/// Converts a request that is received at `now` to the policy's type.
 fn policy_request(id: RequestId, request: &ClientRequest, now: Instant) -> Request {
     Request {
         id,
@@ -121,7 +122,7 @@
     }
 }
 
-/// What an observer is told of an answer; `None` if the client has disconnected.
+/// Returns the outcome that is reported to the observer. `answer` is `None` if the client has disconnected.
 fn request_outcome(
     answer: Option<&Answer>,
     last_attempt_end: Option<AttemptEnd>,
--- a/crates/core/src/actor/settings.rs
+++ b/crates/core/src/actor/settings.rs
@@ -1,4 +1,4 @@
-//! Settings that change while the core runs.
+//! Applies new settings while the core runs.
 
 use std::sync::Arc;
 
--- a/crates/core/src/actor/shared_lease.rs
+++ b/crates/core/src/actor/shared_lease.rs
@@ -1,5 +1,5 @@
-//! The lease on the endpoint list as the actor holds it: it publishes the expiry to the tasks that write to
-//! nodes, and reports when the lease expires and when it is renewed.
+//! The actor's lease on the endpoint list. It publishes the expiry to the tasks that write to nodes, and
+//! reports when the lease expires and when it is renewed.
 
 use std::time::Duration;
 
@@ -14,11 +14,11 @@
     lease: EndpointLease,
     /// Shared with the send gates of all nodes.
     expiry: LeaseExpiry,
-    /// What the last [`SharedLease::refresh`] found.
+    /// Whether the lease was expired at the last [`SharedLease::refresh`].
     is_expired: bool,
 }
 
-/// A change that [`SharedLease::refresh`] has found.
+/// A change of the lease between two calls of [`SharedLease::refresh`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum LeaseChange {
     /// The lease has expired.
@@ -31,7 +31,7 @@
 }
 
 impl SharedLease {
-    /// The lease of a program that starts now with these settings.
+    /// Creates the lease of a program that starts at `now` with the settings of `deployment`.
     pub(super) fn new(now: Instant, deployment: &Deployment) -> Self {
         let mut shared =
             Self { lease: EndpointLease::new(now), expiry: LeaseExpiry::new(now), is_expired: false };
@@ -40,7 +40,7 @@
         shared
     }
 
-    /// Applies the limits that settings have for the use of an old list.
+    /// Applies the limits that the settings set for the use of an old list.
     pub(super) fn apply_settings(&mut self, deployment: &Deployment) {
         let max_poll_interval = match deployment.settings.endpoint_list_mode {
             EndpointListMode::Streamed => None,
@@ -50,12 +50,12 @@
         self.expiry.set(self.lease.expires_at());
     }
 
-    /// The lease, to record what is known of discovery.
+    /// Returns the lease, to record contacts with discovery and their absence.
     pub(super) fn get_mut(&mut self) -> &mut EndpointLease {
         &mut self.lease
     }
 
-    /// The expiry, for the send gate of a node.
+    /// Returns the expiry, for the send gate of a node.
     pub(super) fn expiry(&self) -> LeaseExpiry {
         self.expiry.clone()
     }
@@ -74,17 +74,17 @@
         })
     }
 
-    /// The lease had expired at the last [`SharedLease::refresh`].
+    /// Returns whether the lease was expired at the last [`SharedLease::refresh`].
     pub(super) fn is_expired(&self) -> bool {
         self.is_expired
     }
 
-    /// While the lease is expired: the last contact with discovery.
+    /// Returns the last contact with discovery if the lease is expired.
     pub(super) fn last_contact_if_expired(&self) -> Option<Instant> {
         self.is_expired.then(|| self.lease.last_contact())
     }
 
-    /// When the lease expires, or becomes valid, without contact.
+    /// Returns when the lease next expires or becomes valid without further contact.
     pub(super) fn next_change(&self, now: Instant) -> Option<Instant> {
         self.lease.next_change(now)
     }
--- a/crates/core/src/actor/zones.rs
+++ b/crates/core/src/actor/zones.rs
@@ -1,4 +1,5 @@
-//! Numbers of zones, by which the policy knows them. A zone keeps its number while a known node is in it.
+//! Assigns the numbers by which the policy identifies zones. A zone keeps its number while a known node is
+//! in it.
 
 use std::collections::HashMap;
 
@@ -37,7 +38,7 @@
         }
     }
 
-    /// Number of known zones.
+    /// Returns the number of known zones.
     #[cfg(test)]
     pub(super) fn len(&self) -> usize {
         self.by_name.len()
--- a/crates/core/src/attempt.rs
+++ b/crates/core/src/attempt.rs
@@ -21,12 +21,12 @@
     pub number: u32,
     /// The node.
     pub node: NodeId,
-    /// When the attempt is given up.
+    /// The instant at which the attempt is given up.
     pub deadline: Instant,
-    /// An attempt that has no connection by then was never executed, and ends. This is no later than half of
-    /// the request's time, so that the client learns of it early enough to retry elsewhere.
+    /// An attempt that has no connection by this instant was never executed, and ends. This is no later
+    /// than half of the request's time, so that the client learns of it early enough to retry elsewhere.
     pub connect_deadline: Instant,
-    /// What to execute.
+    /// The request as the node needs it.
     pub node_request: Arc<NodeRequest>,
     /// Once this is closed, the attempt must not be started.
     pub send_gate: SendGate,
@@ -39,15 +39,15 @@
 }
 
 impl Attempt {
-    /// Whether the first byte may be written now: the request is not cancelled, the gate is open, and the
-    /// deadline has not passed. While the body is still being received, the time of the attempt has not
-    /// begun.
+    /// Returns whether the first byte may be written now: the request is not cancelled, the gate is open,
+    /// and the deadline has not passed. The deadline does not apply to an attempt with a streamed body, as
+    /// the time budget starts with the last byte of the body.
     pub fn may_start(&self) -> bool {
         let in_time = self.node_request.upload.is_some() || Instant::now() < self.deadline;
         in_time && !self.cancel.is_cancelled() && !self.send_gate.is_closed()
     }
 
-    /// Its last byte has been written.
+    /// Records that the last byte has been written.
     pub fn mark_written(&self) {
         self.written_attempts.increment();
         self.write_completion.set();
@@ -64,15 +64,15 @@
         self.0.store(true, Ordering::Relaxed);
     }
 
-    /// The last byte has been written.
+    /// Returns whether the last byte has been written.
     pub fn is_set(&self) -> bool {
         self.0.load(Ordering::Relaxed)
     }
 }
 
-/// Whether anything new may be sent to a node. All clones share one gate. It is checked right before the
-/// first byte of an attempt, because an attempt may still wait for a connection when its node starts draining
-/// or the lease on the endpoint list expires.
+/// Closed while no new attempt may be sent to a node. All clones share one gate. It is checked right before
+/// the first byte of an attempt, because an attempt may still wait for a connection when its node starts
+/// draining or the lease on the endpoint list expires.
 #[derive(Clone, Debug)]
 pub struct SendGate {
     closed: Arc<AtomicBool>,
@@ -80,7 +80,7 @@
 }
 
 impl SendGate {
-    /// A gate that is open until the lease on the endpoint list expires.
+    /// Creates a gate that is open until the lease on the endpoint list expires.
     pub fn new(lease_expiry: LeaseExpiry) -> Self {
         Self { closed: Arc::default(), lease_expiry }
     }
@@ -90,13 +90,13 @@
         self.closed.store(closed, Ordering::Relaxed);
     }
 
-    /// Nothing new may be sent to the node now.
+    /// Returns whether no new attempt may be sent to the node now.
     pub fn is_closed(&self) -> bool {
         self.closed.load(Ordering::Relaxed) || self.lease_expiry.has_expired(Instant::now())
     }
 }
 
-/// An open gate whose lease never expires, for tests.
+/// Creates an open gate whose lease never expires, for tests.
 impl Default for SendGate {
     fn default() -> Self {
         Self::new(LeaseExpiry::new(Instant::now()))
--- a/crates/core/src/body.rs
+++ b/crates/core/src/body.rs
@@ -1,4 +1,5 @@
-//! Bodies that are too long to be buffered: they are streamed in chunks, no faster than the receiver reads.
+//! Streaming of bodies that are too long to be buffered: they pass in chunks, no faster than the receiver
+//! reads.
 
 use std::fmt;
 use std::task::{ready, Context, Poll};
@@ -8,10 +9,10 @@
 
 use super::client_request_ids::ClientRequestIdGuard;
 
-/// Chunks between sender and receiver: one waits while the next is produced.
+/// Capacity of a body channel, in chunks: one waits for the receiver while the next is produced.
 const BODY_CHANNEL_CAPACITY: usize = 1;
 
-/// What passes through a body channel.
+/// An item of a body channel.
 enum BodyChunk {
     Data(Bytes),
     /// The body is complete.
@@ -41,7 +42,7 @@
 
 impl fmt::Display for BodyInterrupted {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("broken off")
+        f.write_str("the body ended before it was complete")
     }
 }
 
@@ -71,7 +72,7 @@
 }
 
 impl BodyStream {
-    /// The next chunk; `None` after the last.
+    /// Polls for the next chunk; `None` after the last.
     ///
     /// # Errors
     ///
@@ -89,7 +90,7 @@
         })
     }
 
-    /// Reads the complete body; `None` if it is interrupted or longer than `max_bytes`.
+    /// Reads the complete body; returns `None` if it is interrupted or longer than `max_bytes`.
     pub async fn collect(mut self, max_bytes: usize) -> Option<Bytes> {
         let mut collected = Vec::new();
         while let Some(chunk) = std::future::poll_fn(|cx| self.poll_next(cx)).await {
@@ -123,14 +124,15 @@
 }
 
 impl StreamedReply {
-    /// A reply with a body of `content_length` bytes, if that is known.
+    /// Creates a reply whose body has `content_length` bytes, if that is known.
     pub fn new(content_length: Option<u64>, body: BodyStream) -> Self {
         Self { content_length, body, _id_guard: None }
     }
 }
 
 impl NodeReply {
-    /// Reads the complete body. A streamed one gives `None` if it is interrupted or longer than `max_bytes`.
+    /// Reads the complete body; returns `None` if it is streamed and is interrupted or longer than
+    /// `max_bytes`.
     pub async fn collect(self, max_bytes: usize) -> Option<Bytes> {
         match self {
             Self::Buffered(body) => Some(body),
--- a/crates/core/src/client_disconnects.rs
+++ b/crates/core/src/client_disconnects.rs
@@ -1,5 +1,5 @@
-//! Cancellation on drop. A front end that drops the future of an answer has lost its client; the core always
-//! learns of it, even while its request channel is full.
+//! Reports client disconnects to the core. A front end drops the future of an answer when its client has
+//! disconnected; the core is always notified of it, even while its request channel is full.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
@@ -7,7 +7,7 @@
 use tokio::sync::Notify;
 use tokio_util::sync::CancellationToken;
 
-/// Requests whose clients have disconnected and that the core has not dealt with yet.
+/// Requests whose clients have disconnected and that the core has not dropped yet.
 ///
 /// Its size is bounded: a request adds one entry at most, and only after it was accepted into the request
 /// channel. So there are never more entries than requests in that channel and open requests together.
@@ -28,7 +28,7 @@
         self.notify.notified().await;
     }
 
-    /// Takes the requests whose clients have disconnected since the last call.
+    /// Returns the requests whose clients have disconnected since the last call.
     pub(crate) fn take_all(&self) -> Vec<RequestId> {
         std::mem::take(&mut *self.pending.lock().unwrap_or_else(PoisonError::into_inner))
     }
@@ -45,7 +45,7 @@
 }
 
 impl CancelOnDrop {
-    /// A guard for a request that was accepted into the core's request channel.
+    /// Creates a guard for a request that was accepted into the core's request channel.
     pub(crate) fn new(
         disconnects: Arc<ClientDisconnects>,
         request: RequestId,
@@ -54,7 +54,7 @@
         Self { disconnects, request, cancel, answered: false }
     }
 
-    /// Disarms the guard: the answer has arrived.
+    /// Disarms the guard after the answer has arrived.
     pub(crate) fn disarm(mut self) {
         self.answered = true;
     }
--- a/crates/core/src/client_request_ids.rs
+++ b/crates/core/src/client_request_ids.rs
@@ -16,14 +16,14 @@
         self.in_use.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Reserves an id until the returned guard is dropped; `None` if it is in use.
+    /// Reserves an id until the returned guard is dropped; returns `None` if it is in use.
     pub(crate) fn reserve(&self, id: &str) -> Option<ClientRequestIdGuard> {
         let id: Box<str> = id.into();
         let is_new = self.lock().insert(id.clone());
         is_new.then(|| ClientRequestIdGuard { ids: self.clone(), id, is_streaming: false })
     }
 
-    /// The number of replies that are being streamed to clients.
+    /// Returns the number of replies that are being streamed to clients.
     pub(crate) fn streaming_count(&self) -> usize {
         self.streaming.load(Ordering::Relaxed)
     }
--- a/crates/core/src/counters.rs
+++ b/crates/core/src/counters.rs
@@ -36,9 +36,9 @@
 /// Reloads of the configuration, by their result.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ConfigurationReloads {
-    /// The new configuration was applied.
+    /// Reloads whose configuration was applied.
     pub applied: u64,
-    /// The new configuration was rejected, and the old one kept.
+    /// Reloads whose configuration was rejected; the old one was kept.
     pub rejected: u64,
 }
 
@@ -63,7 +63,7 @@
         self.0.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// The number of attempts counted so far.
+    /// Returns the number of attempts that were counted.
     pub fn total(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
     }
@@ -95,20 +95,20 @@
         AttemptEnd::NotSent,
     ];
 
-    /// Number of attempts that ended in that way.
+    /// Returns the number of attempts that ended with `end`.
     pub fn attempts_ended(&self, end: AttemptEnd) -> u64 {
         let index = Self::ATTEMPT_ENDS.iter().position(|known| *known == end);
         index.map_or(0, |index| self.attempt_ends[index])
     }
 
-    /// The answers of a class, which start at zero.
+    /// Returns the answer counts of a class, which start at zero.
     pub fn answers_of_class(&mut self, class: ClassId) -> &mut AnswerCounts {
         let index = usize::from(class.0);
         self.answers_by_class.resize(self.answers_by_class.len().max(index + 1), AnswerCounts::default());
         &mut self.answers_by_class[index]
     }
 
-    /// The answers of all classes together.
+    /// Returns the sum of the answer counts of all classes.
     pub fn total_answers(&self) -> AnswerCounts {
         self.answers_by_class.iter().fold(AnswerCounts::default(), |sum, class| AnswerCounts {
             served: sum.served + class.served,
@@ -131,8 +131,8 @@
     }
 }
 
-/// One line for the log. Its names are part of the interface; `docs/glossary.md` maps them to those of this
-/// code.
+/// Formats the counters as one line of the log. The names in it are part of the interface;
+/// `docs/glossary.md` maps them to those of this code.
 impl fmt::Display for Counters {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
@@ -153,7 +153,7 @@
     }
 }
 
-/// The name of an end in the line for the log.
+/// Returns the name of an attempt's end in the line of the log.
 fn log_name(end: AttemptEnd) -> &'static str {
     match end {
         AttemptEnd::Served => "ok",
--- a/crates/core/src/endpoint.rs
+++ b/crates/core/src/endpoint.rs
@@ -11,11 +11,11 @@
     pub id: Box<str>,
     /// The address at which this scheduler reaches it.
     pub address: SocketAddr,
-    /// Name of its zone.
+    /// Name of the zone that it is in.
     pub zone: Box<str>,
     /// The shard that it holds.
     pub shard: ShardId,
-    /// Its state.
+    /// Its state according to discovery.
     pub state: NodeState,
     /// When it last started, in microseconds of Unix time; `None` if that was long ago.
     pub started_at: Option<Micros>,
@@ -26,7 +26,7 @@
 pub struct EndpointUpdate {
     /// Revision of the list; a later list has a higher one.
     pub revision: u64,
-    /// Whether `endpoints` are a complete snapshot or the changes.
+    /// Whether `endpoints` is a complete list or only changes.
     pub kind: EndpointUpdateKind,
     /// The nodes that the update names.
     pub endpoints: Vec<Endpoint>,
--- a/crates/core/src/endpoint_lease/tests.rs
+++ b/crates/core/src/endpoint_lease/tests.rs
@@ -25,8 +25,8 @@
 }
 
 /// Guards against using a list for as long as calls fail: with 300 schedulers that would be up to 36 s,
-/// although an update counts as delivered after 6 s. And against using the cached list of the start while
-/// this program is slow to read what its agent has sent.
+/// although an update counts as delivered after 6 s. Also guards against using the cached list while this
+/// program is slow to read the agent's first message.
 #[test]
 fn a_lease_is_valid_from_the_first_contact_until_6_s_after_the_last() {
     let start = Instant::now();
@@ -36,13 +36,13 @@
     assert_eq!(
         valid_tenths(&lease, start),
         [10..=59],
-        "no contact: the cached list of the start, later and for a while"
+        "without contact, the cached list is valid from 1 s to 6 s after the start"
     );
     assert_eq!(lease.next_change(start), Some(at(start, 1.0)));
     let mut unanswered = lease;
     unanswered.record_unanswered_call(at(start, 0.2));
     assert_eq!(valid_tenths(&unanswered, start), [2..=59]);
-    // The agent accepted a call and had nothing new.
+    // Contact through a call that the agent accepted without having an update.
     unanswered.record_contact(at(start, 5.0));
     assert_eq!(
         (valid_tenths(&unanswered, start), unanswered.last_contact()),
@@ -56,7 +56,7 @@
     assert_eq!(
         lease.next_change(at(start, 4.0)),
         Some(at(start, 9.0)),
-        "an older contact takes nothing back"
+        "an older contact does not shorten the lease"
     );
     assert_eq!(lease.next_change(at(start, 9.0)), None);
 }
@@ -87,13 +87,17 @@
     lease.record_watch_closed();
     assert_eq!(valid_tenths(&lease, start), [10..=129], "no call since the last contact");
     lease.record_failed_call();
-    assert_eq!(valid_tenths(&lease, start), [10..=89], "taken back");
+    assert_eq!(valid_tenths(&lease, start), [10..=89], "the extension is revoked");
     lease.record_watch_closed();
     lease.record_failed_call();
-    assert_eq!(valid_tenths(&lease, start), [10..=89], "not extended again before the next contact");
+    assert_eq!(valid_tenths(&lease, start), [10..=89], "no other extension before the next contact");
     lease.record_contact(at(start, 2.0));
     lease.record_watch_closed();
-    assert_eq!(valid_tenths(&lease, start), [10..=89], "nor by a contact before the last one");
+    assert_eq!(
+        valid_tenths(&lease, start),
+        [10..=89],
+        "a contact before the last one does not allow another extension"
+    );
     lease.record_contact(at(start, 4.0));
     lease.record_watch_closed();
     assert_eq!(valid_tenths(&lease, start), [10..=139]);
--- a/crates/core/src/handover_state.rs
+++ b/crates/core/src/handover_state.rs
@@ -6,10 +6,10 @@
 use super::operator::ForwardedCommand;
 use heathward_policy::Micros;
 
-/// What a process gives to the peer process that takes over from it.
+/// Passed by a process to the peer process that takes over from it.
 #[derive(Debug)]
 pub struct Handover {
-    /// The state at this moment.
+    /// The state at the time of the handover.
     pub state: HandoverState,
     /// The commands that operators give to this process from now on.
     pub commands: mpsc::Receiver<ForwardedCommand>,
@@ -24,7 +24,7 @@
     pub suspended: Vec<Box<str>>,
     /// The nodes in slow start.
     pub slow_start: Vec<SlowStartNode>,
-    /// An operator has paused the scheduler.
+    /// Whether an operator has paused the scheduler.
     pub paused: bool,
 }
 
--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -25,9 +25,9 @@
         id: RequestId,
         /// The request.
         request: ClientRequest,
-        /// Where the one answer goes.
+        /// The channel for the final answer.
         reply: oneshot::Sender<Answer>,
-        /// Cancelled once nobody waits for the answer any more.
+        /// Cancelled once the client no longer waits for the answer.
         cancel: CancellationToken,
     },
     /// A front end has rejected a malformed request.
@@ -36,9 +36,9 @@
     AttemptEnded(EndedAttempt),
     /// Discovery has an update of the endpoint list.
     EndpointUpdate(EndpointUpdate),
-    /// A watch message, possibly an empty one (a heartbeat), arrived from discovery at that instant, and its
-    /// content was sent here before. Or the discovery agent accepted a call at that instant and had nothing
-    /// more to say.
+    /// A watch message, possibly an empty one (a heartbeat), arrived from discovery at that instant, and
+    /// its content was sent here before. Or the discovery agent accepted a call at that instant and had
+    /// nothing new.
     DiscoveryContact(Instant),
     /// At a polled discovery service no watch is open: none was opened yet, or the last one has delivered
     /// messages and has ended.
@@ -53,21 +53,21 @@
     UpdateSettings {
         /// The new settings.
         deployment: Arc<Deployment>,
-        /// Says whether the core accepts them.
+        /// The channel for the result: whether the core accepts the settings.
         reply: oneshot::Sender<Result<(), ConfigError>>,
     },
-    /// The program shuts down: every answer must be given by that instant.
+    /// The program is shutting down: every answer must be given by that instant.
     ShutdownDeadline(Instant),
-    /// The configuration was read again.
+    /// The configuration was reloaded.
     ConfigurationReloaded {
-        /// It was applied; otherwise it was rejected.
+        /// Whether it was applied; otherwise it was rejected.
         applied: bool,
     },
-    /// The observer is replaced.
+    /// Replace the observer.
     SetObserver {
-        /// The new one; `None` removes the old one.
+        /// The new observer; `None` removes the current one.
         observer: Option<Box<dyn Observer>>,
-        /// Confirms it.
+        /// Notified once the observer has been replaced.
         reply: oneshot::Sender<()>,
     },
 }
@@ -77,7 +77,7 @@
     /// Carry out a command.
     RunCommand {
         command: OperatorCommand,
-        /// The command comes from the peer process, so it is not forwarded there.
+        /// Whether the command comes from the peer process, so that it is not forwarded there.
         from_peer_process: bool,
         reply: oneshot::Sender<Result<(), CommandError>>,
     },
@@ -89,10 +89,10 @@
     Metrics(oneshot::Sender<CoreMetrics>),
 }
 
-/// The status of the core, for whoever watches it.
+/// The status that the core publishes to its handles.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CoreStatus {
-    /// The core runs, and has an endpoint list that it may use.
+    /// Whether the core runs and has an endpoint list that it may use.
     pub ready: bool,
     /// Number of requests that have no answer yet.
     pub open_requests: usize,
@@ -101,8 +101,8 @@
     pub expired_lease_last_contact: Option<Instant>,
 }
 
-/// Starts to serve a node's connections: returns the channel for its attempts. The second argument is where
-/// the end of each attempt is reported, with [`report_attempt_end`].
+/// Starts to serve a node's connections, and returns the channel for the node's attempts. The second
+/// argument is the channel to which the end of each attempt is reported, with [`report_attempt_end`].
 pub type NodeConnector = Box<dyn Fn(&Endpoint, mpsc::Sender<CoreMessage>) -> mpsc::Sender<Attempt> + Send>;
 
 /// Reports the end of an attempt to the core. `reply` is only used with [`AttemptEnd::Served`].
@@ -113,6 +113,6 @@
     reply: NodeReply,
 ) {
     let Attempt { request, number, node, .. } = *attempt;
-    // If the core has stopped, nobody waits for the report.
+    // If the core has stopped, the report is not needed.
     let _ = core.send(CoreMessage::AttemptEnded(EndedAttempt { request, number, node, end, reply })).await;
 }
--- a/crates/core/src/observe.rs
+++ b/crates/core/src/observe.rs
@@ -1,4 +1,4 @@
-//! What the core reports to an observer, which keeps a record of events.
+//! The events that the core reports to an observer, which records them.
 
 use std::time::Duration;
 
@@ -10,23 +10,24 @@
 
 use crate::endpoint::Endpoint;
 
-/// Keeps a record of events. It is called on the core's task, so it must not block.
+/// Records events. It is called on the core's task, so it must not block.
 pub trait Observer: Send {
-    /// Something happened at `at`.
+    /// Handles an event that happened at `at`.
     fn observe(&mut self, at: Instant, observation: Observation<'_>);
 
-    /// The settings that apply from now on; called first, and again whenever they change.
+    /// Handles the settings that apply from now on; called before any event, and again whenever the
+    /// settings change.
     fn settings_changed(&mut self, deployment: &Deployment);
 }
 
-/// Something that happened.
+/// An event that the core reports.
 #[derive(Clone, Debug)]
 pub enum Observation<'a> {
     /// An endpoint update arrived.
     EndpointsUpdated {
         /// Revision of the list.
         revision: u64,
-        /// What `endpoints` are.
+        /// Whether `endpoints` is a complete list or only changes.
         kind: EndpointUpdateKind,
         /// The nodes that the update names.
         endpoints: &'a [Endpoint],
@@ -44,16 +45,16 @@
     RequestReceived {
         /// The request.
         request: RequestId,
-        /// Its class.
+        /// Class of the request.
         class: ClassId,
-        /// Its plan.
+        /// Plan of the volume.
         plan: PlanId,
-        /// Its volume.
+        /// Volume that the request belongs to.
         volume: VolumeId,
-        /// Its size, in the units that quotas and node capacities count.
+        /// Size of the request, in the units that quotas and node capacities count.
         units: u32,
     },
-    /// An attempt was handed to the connections of a node.
+    /// An attempt was passed to the connections of a node.
     AttemptSent {
         /// The request.
         request: RequestId,
@@ -62,37 +63,39 @@
         /// Units that count against the limit of a node in slow start; 0 for other nodes.
         slow_start_units: u32,
     },
-    /// An attempt could not be handed to the connections of a node. It has no other end.
+    /// An attempt could not be passed to the connections of a node. No [`Observation::AttemptEnded`]
+    /// follows for it.
     AttemptNotSent {
         /// The request.
         request: RequestId,
         /// Id of the node.
         node: &'a str,
     },
-    /// An attempt that was handed to the connections of a node has ended; reported once for each, also after
-    /// its request has ended. With [`AttemptEnd::NotSent`] it was not written completely.
+    /// An attempt that was passed to the connections of a node has ended; reported once for each such
+    /// attempt, also after its request has ended. With [`AttemptEnd::NotSent`] it was not written
+    /// completely.
     AttemptEnded {
         /// The request.
         request: RequestId,
         /// Id of the node.
         node: &'a str,
-        /// How it ended.
+        /// How the attempt ended.
         end: AttemptEnd,
     },
     /// A request got its final answer, or its client disconnected.
     RequestEnded {
         /// The request.
         request: RequestId,
-        /// Its class.
+        /// Class of the request.
         class: ClassId,
-        /// How it ended.
+        /// How the request ended.
         outcome: RequestOutcome,
         /// Time since the core received it, in microseconds.
         latency: Micros,
     },
-    /// The configuration was read again.
+    /// The configuration was reloaded.
     ConfigurationReloaded {
-        /// It was applied; otherwise it was rejected.
+        /// Whether it was applied; otherwise it was rejected.
         applied: bool,
     },
     /// The shutdown has begun.
@@ -110,21 +113,21 @@
     LeaseRenewed,
     /// An operator has paused the scheduler, or resumed it.
     PauseChanged {
-        /// It is paused.
+        /// Whether it is paused now.
         paused: bool,
     },
     /// Time has passed; reported at regular intervals.
     TimePassed,
 }
 
-/// How a node is treated. If several apply, the last one in this order does.
+/// How the scheduler treats a node. If several variants apply, the last one in this order is reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum NodeTreatment {
     /// In service, after slow start.
     InService,
     /// In slow start, or presumed to be, since that time in microseconds of Unix time.
     SlowStart(Micros),
-    /// It does not respond.
+    /// Not responding.
     Unresponsive,
     /// Suspended by an operator.
     Suspended,
@@ -135,8 +138,8 @@
 }
 
 impl NodeTreatment {
-    /// The treatment of a node with state `listed` in the endpoint list and `status` in the policy, at `now`
-    /// in microseconds of Unix time. Slow start takes `slow_start_duration` microseconds.
+    /// Returns the treatment of a node with state `listed` in the endpoint list and `status` in the policy,
+    /// at `now` in microseconds of Unix time. Slow start takes `slow_start_duration` microseconds.
     pub fn from_state(
         listed: NodeState,
         suspended: bool,
@@ -169,7 +172,7 @@
     Command,
     /// The state of the previous process.
     Handover,
-    /// An attempt that ended like this.
+    /// The end of an attempt.
     AttemptEnded(AttemptEnd),
     /// Only the passage of time.
     TimePassed,
@@ -184,14 +187,14 @@
     Shed {
         /// How its last attempt ended; `None` if none was sent.
         last_attempt_end: Option<AttemptEnd>,
-        /// It was shed as soon as it was received, without having been queued.
+        /// Whether it was shed as soon as it was received, without having been queued.
         on_arrival: bool,
     },
     /// It failed.
     Failed {
-        /// An attempt may have been executed.
+        /// Whether an attempt may have been executed.
         possibly_executed: bool,
-        /// Its deadline had passed.
+        /// Whether its deadline had passed.
         deadline_passed: bool,
     },
     /// Its client disconnected.
--- a/crates/core/src/operator.rs
+++ b/crates/core/src/operator.rs
@@ -1,13 +1,13 @@
-//! Commands of operators, and why clients are asked to use another scheduler.
+//! Commands of operators, and the reasons for which clients are asked to use another scheduler.
 
 use std::fmt;
 
 use tokio::sync::oneshot;
 
-/// A command of an operator. Each holds until the opposite command.
+/// A command of an operator. Each stays in effect until the opposite command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OperatorCommand {
-    /// Send nothing new to the node with that id, whatever the endpoint list says.
+    /// Send no new requests to the node with that id, whatever its state in the endpoint list.
     Suspend(Box<str>),
     /// The node with that id is back in service. It was restarted meanwhile, so it begins with slow start.
     Restore(Box<str>),
@@ -17,40 +17,40 @@
     Resume,
 }
 
-/// Why clients are asked to use another scheduler; either reason is enough.
+/// The reasons for which clients are asked to use another scheduler; either one is enough.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Draining {
-    /// An operator has paused the scheduler.
+    /// Whether an operator has paused the scheduler.
     pub paused: bool,
-    /// Another process of the same scheduler accepts new connections.
+    /// Whether another process of the same scheduler accepts new connections.
     pub replaced: bool,
 }
 
 impl Draining {
-    /// Each connection is closed after its next answer.
+    /// Returns whether each client connection is closed after its next answer.
     pub fn closes_connections(self) -> bool {
         self.paused || self.replaced
     }
 }
 
-/// A command that this process has carried out and that the peer process is to carry out too, during a
-/// handover. The operator gets the reply once the peer process is done.
+/// A command that this process has run and forwards to the peer process during a handover. The operator
+/// gets the reply once the peer process has run it, too.
 #[derive(Debug)]
 pub struct ForwardedCommand {
     /// The command.
     pub command: OperatorCommand,
-    /// Where the result goes.
+    /// The channel for the result.
     pub reply: oneshot::Sender<Result<(), CommandError>>,
 }
 
-/// Why a command was not carried out.
+/// The reason for which a command failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CommandError {
-    /// It names a node that no endpoint list has named.
+    /// It names a node that is not known from the endpoint list.
     UnknownNode,
     /// The largest number of suspended nodes is reached.
     TooManySuspended,
-    /// This process has carried it out, but the peer process has not confirmed it.
+    /// This process has run it, but the peer process has not confirmed it.
     PeerUnresponsive,
 }
 
--- a/crates/core/src/request.rs
+++ b/crates/core/src/request.rs
@@ -16,9 +16,9 @@
     pub client_request_id: Box<str>,
     /// Name of the request class.
     pub class_name: Box<str>,
-    /// The request writes; otherwise it reads.
+    /// Whether the request writes; otherwise it reads.
     pub is_write: bool,
-    /// What is read or written, as a path with its query.
+    /// The path and query of the object that is read or written.
     pub target: Box<str>,
     /// The key by which nodes recognize a repeated request.
     pub idempotency_key: Option<Box<str>>,
@@ -28,7 +28,7 @@
     pub key: KeyId,
     /// Size of the request, in the units that quotas and node capacities count.
     pub units: u32,
-    /// Number of bytes that a read asks for, if the client says so.
+    /// Number of bytes that a read requests, if the client states it.
     pub read_length: Option<usize>,
     /// The body of a write, or the beginning of it if there is an [`upload`](Self::upload).
     pub body: Bytes,
@@ -47,11 +47,11 @@
     pub shard: Option<ShardId>,
     /// Number of schedulers through which the volume sends its requests.
     pub schedulers: u32,
-    /// The client marks the request as a retry of an earlier one.
+    /// Whether the client marks the request as a retry of an earlier one.
     pub is_client_retry: bool,
-    /// When the client must have its answer.
+    /// The instant by which the client must have its answer.
     pub deadline: Instant,
-    /// What a node needs to execute it.
+    /// The part of the request that a node needs to execute it.
     pub node_request: Arc<NodeRequest>,
 }
 
@@ -62,7 +62,7 @@
     Served(NodeReply),
     /// The request was shed: it was not executed, or may safely be executed again, so the client may retry.
     Shed {
-        /// When the client should retry, in microseconds from now; `None` without advice.
+        /// Delay before the client should retry, in microseconds; `None` without a recommendation.
         retry_after: Option<Micros>,
     },
     /// Rejected because an open request has the same client request id; otherwise two attempts of it could
@@ -70,9 +70,9 @@
     Duplicate,
     /// The request failed; nothing is known about its effect.
     Failed {
-        /// An attempt may have been executed.
+        /// Whether an attempt may have been executed.
         possibly_executed: bool,
-        /// The deadline of the request has passed.
+        /// Whether the deadline of the request has passed.
         deadline_passed: bool,
     },
 }
--- a/crates/core/src/stall_detection.rs
+++ b/crates/core/src/stall_detection.rs
@@ -13,25 +13,25 @@
 /// settings allow after an update.
 const STALL_THRESHOLD: Duration = Duration::from_millis(100);
 
-/// How often all other tasks are given a turn. An update passes three tasks between its socket and the core
-/// (connection, watch reader, discovery actor), each of which needs a turn, and the runtime polls the
-/// operating system for input only between turns.
+/// Number of times that all other tasks are given a turn. An update passes three tasks between its socket
+/// and the core (connection, watch reader, discovery actor), each of which needs a turn, and the runtime
+/// polls the operating system for input only between turns.
 const YIELD_ROUNDS: u32 = 8;
 
-/// Remembers when the core had its last turn.
+/// Detects stalls by the time since the core's last turn.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct StallDetector {
     last_turn: Instant,
 }
 
 impl StallDetector {
-    /// A detector for a core that has a turn now.
+    /// Creates a detector for a core that has a turn at `now`.
     pub(crate) fn new(now: Instant) -> Self {
         Self { last_turn: now }
     }
 
-    /// Records that the core has a turn now, and returns whether the process may have stalled since the turn
-    /// before. An idle core looks the same as a stalled one; checking for updates then costs a few
+    /// Records that the core has a turn at `now`, and returns whether the process may have stalled since
+    /// the turn before. An idle core looks the same as a stalled one; checking for updates then costs a few
     /// microseconds.
     pub(crate) fn record_turn(&mut self, now: Instant) -> bool {
         let previous = std::mem::replace(&mut self.last_turn, now);
@@ -39,7 +39,7 @@
     }
 }
 
-/// Takes the messages from discovery that had reached this machine when the process resumed.
+/// Returns the messages from discovery that had reached this machine when the process resumed.
 pub(crate) async fn take_pending_updates(discovery: &mut mpsc::Receiver<CoreMessage>) -> Vec<CoreMessage> {
     let mut pending = Vec::new();
     for _ in 0..YIELD_ROUNDS {
--- a/crates/core/src/stall_detection/tests.rs
+++ b/crates/core/src/stall_detection/tests.rs
@@ -8,7 +8,7 @@
         !stall_detector.record_turn(Instant::now() + STALL_THRESHOLD / 2)
             && stall_detector.record_turn(Instant::now() + STALL_THRESHOLD * 2)
     );
-    // Three tasks hand the message on, one after the other, as between a socket and the core.
+    // Three tasks pass the message on, one after the other, as between a socket and the core.
     let (connection, mut from_connection) = mpsc::channel(1);
     let (watch_reader, mut from_watch_reader) = mpsc::channel(1);
     tokio::spawn(async move { connection.send(Instant::now()).await });
--- a/crates/core/src/upload.rs
+++ b/crates/core/src/upload.rs
@@ -1,4 +1,4 @@
-//! The rest of a request's body that is still being received while the request is already handled.
+//! The rest of a request's body that is still being received while the request is already being handled.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -25,8 +25,8 @@
 }
 
 impl Upload {
-    /// An upload of `content_length` bytes in all, if that was announced, whose client waits for
-    /// `time_budget` after the last byte.
+    /// Creates an upload of `content_length` bytes in total, if that was announced, whose client waits for
+    /// its answer for `time_budget` after the last byte.
     pub fn new(content_length: Option<u64>, time_budget: Duration, body: BodyStream) -> Self {
         Self(Arc::new(UploadState {
             content_length,
@@ -37,12 +37,12 @@
         }))
     }
 
-    /// Length of the complete body in bytes, if the client announced it.
+    /// Returns the length of the complete body in bytes, if the client announced it.
     pub fn content_length(&self) -> Option<u64> {
         self.0.content_length
     }
 
-    /// How long the client waits for its answer after the last byte.
+    /// Returns how long the client waits for its answer after the last byte.
     pub fn time_budget(&self) -> Duration {
         self.0.time_budget
     }
@@ -52,12 +52,12 @@
         self.0.completed_at.send_replace(Some(Instant::now()));
     }
 
-    /// When the last byte arrived; `None` while the body is still being received.
+    /// Returns when the last byte arrived; `None` while the body is still being received.
     pub fn completed_at(&self) -> Option<Instant> {
         *self.0.completed_at.borrow()
     }
 
-    /// Gives the upload up because the node did not read a chunk in time; its attempt ends.
+    /// Abandons the upload because the node did not read a chunk in time; its attempt ends.
     pub fn abandon(&self) {
         self.0.abandoned.cancel();
     }
@@ -77,12 +77,13 @@
         self.0.body.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// No attempt has started to send the body.
+    /// Returns whether no attempt has started to send the body.
     pub fn is_unsent(&self) -> bool {
         self.lock_body().is_some()
     }
 
-    /// Takes the body, once: chunks that were sent to a node can't be sent again.
+    /// Takes the body; returns `None` if it was taken before, as chunks that were sent to a node can't be
+    /// sent again.
     pub fn take_body(&self) -> Option<BodyStream> {
         self.lock_body().take()
     }
