--- a/crates/event-recorder/src/convert.rs
+++ b/crates/event-recorder/src/convert.rs
@@ -47,7 +47,7 @@
 }
 
 /// Why that changed.
-pub fn cause(cause: TreatmentCause) -> StateChangeCause {
+pub fn state_change_cause(cause: TreatmentCause) -> StateChangeCause {
     match cause {
         TreatmentCause::EndpointUpdate(revision) => StateChangeCause::EndpointUpdate(revision),
         TreatmentCause::Command => StateChangeCause::OperatorCommand,
--- a/crates/event-recorder/src/lib.rs
+++ b/crates/event-recorder/src/lib.rs
@@ -17,7 +17,7 @@
 };
 use heathward_policy::settings::Deployment;
 use heathward_policy::{AttemptEnd, ClassSettings, Idempotency, RequestId};
-use second::Second;
+use second::SecondCounts;
 use tokio::time::Instant;
 
 /// How long the program waits at its end for the last events to be written.
@@ -25,13 +25,13 @@
 
 /// Open requests that are followed at a time, where each request is recorded; further ones count as lost
 /// events.
-const MAX_FOLLOWED_REQUESTS: usize = 16 * 1024;
+const MAX_TRACKED_REQUESTS: usize = 16 * 1024;
 /// Nodes in one event of an endpoint update: with ids of 128 bytes these fit into a frame.
 const ENDPOINTS_PER_EVENT: usize = 256;
 /// Both clocks are read at most so often until they are read without an interruption in between.
 const MAX_CLOCK_READS: usize = 4;
 /// The reading of both clocks was not interrupted if it took less; reports have a resolution of 1 ms.
-const UNINTERRUPTED_READ: Duration = Duration::from_micros(100);
+const MAX_UNINTERRUPTED_READ: Duration = Duration::from_micros(100);
 
 /// What is recorded, where, and how much of it is kept.
 #[derive(Clone, Debug, PartialEq)]
@@ -60,45 +60,45 @@
 }
 
 impl ClockSkew {
-    /// The time of the wall clock at a moment, possibly in the past, so long after the start.
+    /// The time of the wall clock at an instant, possibly in the past, so long after the start.
     fn wall_clock(self, start: Instant, monotonic: Micros) -> Micros {
-        let moment = start + Duration::from_micros(monotonic);
+        let instant = start + Duration::from_micros(monotonic);
         let (wall_clock, now) = read_both_clocks();
-        let age = now.saturating_duration_since(moment).as_micros() as i64;
+        let age = now.saturating_duration_since(instant).as_micros() as i64;
         let unix = wall_clock.duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as i64 - age;
         let step_ms = if monotonic >= self.step_after_ms * 1000 { self.step_ms } else { 0 };
         u64::try_from(unix + (self.offset_ms + step_ms) * 1000).unwrap_or(0)
     }
 }
 
-/// The wall clock and the monotonic clock at the same moment: the first reading that was not interrupted, or
+/// The wall clock and the monotonic clock at the same instant: the first reading that was not interrupted, or
 /// the last.
 fn read_both_clocks() -> (SystemTime, Instant) {
     let read = || {
         let before = Instant::now();
         (SystemTime::now(), before)
     };
-    let uninterrupted = |(_, before): &(SystemTime, Instant)| before.elapsed() < UNINTERRUPTED_READ;
+    let uninterrupted = |(_, before): &(SystemTime, Instant)| before.elapsed() < MAX_UNINTERRUPTED_READ;
     (1..MAX_CLOCK_READS).map(|_| read()).find(uninterrupted).unwrap_or_else(read)
 }
 
 /// Records as long as it lives; its last events are sent when it is dropped.
 pub struct Recorder {
     sender: EventSender,
-    clock: ClockSkew,
+    clock_skew: ClockSkew,
     start: Instant,
-    second: Second,
+    current_second: SecondCounts,
     /// Requests that have not ended, or whose attempt has not; `None` unless each request is recorded.
-    followed_requests: Option<HashMap<RequestId, FollowedRequest>>,
+    tracked_requests: Option<HashMap<RequestId, TrackedRequest>>,
 }
 
 /// A request that is recorded once it and its attempts have ended.
-struct FollowedRequest {
+struct TrackedRequest {
     record: RequestRecord,
     has_ended: bool,
 }
 
-impl FollowedRequest {
+impl TrackedRequest {
     /// At most one attempt is in flight at a time.
     fn is_attempt_in_flight(&self) -> bool {
         self.record.attempts.last().is_some_and(|attempt| attempt.end.is_none())
@@ -107,59 +107,59 @@
 
 impl Recorder {
     /// Starts to record for the scheduler of that name, with a writer that ends after the recorder was
-    /// dropped. `boot` is a random number that tells this run of the scheduler from others.
+    /// dropped. `boot_id` is a random number that tells this run of the scheduler from others.
     ///
     /// # Errors
     /// The system's, where no thread can be started.
     pub fn start(
         settings: &RecorderSettings,
         name: &str,
-        boot: u64,
+        boot_id: u64,
         deployment: &Deployment,
     ) -> std::io::Result<(Self, Writer)> {
         let (sender, events) = event_channel(settings.queue_capacity);
-        let opened = segment_opened(settings, name, boot, deployment);
+        let opened = segment_opened(settings, name, boot_id, deployment);
         let writer = Writer::start(Folder(settings.folder.clone()), events, opened, settings.limits)?;
         Ok((Self::new(sender, settings.clock_skew, settings.records_requests), writer))
     }
 
     /// A recorder that sends its events to `sender`.
-    pub fn new(sender: EventSender, clock: ClockSkew, requests: bool) -> Self {
-        let followed_requests = requests.then(HashMap::new);
-        let (start, second) = (Instant::now(), Second::default());
-        let mut new = Self { sender, clock, start, second, followed_requests };
-        new.lifecycle(0, Lifecycle::Started);
-        new
+    pub fn new(sender: EventSender, clock_skew: ClockSkew, records_requests: bool) -> Self {
+        let tracked_requests = records_requests.then(HashMap::new);
+        let (start, current_second) = (Instant::now(), SecondCounts::default());
+        let mut recorder = Self { sender, clock_skew, start, current_second, tracked_requests };
+        recorder.send_lifecycle(0, Lifecycle::Started);
+        recorder
     }
 
     /// The time since the recorder was started.
-    fn monotonic(&self, at: Instant) -> Micros {
+    fn monotonic_micros(&self, at: Instant) -> Micros {
         at.saturating_duration_since(self.start).as_micros() as Micros
     }
 
     fn send(&mut self, monotonic: Micros, event: Event) {
-        let wall_clock = self.clock.wall_clock(self.start, monotonic);
+        let wall_clock = self.clock_skew.wall_clock(self.start, monotonic);
         self.sender.send(Timestamp { wall_clock, monotonic }, event);
     }
 
     /// Sends the counts of the present second, once it has passed.
     fn send_second_if_over(&mut self, monotonic: Micros) {
-        if self.second.over(monotonic) {
+        if self.current_second.has_passed(monotonic) {
             self.send_second(monotonic);
         }
     }
 
     fn send_second(&mut self, monotonic: Micros) {
-        let events = self.second.close(monotonic);
+        let events = self.current_second.close(monotonic);
         events.into_iter().for_each(|event| self.send(monotonic, event));
     }
 
-    fn lifecycle(&mut self, monotonic: Micros, step: Lifecycle) {
-        self.send(monotonic, Event::Lifecycle(step));
+    fn send_lifecycle(&mut self, monotonic: Micros, lifecycle: Lifecycle) {
+        self.send(monotonic, Event::Lifecycle(lifecycle));
     }
 
     /// Sends an endpoint update, in as many events as it takes to fit each into a frame.
-    fn endpoint_update(
+    fn send_endpoint_update(
         &mut self,
         monotonic: Micros,
         revision: u64,
@@ -183,56 +183,56 @@
         request: RequestId,
         record: impl FnOnce() -> RequestRecord,
     ) {
-        let Some(followed_requests) = &mut self.followed_requests else { return };
-        if followed_requests.len() < MAX_FOLLOWED_REQUESTS {
-            followed_requests.insert(request, FollowedRequest { record: record(), has_ended: false });
+        let Some(tracked_requests) = &mut self.tracked_requests else { return };
+        if tracked_requests.len() < MAX_TRACKED_REQUESTS {
+            tracked_requests.insert(request, TrackedRequest { record: record(), has_ended: false });
         } else {
-            let wall_clock = self.clock.wall_clock(self.start, monotonic);
+            let wall_clock = self.clock_skew.wall_clock(self.start, monotonic);
             self.sender.record_loss(Timestamp { wall_clock, monotonic });
         }
     }
 
     fn attempt_sent(&mut self, monotonic: Micros, request: RequestId, node: &str, slow_start_units: u32) {
-        self.second.sent(node, slow_start_units);
-        if let Some(followed) = self.followed_request(request) {
+        self.current_second.count_attempt_sent(node, slow_start_units);
+        if let Some(tracked) = self.tracked_request(request) {
             let attempt = AttemptRecord { node: node.to_owned(), sent_at: monotonic, end: None };
-            followed.record.attempts.push(attempt);
+            tracked.record.attempts.push(attempt);
         }
     }
 
     fn attempt_ended(&mut self, monotonic: Micros, request: RequestId, node: &str, end: AttemptEnd) {
         let end = convert::attempt_end(end);
-        self.second.ended(node, end);
-        let Some(followed) = self.followed_request(request) else { return };
-        if let Some(last) = followed.record.attempts.last_mut() {
+        self.current_second.count_attempt_end(node, end);
+        let Some(tracked) = self.tracked_request(request) else { return };
+        if let Some(last) = tracked.record.attempts.last_mut() {
             last.end = Some((monotonic, end));
         }
-        if followed.has_ended {
+        if tracked.has_ended {
             self.send_request(monotonic, request);
         }
     }
 
     /// Records a request, unless its attempt is in flight: it is recorded with the end of that.
     fn request_ended(&mut self, monotonic: Micros, request: RequestId, outcome: RequestOutcome) {
-        let Some(followed) = self.followed_request(request) else { return };
-        (followed.record.ended_at, followed.record.outcome) = (monotonic, outcome);
-        followed.has_ended = true;
-        if !followed.is_attempt_in_flight() {
+        let Some(tracked) = self.tracked_request(request) else { return };
+        (tracked.record.ended_at, tracked.record.outcome) = (monotonic, outcome);
+        tracked.has_ended = true;
+        if !tracked.is_attempt_in_flight() {
             self.send_request(monotonic, request);
         }
     }
 
     fn send_request(&mut self, monotonic: Micros, request: RequestId) {
-        let followed = self.followed_requests.as_mut().and_then(|requests| requests.remove(&request));
-        if let Some(followed) = followed {
-            self.send(monotonic, Event::RequestEnded(followed.record));
+        let tracked = self.tracked_requests.as_mut().and_then(|requests| requests.remove(&request));
+        if let Some(tracked) = tracked {
+            self.send(monotonic, Event::RequestEnded(tracked.record));
         }
     }
 
     /// Records the requests that have ended, without the ends of their attempts.
     fn send_ended_requests(&mut self, monotonic: Micros) {
-        let followed = self.followed_requests.take().unwrap_or_default();
-        let ended = followed.into_values().filter(|request| request.has_ended);
+        let tracked = self.tracked_requests.take().unwrap_or_default();
+        let ended = tracked.into_values().filter(|request| request.has_ended);
         let mut records: Vec<RequestRecord> = ended.map(|request| request.record).collect();
         records.sort_unstable_by_key(|record| record.ended_at);
         for record in records {
@@ -240,8 +240,8 @@
         }
     }
 
-    fn followed_request(&mut self, request: RequestId) -> Option<&mut FollowedRequest> {
-        self.followed_requests.as_mut()?.get_mut(&request)
+    fn tracked_request(&mut self, request: RequestId) -> Option<&mut TrackedRequest> {
+        self.tracked_requests.as_mut()?.get_mut(&request)
     }
 }
 
@@ -249,7 +249,7 @@
 fn segment_opened(
     settings: &RecorderSettings,
     name: &str,
-    boot: u64,
+    boot_id: u64,
     deployment: &Deployment,
 ) -> SegmentOpened {
     let policy = &deployment.settings;
@@ -264,7 +264,7 @@
     };
     SegmentOpened {
         scheduler: name.to_owned(),
-        boot,
+        boot: boot_id,
         segment: 0,
         version: env!("CARGO_PKG_VERSION").to_owned(),
         pid: std::process::id(),
@@ -280,21 +280,21 @@
 
 impl Observer for Recorder {
     fn observe(&mut self, at: Instant, observation: Observation<'_>) {
-        let monotonic = self.monotonic(at);
+        let monotonic = self.monotonic_micros(at);
         self.send_second_if_over(monotonic);
         match observation {
             Observation::TimePassed => {}
             Observation::EndpointsUpdated { revision, kind, endpoints } => {
                 let kind = convert::endpoint_update_kind(kind);
-                self.endpoint_update(monotonic, revision, kind, endpoints);
+                self.send_endpoint_update(monotonic, revision, kind, endpoints);
             }
             Observation::NodeTreatmentChanged { node, treatment, cause } => {
-                let (state, cause) = (convert::node_state(treatment), convert::cause(cause));
+                let (state, cause) = (convert::node_state(treatment), convert::state_change_cause(cause));
                 let change = NodeStateChange { node: node.to_owned(), state, cause };
                 self.send(monotonic, Event::NodeStateChanged(change));
             }
             Observation::RequestReceived { request, class, plan, volume, units } => {
-                self.second.class(class.0).received += 1;
+                self.current_second.class_second(class.0).received += 1;
                 self.request_received(monotonic, request, || RequestRecord {
                     request: request.0,
                     class: class.0,
@@ -310,41 +310,42 @@
             Observation::AttemptSent { request, node, slow_start_units } => {
                 self.attempt_sent(monotonic, request, node, slow_start_units);
             }
-            Observation::AttemptNotSent { node, .. } => self.second.not_sent(node),
+            Observation::AttemptNotSent { node, .. } => self.current_second.count_attempt_not_sent(node),
             Observation::AttemptEnded { request, node, end } => {
                 self.attempt_ended(monotonic, request, node, end);
             }
             Observation::RequestEnded { request, class, outcome, latency } => {
                 let outcome = convert::request_outcome(outcome);
-                self.second.answered(class.0, outcome, latency);
+                self.current_second.count_request_end(class.0, outcome, latency);
                 self.request_ended(monotonic, request, outcome);
             }
             Observation::ConfigurationReloaded { applied } => {
-                self.lifecycle(monotonic, Lifecycle::Reloaded(applied));
+                self.send_lifecycle(monotonic, Lifecycle::Reloaded(applied));
             }
-            Observation::ShuttingDown => self.lifecycle(monotonic, Lifecycle::ShuttingDown),
-            Observation::HandedOver => self.lifecycle(monotonic, Lifecycle::HandedOver),
-            Observation::TookOver => self.lifecycle(monotonic, Lifecycle::TookOver),
-            Observation::PauseChanged { paused: true } => self.lifecycle(monotonic, Lifecycle::Paused),
-            Observation::PauseChanged { paused: false } => self.lifecycle(monotonic, Lifecycle::Resumed),
+            Observation::ShuttingDown => self.send_lifecycle(monotonic, Lifecycle::ShuttingDown),
+            Observation::HandedOver => self.send_lifecycle(monotonic, Lifecycle::HandedOver),
+            Observation::TookOver => self.send_lifecycle(monotonic, Lifecycle::TookOver),
+            Observation::PauseChanged { paused: true } => self.send_lifecycle(monotonic, Lifecycle::Paused),
+            Observation::PauseChanged { paused: false } => self.send_lifecycle(monotonic, Lifecycle::Resumed),
             Observation::LeaseExpired { silence } => {
-                self.lifecycle(monotonic, Lifecycle::LeaseExpired(silence.as_micros() as Micros));
+                self.send_lifecycle(monotonic, Lifecycle::LeaseExpired(silence.as_micros() as Micros));
             }
-            Observation::LeaseRenewed => self.lifecycle(monotonic, Lifecycle::LeaseRenewed),
+            Observation::LeaseRenewed => self.send_lifecycle(monotonic, Lifecycle::LeaseRenewed),
         }
     }
 
     fn settings_changed(&mut self, deployment: &Deployment) {
         let classes = &deployment.settings.classes;
-        self.second.latency_objectives = classes.iter().map(|class| class.latency_objective).collect();
+        self.current_second.latency_objectives =
+            classes.iter().map(|class| class.latency_objective).collect();
     }
 }
 
 impl Drop for Recorder {
     fn drop(&mut self) {
-        let monotonic = self.monotonic(Instant::now());
+        let monotonic = self.monotonic_micros(Instant::now());
         self.send_ended_requests(monotonic);
         self.send_second(monotonic);
-        self.lifecycle(monotonic, Lifecycle::Stopped);
+        self.send_lifecycle(monotonic, Lifecycle::Stopped);
     }
 }
--- a/crates/event-recorder/src/second.rs
+++ b/crates/event-recorder/src/second.rs
@@ -14,11 +14,11 @@
 /// Significant decimal digits of a latency in a histogram.
 const LATENCY_DIGITS: u8 = 2;
 /// Nodes that are counted at a time; attempts at further nodes are not counted until the next second.
-const MAX_NODES: usize = 1024;
+const MAX_COUNTED_NODES: usize = 1024;
 
 /// Counts by class and by node.
 #[derive(Debug, Default)]
-pub struct Second {
+pub struct SecondCounts {
     /// When the second began, on the monotonic clock.
     start: Micros,
     /// The latency objectives of the classes, by index.
@@ -43,14 +43,14 @@
     in_flight: u32,
 }
 
-impl Second {
+impl SecondCounts {
     /// Whether the second has passed.
-    pub fn over(&self, now: Micros) -> bool {
+    pub fn has_passed(&self, now: Micros) -> bool {
         now.saturating_sub(self.start) >= SECOND
     }
 
     /// The counts of a class.
-    pub fn class(&mut self, class: u16) -> &mut ClassSecond {
+    pub fn class_second(&mut self, class: u16) -> &mut ClassSecond {
         &mut self.class_counts(class).counts
     }
 
@@ -63,7 +63,7 @@
     }
 
     /// Counts the end of a request.
-    pub fn answered(&mut self, class: u16, outcome: RequestOutcome, latency: Micros) {
+    pub fn count_request_end(&mut self, class: u16, outcome: RequestOutcome, latency: Micros) {
         let objective = self.latency_objectives.get(usize::from(class)).copied().unwrap_or(Micros::MAX);
         let ClassCounts { counts, latencies } = self.class_counts(class);
         match outcome {
@@ -85,7 +85,7 @@
     }
 
     /// Counts an attempt that was sent to a node.
-    pub fn sent(&mut self, node: &str, slow_start_units: u32) {
+    pub fn count_attempt_sent(&mut self, node: &str, slow_start_units: u32) {
         if let Some(NodeCounts { counts, in_flight, .. }) = self.node_counts(node) {
             *in_flight += 1;
             counts.sent += 1;
@@ -95,7 +95,7 @@
     }
 
     /// Counts the end of an attempt that was sent to a node.
-    pub fn ended(&mut self, node: &str, end: AttemptEnd) {
+    pub fn count_attempt_end(&mut self, node: &str, end: AttemptEnd) {
         if let Some(NodeCounts { counts, in_flight, .. }) = self.node_counts(node) {
             counts.attempt_ends[attempt_end_index(end)] += 1;
             *in_flight = in_flight.saturating_sub(1);
@@ -103,7 +103,7 @@
     }
 
     /// Counts an attempt that could not be sent to a node.
-    pub fn not_sent(&mut self, node: &str) {
+    pub fn count_attempt_not_sent(&mut self, node: &str) {
         if let Some(NodeCounts { counts, .. }) = self.node_counts(node) {
             counts.attempt_ends[attempt_end_index(AttemptEnd::NotSent)] += 1;
         }
@@ -112,7 +112,7 @@
     fn node_counts(&mut self, node: &str) -> Option<&mut NodeCounts> {
         let index = match self.nodes.binary_search_by(|known| (*known.id).cmp(node)) {
             Ok(index) => index,
-            Err(_) if self.nodes.len() >= MAX_NODES => return None,
+            Err(_) if self.nodes.len() >= MAX_COUNTED_NODES => return None,
             Err(index) => {
                 let new = NodeCounts { id: node.into(), counts: NodeSecond::default(), in_flight: 0 };
                 self.nodes.insert(index, new);
@@ -159,8 +159,8 @@
     fn close_nodes(&mut self, start: Micros, duration: Micros) -> Vec<Event> {
         let mut events = Vec::new();
         for NodeCounts { id, counts, in_flight } in &mut self.nodes {
-            let unchanged = NodeSecond { max_in_flight: 0, ..counts.clone() } == NodeSecond::default();
-            if !unchanged || *in_flight > 0 {
+            let is_empty = NodeSecond { max_in_flight: 0, ..counts.clone() } == NodeSecond::default();
+            if !is_empty || *in_flight > 0 {
                 let (node, counts) = (id.to_string(), std::mem::take(counts));
                 events.push(Event::NodeSecond(NodeSecond { start, duration, node, ..counts }));
             }
--- a/crates/event-recorder/tests/recorder.rs
+++ b/crates/event-recorder/tests/recorder.rs
@@ -17,25 +17,28 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, Instant};
 
-async fn recorded(members: &[String], requests: bool) -> (Rig, EventReceiver) {
+async fn rig_with_recorder(members: &[String], records_requests: bool) -> (Rig, EventReceiver) {
     let rig = rig(members, None).await;
     rig.until(|counters| counters.endpoint_updates == 1).await;
-    let (sender, waiting) = event_channel(4096);
-    rig.core.set_observer(Some(Box::new(Recorder::new(sender, ClockSkew::default(), requests)))).await;
-    (rig, waiting)
+    let (sender, events) = event_channel(4096);
+    rig.core
+        .set_observer(Some(Box::new(Recorder::new(sender, ClockSkew::default(), records_requests))))
+        .await;
+    (rig, events)
 }
 
 /// All events until the recorder has ended.
-async fn all(rig: &Rig, waiting: &EventReceiver) -> Vec<Record> {
+async fn stop_and_collect(rig: &Rig, events: &EventReceiver) -> Vec<Record> {
     rig.core.set_observer(None).await;
-    let by = Instant::now() + heathward_fakes::PATIENCE;
+    let deadline = Instant::now() + heathward_fakes::PATIENCE;
     let mut records = Vec::new();
     loop {
-        records.extend(waiting.try_iter());
-        if records.last().is_some_and(|r: &Record| r.event == Event::Lifecycle(Lifecycle::Stopped)) {
+        records.extend(events.try_iter());
+        if records.last().is_some_and(|record: &Record| record.event == Event::Lifecycle(Lifecycle::Stopped))
+        {
             return records;
         }
-        assert!(Instant::now() < by, "never ended: {records:?}");
+        assert!(Instant::now() < deadline, "never ended: {records:?}");
         sleep(Duration::from_millis(2)).await;
     }
 }
@@ -45,23 +48,28 @@
     let log = Log::default();
     let script = [Does::Error, Does::Serve];
     let node = http_node(0, &script, &log).await;
-    let (_kept, gone) = nobody();
-    let members = [member("s0", node, 0, "in_service", 0), member("s1", gone, 1, "in_service", 0)];
-    let (rig, waiting) = recorded(&members, true).await;
+    let (_bound_socket, unreachable) = nobody();
+    let members = [member("s0", node, 0, "in_service", 0), member("s1", unreachable, 1, "in_service", 0)];
+    let (rig, events) = rig_with_recorder(&members, true).await;
     assert_eq!(rig.ask(&request("consulta", 1, 0, 900, "")).await.0, 200);
     assert_eq!(rig.ask(&request("consulta", 2, 0, 900, "")).await.0, 200);
     let (status, ..) = rig.ask(&request("consulta", 3, 1, 300, "")).await;
     assert!(status == 503 || status == 504, "{status}");
-    let records = all(&rig, &waiting).await;
+    let records = stop_and_collect(&rig, &events).await;
     assert!(records.windows(2).all(|pair| pair[1].sequence == pair[0].sequence + 1), "{records:?}");
-    let requests = records.iter().filter_map(|r| match &r.event {
-        Event::RequestEnded(done) => Some(done),
+    let requests = records.iter().filter_map(|record| match &record.event {
+        Event::RequestEnded(request) => Some(request),
         _ => None,
     });
     let requests: Vec<_> = requests.collect();
     assert_eq!(requests.len(), 3, "{requests:?}");
-    let ends =
-        |at: usize| requests[at].attempts.iter().filter_map(|a| a.end.map(|(_, e)| e)).collect::<Vec<_>>();
+    let ends = |index: usize| {
+        requests[index]
+            .attempts
+            .iter()
+            .filter_map(|attempt| attempt.end.map(|(_, end)| end))
+            .collect::<Vec<_>>()
+    };
     assert_eq!(
         (requests[0].outcome, ends(0)),
         (RequestOutcome::Served, vec![AttemptEnd::Error, AttemptEnd::Served])
@@ -71,9 +79,9 @@
         ends(2).iter().all(|end| *end == AttemptEnd::NotConnected) && !ends(2).is_empty(),
         "{requests:?}"
     );
-    let refused = RequestOutcome::Shed(ShedReason::NotConnected);
+    let shed = RequestOutcome::Shed(ShedReason::NotConnected);
     let failed = RequestOutcome::Failed(FailureReason::DeadlinePassed);
-    assert!([refused, failed].contains(&requests[2].outcome), "{requests:?}");
+    assert!([shed, failed].contains(&requests[2].outcome), "{requests:?}");
     let (mut served, mut ended, mut sent) = (0, 0, 0);
     for record in &records {
         match &record.event {
@@ -85,29 +93,31 @@
             _ => {}
         }
     }
-    let attempts = requests.iter().map(|r| r.attempts.len() as u32).sum::<u32>();
+    let attempts = requests.iter().map(|request| request.attempts.len() as u32).sum::<u32>();
     assert_eq!((served, sent, ended), (2, attempts, attempts));
 }
 
 #[tokio::test]
 async fn node_state_changes_are_recorded_with_their_cause() {
     let node = http_node(0, &[Does::Serve], &Log::default()).await;
-    let (rig, waiting) = recorded(&[member("s0", node, 0, "in_service", 0)], false).await;
+    let (rig, events) = rig_with_recorder(&[member("s0", node, 0, "in_service", 0)], false).await;
     rig.core.run_command(OperatorCommand::Suspend("s0".into()), false).await.unwrap().unwrap();
     rig.core.run_command(OperatorCommand::Restore("s0".into()), false).await.unwrap().unwrap();
-    let records = all(&rig, &waiting).await;
-    let changes = records.iter().filter_map(|r| match &r.event {
+    let records = stop_and_collect(&rig, &events).await;
+    let changes = records.iter().filter_map(|record| match &record.event {
         Event::NodeStateChanged(change) => Some((change.state, change.cause)),
         _ => None,
     });
     let changes: Vec<_> = changes.collect();
-    let [(first, _), (out, by), (back, again)] = changes[..] else { panic!("{changes:?}") };
+    let [(initial, _), (suspended, suspend_cause), (restored, restore_cause)] = changes[..] else {
+        panic!("{changes:?}")
+    };
     assert_eq!(
-        (first, out, by),
+        (initial, suspended, suspend_cause),
         (NodeState::InService, NodeState::Suspended, StateChangeCause::OperatorCommand)
     );
     assert!(
-        matches!(back, NodeState::SlowStart(_)) && again == StateChangeCause::OperatorCommand,
+        matches!(restored, NodeState::SlowStart(_)) && restore_cause == StateChangeCause::OperatorCommand,
         "{changes:?}"
     );
 }
@@ -131,9 +141,9 @@
 /// Guards against an attempt that stays without an end in the event log, and in flight at its node for ever,
 /// since it waited for a connection until its client had left.
 #[tokio::test]
-async fn an_attempt_that_waited_for_a_connection_has_its_end() {
+async fn an_attempt_that_waited_for_a_connection_is_recorded_with_its_end() {
     let node = full_node().await;
-    let (rig, waiting) = recorded(&[member("s0", node.address, 0, "in_service", 0)], true).await;
+    let (rig, events) = rig_with_recorder(&[member("s0", node.address, 0, "in_service", 0)], true).await;
     let mut client = TcpStream::connect(rig.front).await.unwrap();
     client.write_all(request("consulta", 1, 0, 900, "").as_bytes()).await.unwrap();
     rig.until(|counters| counters.attempts_sent == 1).await;
@@ -143,7 +153,7 @@
     rig.until(|counters| counters.attempts_ended(PolicyAttemptEnd::NotSent) == 1).await;
     // Until a second has begun in which nothing happens.
     sleep(Duration::from_millis(2_100)).await;
-    let records = all(&rig, &waiting).await;
+    let records = stop_and_collect(&rig, &events).await;
     let [request] = ended_requests(&records)[..] else { panic!("{records:?}") };
     assert_eq!(request.outcome, RequestOutcome::ClientDisconnected);
     let [attempt] = &request.attempts[..] else { panic!("{request:?}") };
@@ -205,17 +215,17 @@
     &[Step::Sent, Step::RequestEnded, Step::AttemptEnded(PolicyAttemptEnd::NotSent)],
     &[AttemptEnd::NotSent]
 )]
-#[case::not_handed_over(&[Step::NotSent, Step::RequestEnded], &[])]
-#[case::retry_not_handed_over(
+#[case::not_sent(&[Step::NotSent, Step::RequestEnded], &[])]
+#[case::retry_not_sent(
     &[Step::Sent, Step::AttemptEnded(PolicyAttemptEnd::Reset), Step::NotSent, Step::RequestEnded],
     &[AttemptEnd::Reset]
 )]
 #[tokio::test]
-async fn each_attempt_has_one_end_and_none_is_in_flight_at_rest(
+async fn each_attempt_has_one_end_and_none_stays_in_flight(
     #[case] steps: &[Step],
     #[case] ends: &[AttemptEnd],
 ) {
-    let (sender, waiting) = event_channel(4096);
+    let (sender, events) = event_channel(4096);
     let mut recorder = Recorder::new(sender, ClockSkew::default(), true);
     let start = Instant::now();
     recorder.observe(start, Step::Received.observation());
@@ -226,26 +236,26 @@
         recorder.observe(start + Duration::from_millis(1_100) * second, Observation::TimePassed);
     }
     drop(recorder);
-    let records: Vec<Record> = waiting.try_iter().collect();
+    let records: Vec<Record> = events.try_iter().collect();
     let [request] = ended_requests(&records)[..] else { panic!("{records:?}") };
     let recorded: Vec<_> = request.attempts.iter().map(|attempt| attempt.end.expect("an end").1).collect();
     assert_eq!(recorded, ends);
     let [second] = node_seconds(&records)[..] else { panic!("in flight at rest: {records:?}") };
-    let not_handed_over = steps.iter().filter(|step| matches!(step, Step::NotSent)).count();
+    let not_sent = steps.iter().filter(|step| matches!(step, Step::NotSent)).count();
     assert_eq!(second.sent as usize, ends.len());
-    assert_eq!(second.attempt_ends.iter().sum::<u32>() as usize, ends.len() + not_handed_over);
+    assert_eq!(second.attempt_ends.iter().sum::<u32>() as usize, ends.len() + not_sent);
 }
 
 /// Guards against a request without a record where the recorder ends before the last attempt does.
 #[tokio::test]
-async fn a_request_whose_attempt_is_in_flight_at_the_end_is_recorded() {
-    let (sender, waiting) = event_channel(4096);
+async fn a_request_whose_attempt_is_in_flight_when_the_recorder_stops_is_recorded() {
+    let (sender, events) = event_channel(4096);
     let mut recorder = Recorder::new(sender, ClockSkew::default(), true);
     for step in [Step::Received, Step::Sent, Step::RequestEnded] {
         recorder.observe(Instant::now(), step.observation());
     }
     drop(recorder);
-    let records: Vec<Record> = waiting.try_iter().collect();
+    let records: Vec<Record> = events.try_iter().collect();
     let [request] = ended_requests(&records)[..] else { panic!("{records:?}") };
     assert_eq!(request.attempts.iter().map(|attempt| attempt.end).collect::<Vec<_>>(), [None]);
 }
