--- a/crates/core/tests/client_disconnects.rs
+++ b/crates/core/tests/client_disconnects.rs
@@ -86,7 +86,7 @@
 
 /// Guards against a first byte for a request that the core itself has answered, past its deadline.
 #[tokio::test(start_paused = true)]
-async fn an_answered_request_does_not_start() {
+async fn an_attempt_of_an_answered_request_does_not_start() {
     let (core, mut attempts) = core_with_one_node().await;
     let mut client = core.clone();
     let answer = tokio::spawn(async move { client.call(read_request("1", 0)).await });
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -14,9 +14,9 @@
 use tokio::time::Instant;
 
 /// A deployment with that many schedulers. Answers within `latency_objective` microseconds earn the full
-/// weight, clients wait for 1 s, and nothing may be sent to a draining node after `grace` microseconds, if
-/// given.
-pub fn deployment(schedulers: u32, latency_objective: Micros, grace: Option<Micros>) -> Deployment {
+/// weight, clients wait for 1 s, and nothing may be sent to a draining node after `drain_grace` microseconds,
+/// if given.
+pub fn deployment(schedulers: u32, latency_objective: Micros, drain_grace: Option<Micros>) -> Deployment {
     let class = ClassSettings {
         latency_objective,
         deadline: 1_000_000,
@@ -47,7 +47,7 @@
         class_writes: vec![false],
         connect_timeout: 250_000,
         idle_timeout: 15_000_000,
-        drain_grace: grace,
+        drain_grace,
     }
 }
 
--- a/crates/core/tests/draining_nodes.rs
+++ b/crates/core/tests/draining_nodes.rs
@@ -27,9 +27,9 @@
 const BATCH_SIZE: u32 = 12;
 const BATCHES: u32 = 16;
 /// Nodes from this number on never drain.
-const FIRST_LASTING_NODE: u32 = BATCH_SIZE * BATCHES;
-const GRACE: Duration = Duration::from_millis(250);
-const RUN_TIME: Duration = Duration::from_secs(18);
+const FIRST_NODE_WITHOUT_DRAIN: u32 = BATCH_SIZE * BATCHES;
+const DRAIN_GRACE: Duration = Duration::from_millis(250);
+const RUN_DURATION: Duration = Duration::from_secs(18);
 /// How late a watch message is read at most, and another behind it twice that: less than the grace period.
 const MAX_READ_DELAY: Duration = Duration::from_millis(100);
 
@@ -42,7 +42,8 @@
 
 impl DrainSchedule {
     fn draw(rng: &mut Rng, start: Instant) -> Self {
-        let mut drains: Vec<_> = (0..BATCHES).map(|_| start + RUN_TIME.mul_f64(0.9 * rng.f64())).collect();
+        let mut drains: Vec<_> =
+            (0..BATCHES).map(|_| start + RUN_DURATION.mul_f64(0.9 * rng.f64())).collect();
         drains.sort();
         Self { start, drains }
     }
@@ -56,11 +57,12 @@
     }
 
     /// The list after that many batches: complete, or what they changed since the list of `after` batches.
-    fn update(batches: usize, after: Option<usize>) -> EndpointUpdate {
-        let is_changed = |node: &u32| after.is_none_or(|after| (*node / BATCH_SIZE) as usize >= after);
+    fn update(batches: usize, base_batches: Option<usize>) -> EndpointUpdate {
+        let is_changed = |node: &u32| base_batches.is_none_or(|base| (*node / BATCH_SIZE) as usize >= base);
         let is_drained = |node: &u32| *node < batches as u32 * BATCH_SIZE;
-        let nodes = (0..NODES).filter(is_changed).filter(|node| after.is_none() || is_drained(node));
-        let kind = if after.is_some() { EndpointUpdateKind::Changes } else { EndpointUpdateKind::Snapshot };
+        let nodes = (0..NODES).filter(is_changed).filter(|node| base_batches.is_none() || is_drained(node));
+        let kind =
+            if base_batches.is_some() { EndpointUpdateKind::Changes } else { EndpointUpdateKind::Snapshot };
         let endpoints = nodes.map(|node| endpoint(node, Self::state(node, batches))).collect();
         EndpointUpdate { revision: batches as u64 + 1, kind, endpoints }
     }
@@ -71,7 +73,7 @@
     }
 
     /// When that node starts draining.
-    fn drain_of(&self, node: u32) -> Instant {
+    fn drain_start(&self, node: u32) -> Instant {
         self.drains[(node / BATCH_SIZE) as usize]
     }
 }
@@ -103,12 +105,12 @@
 }
 
 impl Conditions {
-    fn draw(rng: &mut Rng, zero: Instant) -> Self {
+    fn draw(rng: &mut Rng, schedule_start: Instant) -> Self {
         let ms = Duration::from_millis;
-        let start = zero + ms(if rng.bool() { 0 } else { rng.u64(0..6_000) });
-        let moved = (rng.u32(0..4) == 0).then(|| start + ms(rng.u64(2_000..8_000)));
+        let start = schedule_start + ms(if rng.bool() { 0 } else { rng.u64(0..6_000) });
+        let moved_at = (rng.u32(0..4) == 0).then(|| start + ms(rng.u64(2_000..8_000)));
         let outage_start =
-            moved.unwrap_or(start + ms(if rng.u32(0..4) == 0 { 0 } else { rng.u64(0..12_000) }));
+            moved_at.unwrap_or(start + ms(if rng.u32(0..4) == 0 { 0 } else { rng.u64(0..12_000) }));
         let length = if rng.u32(0..3) == 0 { rng.u64(0..14_000) } else { 0 };
         let outage = [Outage::DiscoveryDown, Outage::WatchBroken, Outage::AgentDown][rng.usize(0..3)];
         let length = if outage == Outage::WatchBroken { ms(length).min(WATCH_TIMEOUT) } else { ms(length) };
@@ -118,7 +120,7 @@
             outage,
             outage_start,
             outage_end: outage_start + length,
-            discovery_moved_at: moved,
+            discovery_moved_at: moved_at,
         }
     }
 
@@ -128,7 +130,7 @@
     }
 
     /// When the agent writes what it has had since `known_at`.
-    fn written(&self, known_at: Instant) -> Instant {
+    fn written_at(&self, known_at: Instant) -> Instant {
         if self.is_outage(known_at) {
             self.outage_end
         } else {
@@ -137,23 +139,24 @@
     }
 
     /// When a change counts as delivered, according to the protocol.
-    fn delivered(&self, change: Instant) -> Instant {
+    fn delivered_at(&self, change: Instant) -> Instant {
         let known_at = (change + self.agent_delay).max(self.start);
         if self.outage == Outage::DiscoveryDown {
-            return self.written(known_at);
+            return self.written_at(known_at);
         }
         let moved_at = self.discovery_moved_at.filter(|at| known_at >= *at && known_at < self.outage_end);
         let after_move = moved_at
             .map_or(known_at + Duration::from_secs(6), |at| known_at.max(at + Duration::from_secs(4)));
-        self.written(known_at).min(known_at + Duration::from_secs(6)).min(after_move)
+        self.written_at(known_at).min(known_at + Duration::from_secs(6)).min(after_move)
     }
 
     /// The list is certainly up to date at `now`, or the scheduler may use it while discovery is down.
     fn list_is_usable(&self, now: Instant) -> bool {
-        let up_to_date = now < self.outage_start || now > self.outage_end + MAX_READ_DELAY * 2;
+        let is_up_to_date = now < self.outage_start || now > self.outage_end + MAX_READ_DELAY * 2;
         // While discovery is down nothing stops, after the first call of a start or a move.
-        let down = self.outage == Outage::DiscoveryDown && now > self.start + Duration::from_millis(300);
-        up_to_date || down
+        let is_tolerated =
+            self.outage == Outage::DiscoveryDown && now > self.start + Duration::from_millis(300);
+        is_up_to_date || is_tolerated
     }
 }
 
@@ -297,15 +300,16 @@
         }
         to_nodes.clone()
     };
-    let deployment = deployment(SCHEDULERS, 150_000, Some(GRACE.as_micros() as Micros));
+    let deployment = deployment(SCHEDULERS, 150_000, Some(DRAIN_GRACE.as_micros() as Micros));
     let core = start_core(Arc::new(deployment), scheduler as u64, Box::new(connect_node)).unwrap();
     let discovery = run_discovery(core.clone(), schedule, conditions.clone(), treated_as_contact, rng.fork());
     tokio::spawn(discovery);
     for number in 0.. {
         sleep(Duration::from_millis(rng.u64(0..700))).await;
         let (now, node) = (Instant::now(), rng.u32(0..NODES));
-        let started = now > conditions.start + MAX_READ_DELAY * 2 && now < conditions.start + RUN_TIME;
-        let is_counted = conditions.list_is_usable(now) && started && node >= FIRST_LASTING_NODE;
+        let is_within_run =
+            now > conditions.start + MAX_READ_DELAY * 2 && now < conditions.start + RUN_DURATION;
+        let is_counted = conditions.list_is_usable(now) && is_within_run && node >= FIRST_NODE_WITHOUT_DRAIN;
         let counts = is_counted.then(|| counts.clone());
         let request = request_for(node, number, now + Duration::from_secs(1));
         tokio::spawn(send_request(core.clone(), request, counts));
@@ -335,24 +339,24 @@
         let rng = rng.fork();
         tokio::spawn(run_scheduler(scheduler, schedule, drawn, treated_as_contact, first_bytes, counts, rng));
     }
-    sleep_until(start + RUN_TIME).await;
-    let (mut late, mut latest) = (0, Duration::ZERO);
+    sleep_until(start + RUN_DURATION).await;
+    let (mut late_count, mut max_overrun) = (0, Duration::ZERO);
     let first_bytes = first_bytes.lock().unwrap();
-    for first_byte in first_bytes.iter().filter(|first_byte| first_byte.node < FIRST_LASTING_NODE) {
-        let delivered = conditions[first_byte.scheduler].delivered(schedule.drain_of(first_byte.node));
-        let beyond = first_byte.at.saturating_duration_since(delivered + GRACE);
-        late += u32::from(beyond > Duration::ZERO);
-        latest = latest.max(beyond);
+    for first_byte in first_bytes.iter().filter(|first_byte| first_byte.node < FIRST_NODE_WITHOUT_DRAIN) {
+        let delivered = conditions[first_byte.scheduler].delivered_at(schedule.drain_start(first_byte.node));
+        let overrun = first_byte.at.saturating_duration_since(delivered + DRAIN_GRACE);
+        late_count += u32::from(overrun > Duration::ZERO);
+        max_overrun = max_overrun.max(overrun);
     }
     let RequestCounts { served, sent } = *counts.lock().unwrap();
     println!(
         "seed {seed}, {treated_as_contact:?} treated as contact: \
-         {} first bytes, {late} too late, {latest:?}; \
+         {} first bytes, {late_count} too late, {max_overrun:?}; \
          {served} of {sent}",
         first_bytes.len()
     );
     let has_fault = treated_as_contact != Outage::DiscoveryDown;
-    assert_eq!(late > 0, has_fault, "first bytes after the grace period, {latest:?} at most");
+    assert_eq!(late_count > 0, has_fault, "first bytes after the grace period, {max_overrun:?} at most");
     let others_served = has_fault || (sent > 5_000 && f64::from(served) > 0.98 * f64::from(sent));
     assert!(others_served, "nodes in service keep their requests");
 }
--- a/crates/core/tests/endpoint_update_cost.rs
+++ b/crates/core/tests/endpoint_update_cost.rs
@@ -122,7 +122,7 @@
 #[tokio::test(start_paused = true)]
 async fn the_end_of_slow_start_is_reported_in_time_after_one_check() {
     let (core, changes, _attempts) = core_with_nodes(FLEET_SIZE).await;
-    let (before, now) = (node_checks(&core).await, Instant::now());
+    let (checks_before, start) = (node_checks(&core).await, Instant::now());
     let (started_at, restarted) = (unix_micros(), 100);
     let endpoints =
         (0..restarted).map(|number| endpoint(number, NodeState::Ready, Some(started_at))).collect();
@@ -130,7 +130,7 @@
     let in_slow_start = |change: &TreatmentChange| matches!(change.treatment, NodeTreatment::SlowStart(_));
     assert_eq!(changes.lock().unwrap().drain(..).filter(in_slow_start).count(), 100);
     while changes.lock().unwrap().is_empty() {
-        assert!(now.elapsed() < SLOW_START * 2, "never reported");
+        assert!(start.elapsed() < SLOW_START * 2, "never reported");
         sleep(Duration::from_millis(50)).await;
     }
     let ended = changes.lock().unwrap().clone();
@@ -138,10 +138,10 @@
         (change.treatment, change.cause) == (NodeTreatment::InService, TreatmentCause::TimePassed)
     }));
     // The policy's clock is the machine's, which is a little ahead of the paused one.
-    let late = now.elapsed().saturating_sub(SLOW_START);
+    let late = start.elapsed().saturating_sub(SLOW_START);
     assert!(late <= Duration::from_secs(2) && ended.len() == 100, "{late:?}, {}", ended.len());
     sleep(Duration::from_secs(60)).await;
-    assert_eq!(node_checks(&core).await - before, 2 * u64::from(restarted));
+    assert_eq!(node_checks(&core).await - checks_before, 2 * u64::from(restarted));
 }
 
 /// Sends a request for that shard, and returns the number of the node that serves it.
--- a/crates/discovery-pacing/src/call_pacer/tests.rs
+++ b/crates/discovery-pacing/src/call_pacer/tests.rs
@@ -11,12 +11,13 @@
 
 #[test]
 fn first_calls_are_spread_evenly_over_a_round() {
-    let mut firsts: Vec<_> = (0..100).map(|index| pacer(index).first_delay()).collect();
-    firsts.sort_unstable();
+    let mut first_delays: Vec<_> = (0..100).map(|index| pacer(index).first_delay()).collect();
+    first_delays.sort_unstable();
     let round = pacer(0).round_duration();
-    for (index, first) in firsts.iter().enumerate() {
-        let (from, to) = (round.mul_f64(index as f64 / 100.0), round.mul_f64((index + 1) as f64 / 100.0));
-        assert!((from..=to).contains(first), "scheduler {index}: {first:?}");
+    for (index, first) in first_delays.iter().enumerate() {
+        let (slot_start, slot_end) =
+            (round.mul_f64(index as f64 / 100.0), round.mul_f64((index + 1) as f64 / 100.0));
+        assert!((slot_start..=slot_end).contains(first), "scheduler {index}: {first:?}");
     }
 }
 
@@ -58,23 +59,23 @@
 fn a_failed_call_is_followed_by_one_in_the_next_round() {
     for index in 0..100 {
         let mut pacer = pacer(index);
-        let made = pacer.first_delay();
-        let next = made + pacer.on_failure(CallFailure::Unreachable, Duration::ZERO);
+        let first_call = pacer.first_delay();
+        let next_call = first_call + pacer.on_failure(CallFailure::Unreachable, Duration::ZERO);
         let round = pacer.round_duration();
         let slack = round / 50;
         assert!(
-            next + slack >= round && next <= round * 2 + slack,
-            "scheduler {index}: {next:?} of {round:?}"
+            next_call + slack >= round && next_call <= round * 2 + slack,
+            "scheduler {index}: {next_call:?} of {round:?}"
         );
     }
 }
 
 #[test]
 fn a_retry_after_hint_is_followed_up_to_its_bound() {
-    let hinted = |seconds| {
+    let delay_with_hint = |seconds| {
         let retry_after = Some(Duration::from_secs(seconds));
         pacer(3).on_failure(CallFailure::Rejected { retry_after }, MS)
     };
-    assert!(hinted(30) >= Duration::from_secs(30));
-    assert!(hinted(100_000) <= Duration::from_secs(61), "{:?}", hinted(100_000));
+    assert!(delay_with_hint(30) >= Duration::from_secs(30));
+    assert!(delay_with_hint(100_000) <= Duration::from_secs(61), "{:?}", delay_with_hint(100_000));
 }
