--- a/crates/event-recorder/src/convert.rs
+++ b/crates/event-recorder/src/convert.rs
@@ -1,4 +1,4 @@
-//! What the core observes, in the types of the event log.
+//! Converts the core's observations to the types of the event log.
 
 use heathward_core::observe::{self, NodeTreatment, TreatmentCause};
 use heathward_core::Endpoint;
@@ -6,7 +6,7 @@
 use heathward_event_log::{FailureReason, ListedEndpoint, ShedReason, StateChangeCause};
 use heathward_policy::{AttemptEnd, EndpointUpdateKind, NodeState};
 
-/// A node of an endpoint update.
+/// Converts a node of an endpoint update.
 pub fn listed_endpoint(endpoint: &Endpoint) -> ListedEndpoint {
     ListedEndpoint {
         node: endpoint.id.to_string(),
@@ -24,7 +24,7 @@
     }
 }
 
-/// What an endpoint update contains.
+/// Converts the kind of an endpoint update.
 pub fn endpoint_update_kind(kind: EndpointUpdateKind) -> event_log::EndpointUpdateKind {
     match kind {
         EndpointUpdateKind::Changes => event_log::EndpointUpdateKind::Changes,
@@ -34,7 +34,7 @@
     }
 }
 
-/// How a node is treated.
+/// Converts the treatment of a node to its state in the event log.
 pub fn node_state(treatment: NodeTreatment) -> event_log::NodeState {
     match treatment {
         NodeTreatment::InService => event_log::NodeState::InService,
@@ -46,7 +46,7 @@
     }
 }
 
-/// Why that changed.
+/// Converts the cause of a change of a node's treatment.
 pub fn state_change_cause(cause: TreatmentCause) -> StateChangeCause {
     match cause {
         TreatmentCause::EndpointUpdate(revision) => StateChangeCause::EndpointUpdate(revision),
@@ -57,7 +57,7 @@
     }
 }
 
-/// How an attempt ended.
+/// Converts the end of an attempt.
 pub fn attempt_end(end: AttemptEnd) -> event_log::AttemptEnd {
     match end {
         AttemptEnd::Served => event_log::AttemptEnd::Served,
@@ -71,7 +71,7 @@
     }
 }
 
-/// How a request ended.
+/// Converts the outcome of a request.
 pub fn request_outcome(outcome: observe::RequestOutcome) -> event_log::RequestOutcome {
     use event_log::RequestOutcome::{ClientDisconnected, Failed, Served, Shed};
     match outcome {
--- a/crates/event-recorder/src/lib.rs
+++ b/crates/event-recorder/src/lib.rs
@@ -1,5 +1,5 @@
-//! Records what a scheduler does: an [`Observer`] of the core that counts requests and attempts by the second
-//! and sends typed events to the event log. It runs on the core's thread and never waits.
+//! Records events of a scheduler: an [`Observer`] of the core that counts requests and attempts by the
+//! second and sends typed events to the event log. It runs on the core's task and never blocks.
 
 mod convert;
 mod second;
@@ -20,47 +20,50 @@
 use second::SecondCounts;
 use tokio::time::Instant;
 
-/// How long the program waits at its end for the last events to be written.
+/// How long the program waits at its end for the recorder's last events to be written.
 pub const FINAL_WRITE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Open requests that are followed at a time, where each request is recorded; further ones count as lost
-/// events.
+/// The largest number of requests that are tracked at a time, if each request is recorded; each further one
+/// counts as a lost event.
 const MAX_TRACKED_REQUESTS: usize = 16 * 1024;
-/// Nodes in one event of an endpoint update: with ids of 128 bytes these fit into a frame.
+/// The largest number of nodes in one event of an endpoint update: with ids of 128 bytes, this many fit
+/// into a frame.
 const ENDPOINTS_PER_EVENT: usize = 256;
-/// Both clocks are read at most so often until they are read without an interruption in between.
+/// How often both clocks are read at most to get a reading without an interruption between the two.
 const MAX_CLOCK_READS: usize = 4;
-/// The reading of both clocks was not interrupted if it took less; reports have a resolution of 1 ms.
+/// A reading of both clocks counts as uninterrupted if it took less than this, which is well below the 1 ms
+/// resolution of reports.
 const MAX_UNINTERRUPTED_READ: Duration = Duration::from_micros(100);
 
-/// What is recorded, where, and how much of it is kept.
+/// Settings of the recorder: what is recorded, where, and how much of it is kept.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RecorderSettings {
-    /// The folder of the segments.
+    /// Folder of the event log's segments.
     pub folder: PathBuf,
-    /// How much is kept.
+    /// Limits of the segments that are kept.
     pub limits: StorageLimits,
-    /// The capacity of the queue before the writer, in events.
+    /// Capacity of the queue to the writer thread, in events.
     pub queue_capacity: usize,
     /// Whether each request is recorded with its attempts.
     pub records_requests: bool,
-    /// A clock that is wrong on purpose, for rehearsals.
+    /// Deliberate error of the recorded wall clock, for rehearsals.
     pub clock_skew: ClockSkew,
 }
 
-/// How the clock of the records differs from that of the machine. All zero in production.
+/// Difference between the recorded wall clock and that of the machine; all zero in production.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClockSkew {
-    /// Milliseconds by which it is ahead.
+    /// Milliseconds by which the recorded clock is ahead from the start.
     pub offset_ms: i64,
-    /// Milliseconds after the start at which it is set.
+    /// Milliseconds after the start at which the recorded clock steps.
     pub step_after_ms: u64,
-    /// Milliseconds by which it is set forward then.
+    /// Milliseconds by which the recorded clock steps forward then.
     pub step_ms: i64,
 }
 
 impl ClockSkew {
-    /// The time of the wall clock at an instant, possibly in the past, so long after the start.
+    /// Returns the skewed wall clock, in microseconds of Unix time, at the instant `monotonic` microseconds
+    /// after `start`. The instant may be in the past.
     fn wall_clock(self, start: Instant, monotonic: Micros) -> Micros {
         let instant = start + Duration::from_micros(monotonic);
         let (wall_clock, now) = read_both_clocks();
@@ -71,8 +74,8 @@
     }
 }
 
-/// The wall clock and the monotonic clock at the same instant: the first reading that was not interrupted, or
-/// the last.
+/// Returns the wall clock and the monotonic clock at the same instant: the first reading that was not
+/// interrupted, or else the last.
 fn read_both_clocks() -> (SystemTime, Instant) {
     let read = || {
         let before = Instant::now();
@@ -82,13 +85,13 @@
     (1..MAX_CLOCK_READS).map(|_| read()).find(uninterrupted).unwrap_or_else(read)
 }
 
-/// Records as long as it lives; its last events are sent when it is dropped.
+/// An observer of the core that records events. When it is dropped, it sends its last events.
 pub struct Recorder {
     sender: EventSender,
     clock_skew: ClockSkew,
     start: Instant,
     current_second: SecondCounts,
-    /// Requests that have not ended, or whose attempt has not; `None` unless each request is recorded.
+    /// Requests that have not ended or whose attempt is in flight; `None` unless each request is recorded.
     tracked_requests: Option<HashMap<RequestId, TrackedRequest>>,
 }
 
@@ -99,18 +102,20 @@
 }
 
 impl TrackedRequest {
-    /// At most one attempt is in flight at a time.
+    /// Returns whether an attempt is in flight. Only the last attempt can be, as a request has at most one
+    /// in flight.
     fn is_attempt_in_flight(&self) -> bool {
         self.record.attempts.last().is_some_and(|attempt| attempt.end.is_none())
     }
 }
 
 impl Recorder {
-    /// Starts to record for the scheduler of that name, with a writer that ends after the recorder was
-    /// dropped. `boot_id` is a random number that tells this run of the scheduler from others.
+    /// Starts to record for the scheduler `name`, with a writer thread that ends after the recorder is
+    /// dropped. `boot_id` is a random number that distinguishes this run of the scheduler from others.
     ///
     /// # Errors
-    /// The system's, where no thread can be started.
+    ///
+    /// The operating system's error if the writer thread can't be started.
     pub fn start(
         settings: &RecorderSettings,
         name: &str,
@@ -123,7 +128,7 @@
         Ok((Self::new(sender, settings.clock_skew, settings.records_requests), writer))
     }
 
-    /// A recorder that sends its events to `sender`.
+    /// Creates a recorder that sends its events to `sender`, beginning with [`Lifecycle::Started`].
     pub fn new(sender: EventSender, clock_skew: ClockSkew, records_requests: bool) -> Self {
         let tracked_requests = records_requests.then(HashMap::new);
         let (start, current_second) = (Instant::now(), SecondCounts::default());
@@ -132,7 +137,7 @@
         recorder
     }
 
-    /// The time since the recorder was started.
+    /// Returns the time from the start of the recorder to `at`, in microseconds.
     fn monotonic_micros(&self, at: Instant) -> Micros {
         at.saturating_duration_since(self.start).as_micros() as Micros
     }
@@ -142,7 +147,7 @@
         self.sender.send(Timestamp { wall_clock, monotonic }, event);
     }
 
-    /// Sends the counts of the present second, once it has passed.
+    /// Sends the counts of the current second if it has passed.
     fn send_second_if_over(&mut self, monotonic: Micros) {
         if self.current_second.has_passed(monotonic) {
             self.send_second(monotonic);
@@ -158,7 +163,7 @@
         self.send(monotonic, Event::Lifecycle(lifecycle));
     }
 
-    /// Sends an endpoint update, in as many events as it takes to fit each into a frame.
+    /// Sends an endpoint update, split into events that each fit into a frame.
     fn send_endpoint_update(
         &mut self,
         monotonic: Micros,
@@ -176,7 +181,7 @@
         }
     }
 
-    /// Follows a request until it ends, if each request is recorded.
+    /// Starts to track a request until it ends, if each request is recorded.
     fn request_received(
         &mut self,
         monotonic: Micros,
@@ -212,7 +217,8 @@
         }
     }
 
-    /// Records a request, unless its attempt is in flight: it is recorded with the end of that.
+    /// Records the end of a request. If an attempt is in flight, the request is sent only after the end of
+    /// that attempt.
     fn request_ended(&mut self, monotonic: Micros, request: RequestId, outcome: RequestOutcome) {
         let Some(tracked) = self.tracked_request(request) else { return };
         (tracked.record.ended_at, tracked.record.outcome) = (monotonic, outcome);
@@ -229,7 +235,8 @@
         }
     }
 
-    /// Records the requests that have ended, without the ends of their attempts.
+    /// Sends the requests that have ended but whose last attempt is in flight, without the end of that
+    /// attempt.
     fn send_ended_requests(&mut self, monotonic: Micros) {
         let tracked = self.tracked_requests.take().unwrap_or_default();
         let ended = tracked.into_values().filter(|request| request.has_ended);
@@ -245,7 +252,7 @@
     }
 }
 
-/// The first event of each segment.
+/// Builds the first event of each segment.
 fn segment_opened(
     settings: &RecorderSettings,
     name: &str,
--- a/crates/event-recorder/src/second.rs
+++ b/crates/event-recorder/src/second.rs
@@ -1,4 +1,4 @@
-//! Counts of requests and attempts within the present second.
+//! Counts of requests and attempts within the current second.
 
 use hdrhistogram::serialization::{Serializer, V2Serializer};
 use hdrhistogram::Histogram;
@@ -7,21 +7,22 @@
     ATTEMPT_END_NAMES, FAILURE_REASON_NAMES, SHED_REASON_NAMES,
 };
 
-/// The length of a second; the last one of a run is shorter.
+/// Length of the interval that counts cover, in microseconds; the last interval of a run is shorter.
 const SECOND: Micros = 1_000_000;
-/// The highest latency that a histogram distinguishes; higher ones count as this.
+/// The highest latency of a histogram; higher latencies count as this one.
 const MAX_LATENCY: Micros = 120_000_000;
-/// Significant decimal digits of a latency in a histogram.
+/// Number of significant decimal digits of a latency in a histogram.
 const LATENCY_DIGITS: u8 = 2;
-/// Nodes that are counted at a time; attempts at further nodes are not counted until the next second.
+/// The largest number of nodes that are counted at a time; attempts at further nodes are not counted until
+/// the next second.
 const MAX_COUNTED_NODES: usize = 1024;
 
-/// Counts by class and by node.
+/// Counts of the current second, by class and by node.
 #[derive(Debug, Default)]
 pub struct SecondCounts {
-    /// When the second began, on the monotonic clock.
+    /// When the second began, in microseconds on the recorder's monotonic clock.
     start: Micros,
-    /// The latency objectives of the classes, by index.
+    /// Latency objectives of the classes, by class index.
     pub latency_objectives: Vec<Micros>,
     classes: Vec<ClassCounts>,
     /// Sorted by id.
@@ -31,7 +32,7 @@
 #[derive(Debug, Default)]
 struct ClassCounts {
     counts: ClassSecond,
-    /// Of served requests; created with the first one.
+    /// Latencies of served requests; created with the first one.
     latencies: Option<Histogram<u32>>,
 }
 
@@ -39,17 +40,17 @@
 struct NodeCounts {
     id: Box<str>,
     counts: NodeSecond,
-    /// Attempts in flight now.
+    /// Number of attempts in flight now.
     in_flight: u32,
 }
 
 impl SecondCounts {
-    /// Whether the second has passed.
+    /// Returns whether the second has passed at `now`.
     pub fn has_passed(&self, now: Micros) -> bool {
         now.saturating_sub(self.start) >= SECOND
     }
 
-    /// The counts of a class.
+    /// Returns the counts of a class.
     pub fn class_second(&mut self, class: u16) -> &mut ClassSecond {
         &mut self.class_counts(class).counts
     }
@@ -84,7 +85,8 @@
         }
     }
 
-    /// Counts an attempt that was sent to a node.
+    /// Counts an attempt that was sent to a node, and the units that it takes from the node's limit in slow
+    /// start.
     pub fn count_attempt_sent(&mut self, node: &str, slow_start_units: u32) {
         if let Some(NodeCounts { counts, in_flight, .. }) = self.node_counts(node) {
             *in_flight += 1;
@@ -122,12 +124,12 @@
         Some(&mut self.nodes[index])
     }
 
-    /// Ends the second, returns its counts, and begins the next one. There is at least one event, which shows
-    /// that the scheduler is running.
+    /// Ends the second, returns its counts as events, and begins the next one. At least one event is
+    /// returned, to show that the scheduler is running.
     pub fn close(&mut self, now: Micros) -> Vec<Event> {
         let (start, elapsed) = (self.start, now.saturating_sub(self.start));
-        // The clock is checked before every event, so that all counts belong to the first second of the
-        // elapsed time. The next one begins at a whole second.
+        // The clock is checked before every observation, so all counts belong to the first second of the
+        // elapsed time. The next interval begins at a whole second.
         let duration = elapsed.min(SECOND);
         self.start += elapsed - elapsed % SECOND;
         let mut events = self.close_classes(start, duration);
--- a/crates/event-recorder/tests/recorder.rs
+++ b/crates/event-recorder/tests/recorder.rs
@@ -1,4 +1,4 @@
-//! What the recorder records of a scheduler with fake nodes.
+//! Tests of the recorder, on a scheduler with fake nodes and on single observations.
 #![cfg(test)]
 
 use std::time::Duration;
@@ -27,7 +27,7 @@
     (rig, events)
 }
 
-/// All events until the recorder has ended.
+/// Stops the recorder and returns all its events.
 async fn stop_and_collect(rig: &Rig, events: &EventReceiver) -> Vec<Record> {
     rig.core.set_observer(None).await;
     let deadline = Instant::now() + heathward_fakes::PATIENCE;
@@ -38,7 +38,7 @@
         {
             return records;
         }
-        assert!(Instant::now() < deadline, "never ended: {records:?}");
+        assert!(Instant::now() < deadline, "the recorder did not stop in time: {records:?}");
         sleep(Duration::from_millis(2)).await;
     }
 }
@@ -138,8 +138,8 @@
     seconds.collect()
 }
 
-/// Guards against an attempt that stays without an end in the event log, and in flight at its node for ever,
-/// since it waited for a connection until its client had left.
+/// Guards against an attempt that has no end in the event log and counts as in flight at its node for ever,
+/// because its client disconnected while it waited for a connection.
 #[tokio::test]
 async fn an_attempt_that_waited_for_a_connection_is_recorded_with_its_end() {
     let node = full_node().await;
@@ -151,18 +151,18 @@
     let counters = rig.until(|counters| counters.client_disconnects == 1).await;
     assert_eq!(counters.attempts_written, 0);
     rig.until(|counters| counters.attempts_ended(PolicyAttemptEnd::NotSent) == 1).await;
-    // Until a second has begun in which nothing happens.
+    // Long enough for a second without any event to begin.
     sleep(Duration::from_millis(2_100)).await;
     let records = stop_and_collect(&rig, &events).await;
     let [request] = ended_requests(&records)[..] else { panic!("{records:?}") };
     assert_eq!(request.outcome, RequestOutcome::ClientDisconnected);
     let [attempt] = &request.attempts[..] else { panic!("{request:?}") };
     assert_eq!(attempt.end.map(|(_, end)| end), Some(AttemptEnd::NotSent));
-    let [second] = node_seconds(&records)[..] else { panic!("in flight for ever: {records:?}") };
+    let [second] = node_seconds(&records)[..] else { panic!("the attempt stays in flight: {records:?}") };
     assert_eq!((second.sent, second.attempt_ends.iter().sum::<u32>(), second.max_in_flight), (1, 1, 1));
 }
 
-/// What the core reports of one request.
+/// An observation of one request that the core reports.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Received,
@@ -196,8 +196,8 @@
     }
 }
 
-/// Guards against records that lack the end of an attempt, whether it or its request ends first and however
-/// it ends, and against a node with attempts in flight at rest.
+/// Guards against records without the end of an attempt, whether the attempt or its request ends first and
+/// however the attempt ends, and against attempts that count as in flight after they have ended.
 #[rstest]
 #[case::attempt_first(
     &[Step::Sent, Step::AttemptEnded(PolicyAttemptEnd::Served), Step::RequestEnded],
@@ -238,15 +238,17 @@
     drop(recorder);
     let records: Vec<Record> = events.try_iter().collect();
     let [request] = ended_requests(&records)[..] else { panic!("{records:?}") };
-    let recorded: Vec<_> = request.attempts.iter().map(|attempt| attempt.end.expect("an end").1).collect();
+    let recorded: Vec<_> =
+        request.attempts.iter().map(|attempt| attempt.end.expect("each attempt has an end").1).collect();
     assert_eq!(recorded, ends);
-    let [second] = node_seconds(&records)[..] else { panic!("in flight at rest: {records:?}") };
+    let [second] = node_seconds(&records)[..] else { panic!("an attempt stays in flight: {records:?}") };
     let not_sent = steps.iter().filter(|step| matches!(step, Step::NotSent)).count();
     assert_eq!(second.sent as usize, ends.len());
     assert_eq!(second.attempt_ends.iter().sum::<u32>() as usize, ends.len() + not_sent);
 }
 
-/// Guards against a request without a record where the recorder ends before the last attempt does.
+/// Guards against a request that is not recorded because the recorder stops before the request's last
+/// attempt has ended.
 #[tokio::test]
 async fn a_request_whose_attempt_is_in_flight_when_the_recorder_stops_is_recorded() {
     let (sender, events) = event_channel(4096);
