--- a/crates/discovery-pacing/src/call_pacer.rs
+++ b/crates/discovery-pacing/src/call_pacer.rs
@@ -1,4 +1,4 @@
-//! When one of many schedulers may call a service that all of them share.
+//! Decides when one of many schedulers may call a service that all of them share.
 //!
 //! The service serves a limited number of calls per second, and does not say how many. A call that exceeds
 //! this waits, fails, and still uses up some of the service's time, so the fleet must not call faster than it
@@ -10,27 +10,27 @@
 
 use std::time::Duration;
 
-/// The estimated cost of a call before any was answered.
+/// The estimated cost of a call until the first one is answered.
 const INITIAL_COST: Duration = Duration::from_millis(54);
-/// The lowest estimate.
+/// Lower bound of the estimated cost of a call.
 const MIN_COST: Duration = Duration::from_millis(2);
-/// The highest estimate.
+/// Upper bound of the estimated cost of a call.
 const MAX_COST: Duration = Duration::from_millis(1_000);
 /// A round is longer than the estimated cost of its calls by this factor.
 const ROUND_HEADROOM_FACTOR: f64 = 1.2;
-/// A failure raises the estimate by this factor. A late answer, which may have waited for others, raises it
-/// by no more.
+/// A failure that shows overload raises the estimate by this factor. A late answer, which may have waited
+/// for other calls, raises it by at most this factor.
 const COST_RAISE_FACTOR: f64 = 1.6;
-/// An answer lowers the estimate to no less than this fraction of it.
+/// An answer lowers the estimate to no less than this fraction of its previous value.
 const COST_DROP_FACTOR: f64 = 0.5;
-/// The fastest answer so far counts as slower by this factor with each further answer, so that it is
-/// forgotten when the service becomes slower.
+/// Each further answer ages the fastest answer so far: its time is multiplied by this factor, so that it
+/// loses its effect when the service becomes slower.
 const FASTEST_ANSWER_AGING_FACTOR: f64 = 1.1;
 /// The shortest round, so that a small fleet does not call without a pause.
 const MIN_ROUND: Duration = Duration::from_millis(100);
-/// The longest round. Between its calls a scheduler learns of no change.
+/// The longest round. A scheduler learns of no changes between its calls.
 const MAX_ROUND: Duration = Duration::from_secs(600);
-/// A Retry-After hint is followed up to this.
+/// Upper bound of the delay that a Retry-After hint can cause.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
 
 /// The position of one scheduler in its fleet.
@@ -45,13 +45,13 @@
 /// How a call failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallFailure {
-    /// There was no connection, or it broke at once: the service has spent no time on it.
+    /// No connection was made, or it broke at once: the service has spent no time on the call.
     Unreachable,
-    /// It waited and got no answer: the service has spent time on it, or will.
+    /// The call timed out: the service has spent time on it, or will.
     TimedOut,
-    /// It was rejected.
+    /// The service rejected the call.
     Rejected {
-        /// The Retry-After hint that came with it, if any.
+        /// The Retry-After hint of the rejection, if any.
         retry_after: Option<Duration>,
     },
 }
@@ -61,23 +61,23 @@
 pub struct CallPacer {
     rng: fastrand::Rng,
     position: FleetPosition,
-    /// What one call costs the service, as far as this scheduler's calls show.
+    /// Estimate of the time that the service spends on one call, from this scheduler's own calls.
     estimated_cost: Duration,
-    /// The fastest answer so far, aged by each answer since.
+    /// Time of the fastest answer so far, aged by each answer since.
     fastest_answer: Option<Duration>,
-    /// Failures since the last answer.
+    /// Number of failures since the last answer.
     failures: u32,
 }
 
 impl CallPacer {
-    /// The pacer of that scheduler. All its randomness comes from `seed`.
+    /// Creates the pacer of the scheduler at `position`. All its randomness comes from `seed`.
     pub fn new(position: FleetPosition, seed: u64) -> Self {
         let schedulers = position.schedulers.max(1);
         let scheduler_index = position.scheduler_index % schedulers;
         Self::without_history(fastrand::Rng::with_seed(seed), FleetPosition { scheduler_index, schedulers })
     }
 
-    /// A pacer of the same scheduler for another service, without any history.
+    /// Creates a pacer of the same scheduler for another service, without any history.
     pub fn fork(&mut self) -> Self {
         Self::without_history(self.rng.fork(), self.position)
     }
@@ -86,25 +86,25 @@
         Self { rng, position, estimated_cost: INITIAL_COST, fastest_answer: None, failures: 0 }
     }
 
-    /// The estimated cost of one call, from 2 ms to 1 s.
+    /// Returns the estimated cost of one call, from 2 ms to 1 s.
     pub fn estimated_cost(&self) -> Duration {
         self.estimated_cost
     }
 
-    /// How long a round of calls of the whole fleet takes now, from 100 ms to 600 s.
+    /// Returns how long a round of calls of the whole fleet takes now, from 100 ms to 600 s.
     pub fn round_duration(&self) -> Duration {
         let cost_factor = ROUND_HEADROOM_FACTOR * f64::from(self.position.schedulers);
         self.estimated_cost.mul_f64(cost_factor).clamp(MIN_ROUND, MAX_ROUND)
     }
 
-    /// The delay before the first call: until this scheduler's slot in a round, as all schedulers may start
-    /// at the same time.
+    /// Returns the delay before the first call, which is made in this scheduler's slot of a round because
+    /// all schedulers may start at the same time.
     pub fn first_delay(&mut self) -> Duration {
         self.offset_in_round()
     }
 
-    /// Records that a call was answered after `elapsed`. Returns the delay before the next call, should this
-    /// watch end.
+    /// Records that a call was answered after `elapsed`. Returns the delay before the next call, which
+    /// applies once the watch that was answered ends.
     pub fn on_answer(&mut self, elapsed: Duration) -> Duration {
         self.failures = 0;
         // Waiting for other schedulers' calls makes an answer later and never sooner, so the fastest answer
@@ -119,7 +119,7 @@
     }
 
     /// Records that a call failed, `elapsed` after it was made. Returns the delay before the next call: the
-    /// rest of this round, and the way to this scheduler's slot in the next one. Without the rest of this
+    /// rest of this round, and the time to this scheduler's slot in the next one. Without the rest of this
     /// round, schedulers with a low index, whose slot comes early, would call several times within it.
     pub fn on_failure(&mut self, failure: CallFailure, elapsed: Duration) -> Duration {
         let is_first_failure = self.failures == 0;
@@ -142,12 +142,12 @@
         }
     }
 
-    /// Where this scheduler's slot begins, as a fraction of a round.
+    /// Returns where this scheduler's slot begins, as a fraction of a round.
     fn slot_start(&self) -> f64 {
         f64::from(self.position.scheduler_index) / f64::from(self.position.schedulers)
     }
 
-    /// A random point in this scheduler's slot, from the beginning of a round.
+    /// Returns the time from the beginning of a round to a random point in this scheduler's slot.
     fn offset_in_round(&mut self) -> Duration {
         let slot_offset = self.rng.f64();
         let fraction =
--- a/crates/discovery-pacing/src/call_pacer/tests.rs
+++ b/crates/discovery-pacing/src/call_pacer/tests.rs
@@ -21,7 +21,7 @@
     }
 }
 
-/// The estimated cost in milliseconds, which is 54 at first.
+/// `cost` is the estimated cost in milliseconds, which is 54 initially.
 #[rstest]
 #[case::unreachable(&[CallFailure::Unreachable, CallFailure::Unreachable], 54)]
 #[case::timed_out(&[CallFailure::TimedOut], 86)]
@@ -40,7 +40,7 @@
     assert_eq!(pacer.estimated_cost().as_millis(), cost);
 }
 
-/// The fastest answer counts; a single late one changes the estimate little.
+/// The fastest answer determines the estimate; a single late one changes it little.
 #[rstest]
 #[case::faster(&[11, 11, 11], 11)]
 #[case::one_late(&[1_900], 86)]
@@ -54,7 +54,7 @@
     assert_eq!(pacer.estimated_cost().as_millis(), cost);
 }
 
-/// Schedulers with an early slot must not call again and again within one round.
+/// Guards against schedulers with an early slot that call several times within one round.
 #[test]
 fn a_failed_call_is_followed_by_one_in_the_next_round() {
     for index in 0..100 {
--- a/crates/discovery-pacing/src/lib.rs
+++ b/crates/discovery-pacing/src/lib.rs
@@ -1,5 +1,5 @@
-//! Paces the calls of a fleet of schedulers to a discovery service that they all share. It works on spans of
-//! time only: no I/O, no clock.
+//! Paces the calls of a fleet of schedulers to a discovery service that they all share. It works on
+//! durations only and uses no I/O and no clock.
 
 mod call_pacer;
 
