--- a/crates/core/tests/client_disconnects.rs
+++ b/crates/core/tests/client_disconnects.rs
@@ -1,5 +1,5 @@
-//! Client disconnects always reach the core: a full request channel loses none, and requests that wait in it
-//! for nobody are dropped.
+//! Client disconnects always reach the core: a full request channel loses none, and requests of
+//! disconnected clients that wait in it are dropped.
 #![cfg(test)]
 
 use std::future::Future;
@@ -21,7 +21,7 @@
 
 use common::{deployment, endpoint, read_request};
 
-/// A core with one node, and the attempts that are sent to the node.
+/// Starts a core with one node, and returns it with the attempts that are sent to the node.
 async fn core_with_one_node() -> (CoreHandle, mpsc::Receiver<Attempt>) {
     let (to_node, attempts) = mpsc::channel(64);
     let deployment = Arc::new(deployment(1, 1_000_000, None));
@@ -37,9 +37,10 @@
 
 type PendingAnswer = Pin<Box<dyn Future<Output = Result<Answer, CoreStopped>> + Send>>;
 
-/// Puts a request into the core's channel, if there is capacity, without a turn of the core.
+/// Sends a request to the core's channel without giving the core a turn. The request waits if the channel
+/// is full.
 fn submit(core: &CoreHandle, number: usize) -> PendingAnswer {
-    // The runtime would otherwise have a task that does so much yield to others.
+    // Without `unconstrained`, the runtime would make a task with so many operations yield to others.
     let mut answer: PendingAnswer =
         Box::pin(unconstrained(core.clone().call(read_request(&number.to_string(), 0))));
     let mut cx = Context::from_waker(Waker::noop());
@@ -47,12 +48,12 @@
     answer
 }
 
-/// More requests than the core's channel holds.
+/// More requests than the core's request channel holds, which is 4096.
 const BURST: usize = 5_000;
 
-/// Guards against a request that goes on for a client that disconnected in a burst: its attempt waits for a
-/// connection, and must not start although the channel is full. And against work for clients that
-/// disconnected while their requests waited in the channel.
+/// Guards against an attempt that starts for a client that has disconnected: the attempt was waiting for a
+/// connection, and the full channel must not delay its cancellation. Also guards against work for clients
+/// that disconnected while their requests waited in the channel.
 #[tokio::test(start_paused = true)]
 async fn a_full_channel_loses_no_disconnect_and_nothing_starts_for_disconnected_clients() {
     let (core, mut attempts) = core_with_one_node().await;
@@ -61,11 +62,17 @@
     assert!(attempt.may_start());
     let burst: Vec<PendingAnswer> = (1..=BURST).map(|number| submit(&core, number)).collect();
     drop(first);
-    assert!(!attempt.may_start() && attempt.cancel.is_cancelled(), "seen by the writer at once");
+    assert!(
+        !attempt.may_start() && attempt.cancel.is_cancelled(),
+        "the writer sees the cancellation at once"
+    );
     drop(burst);
     let last = submit_after_the_burst(&core);
     let attempt = attempts.recv().await.unwrap();
-    assert_eq!(&*attempt.node_request.client_request_id, "later", "all before it had disconnected");
+    assert_eq!(
+        &*attempt.node_request.client_request_id, "later",
+        "the clients of all earlier requests had disconnected"
+    );
     let counters = core.metrics().await.unwrap().counters;
     assert!(counters.client_disconnects >= 4_096 && counters.attempts_sent == 2, "{counters}");
     assert_eq!(counters.client_disconnects + 1, counters.requests_received, "{counters}");
@@ -84,7 +91,7 @@
     tokio::spawn(async move { drop(core.call(request).await) })
 }
 
-/// Guards against a first byte for a request that the core itself has answered, past its deadline.
+/// Guards against sending the first byte of a request that the core itself has answered after its deadline.
 #[tokio::test(start_paused = true)]
 async fn an_attempt_of_an_answered_request_does_not_start() {
     let (core, mut attempts) = core_with_one_node().await;
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Builders: a deployment of one class and one plan without limits, a node, and a request.
+//! Test builders for a deployment of one class and one plan without limits, a node, and a request.
 // Each test binary uses only some of them.
 #![allow(dead_code)]
 
@@ -13,9 +13,9 @@
 };
 use tokio::time::Instant;
 
-/// A deployment with that many schedulers. Answers within `latency_objective` microseconds earn the full
-/// weight, clients wait for 1 s, and nothing may be sent to a draining node after `drain_grace` microseconds,
-/// if given.
+/// Creates a deployment with that many schedulers. Answers within `latency_objective` microseconds earn the
+/// full weight, clients wait for 1 s, and nothing may be sent to a draining node after `drain_grace`
+/// microseconds, if given.
 pub fn deployment(schedulers: u32, latency_objective: Micros, drain_grace: Option<Micros>) -> Deployment {
     let class = ClassSettings {
         latency_objective,
@@ -51,7 +51,7 @@
     }
 }
 
-/// The node with that number, which holds the shard of the same number.
+/// Creates the node with that number, which holds the shard of the same number.
 pub fn endpoint(number: u32, state: NodeState) -> Endpoint {
     Endpoint {
         id: format!("s-{number}").into(),
@@ -63,7 +63,7 @@
     }
 }
 
-/// A read of one unit from that shard, whose client waits for 1 s from now on.
+/// Creates a read of one unit from that shard, whose client waits for 1 s from now on.
 pub fn read_request(client_request_id: &str, shard: u32) -> ClientRequest {
     let node_request = NodeRequest {
         client_request_id: client_request_id.into(),
--- a/crates/core/tests/draining_nodes.rs
+++ b/crates/core/tests/draining_nodes.rs
@@ -1,5 +1,6 @@
-//! Drains in a complete fleet, in virtual time: 350 schedulers and 600 nodes, with updates that arrive late,
-//! in any order, or not at all, starts with an old list, moves of discovery, and connections that open late.
+//! Drains of nodes in a complete fleet, in virtual time: 350 schedulers and 600 nodes, with updates that
+//! arrive late, in any order, or not at all, schedulers that start with an old list, moves of discovery,
+//! and connections that open late.
 #![cfg(test)]
 
 use std::sync::{Arc, Mutex};
@@ -30,10 +31,12 @@
 const FIRST_NODE_WITHOUT_DRAIN: u32 = BATCH_SIZE * BATCHES;
 const DRAIN_GRACE: Duration = Duration::from_millis(250);
 const RUN_DURATION: Duration = Duration::from_secs(18);
-/// How late a watch message is read at most, and another behind it twice that: less than the grace period.
+/// The longest delay before a watch message is read; a message queued behind it is delayed by up to twice
+/// that, which is less than the grace period.
 const MAX_READ_DELAY: Duration = Duration::from_millis(100);
 
-/// The drains of the fleet. Revision 1 of the endpoint list has none, and each batch makes one more revision.
+/// The schedule of the fleet's drains. Revision 1 of the endpoint list has none, and each batch adds one
+/// revision.
 struct DrainSchedule {
     start: Instant,
     /// When each batch of nodes starts draining, in order.
@@ -56,7 +59,8 @@
         }
     }
 
-    /// The list after that many batches: complete, or what they changed since the list of `after` batches.
+    /// Returns the list after `batches` batches: complete, or only the changes since the list after
+    /// `base_batches`.
     fn update(batches: usize, base_batches: Option<usize>) -> EndpointUpdate {
         let is_changed = |node: &u32| base_batches.is_none_or(|base| (*node / BATCH_SIZE) as usize >= base);
         let is_drained = |node: &u32| *node < batches as u32 * BATCH_SIZE;
@@ -67,32 +71,32 @@
         EndpointUpdate { revision: batches as u64 + 1, kind, endpoints }
     }
 
-    /// Number of batches that drain at `at`.
+    /// Returns the number of batches that have started draining by `at`.
     fn batches_at(&self, at: Instant) -> usize {
         self.drains.iter().filter(|drain| **drain <= at).count()
     }
 
-    /// When that node starts draining.
+    /// Returns when that node starts draining.
     fn drain_start(&self, node: u32) -> Instant {
         self.drains[(node / BATCH_SIZE) as usize]
     }
 }
 
-/// A watch without a message for this long has timed out, and the agent is called anew.
+/// A watch without a message for this long times out, and the agent is called again.
 const WATCH_TIMEOUT: Duration = Duration::from_millis(2_750);
 
-/// Why a scheduler gets no watch messages.
+/// The reason for which a scheduler gets no watch messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Outage {
     /// Discovery is down: the agent accepts calls and has nothing new until discovery is back.
     DiscoveryDown,
-    /// The watch is broken: the next call delivers everything.
+    /// The watch connection is broken: the next call delivers all updates.
     WatchBroken,
-    /// The agent accepts no call; its updates count as delivered all the same.
+    /// The agent accepts no call; its updates still count as delivered.
     AgentDown,
 }
 
-/// What one scheduler encounters: when it starts, how late its agent has updates, when and why it gets no
+/// The conditions of one scheduler: when it starts, how late its agent has updates, when and why it gets no
 /// messages, and when discovery moves to an agent that sends none at first.
 #[derive(Clone, Debug)]
 struct Conditions {
@@ -124,12 +128,12 @@
         }
     }
 
-    /// No messages arrive at `at`.
+    /// Returns whether no messages arrive at `at`.
     fn is_outage(&self, at: Instant) -> bool {
         at >= self.outage_start && at < self.outage_end
     }
 
-    /// When the agent writes what it has had since `known_at`.
+    /// Returns when the agent writes an update that it has had since `known_at`.
     fn written_at(&self, known_at: Instant) -> Instant {
         if self.is_outage(known_at) {
             self.outage_end
@@ -138,7 +142,7 @@
         }
     }
 
-    /// When a change counts as delivered, according to the protocol.
+    /// Returns when a change counts as delivered, according to the protocol.
     fn delivered_at(&self, change: Instant) -> Instant {
         let known_at = (change + self.agent_delay).max(self.start);
         if self.outage == Outage::DiscoveryDown {
@@ -150,19 +154,21 @@
         self.written_at(known_at).min(known_at + Duration::from_secs(6)).min(after_move)
     }
 
-    /// The list is certainly up to date at `now`, or the scheduler may use it while discovery is down.
+    /// Returns whether the list is certainly up to date at `now`, or the scheduler may use it because
+    /// discovery is down.
     fn list_is_usable(&self, now: Instant) -> bool {
         let is_up_to_date = now < self.outage_start || now > self.outage_end + MAX_READ_DELAY * 2;
-        // While discovery is down nothing stops, after the first call of a start or a move.
+        // While discovery is down, requests are still served once the first call after a start or a move
+        // has gone unanswered.
         let is_tolerated =
             self.outage == Outage::DiscoveryDown && now > self.start + Duration::from_millis(300);
         is_up_to_date || is_tolerated
     }
 }
 
-/// Discovery as one scheduler sees it: a message for each change that its agent has, in any order beside an
-/// older snapshot; an empty message every 2 s. An agent with the outage `treated_as_contact` is reported as
-/// one that accepts calls and has nothing new.
+/// Simulates discovery for one scheduler: a message for each change that its agent has, sometimes followed
+/// by an older snapshot, and an empty message every 2 s. During the outage `treated_as_contact`, the agent
+/// is reported as one that accepts calls and has nothing new.
 async fn run_discovery(
     core: CoreHandle,
     schedule: Arc<DrainSchedule>,
@@ -224,7 +230,8 @@
 
 type FirstBytes = Arc<Mutex<Vec<FirstByte>>>;
 
-/// The connections to all nodes: some open late, and the gate is checked right before the first byte.
+/// Simulates the connections to all nodes: some open late, and the gate is checked right before the first
+/// byte.
 async fn run_connections(
     scheduler: usize,
     mut attempts: mpsc::Receiver<Attempt>,
@@ -249,7 +256,7 @@
     }
 }
 
-/// Requests for nodes that never drain, at times at which the list is usable.
+/// Counts of requests for nodes that never drain, sent at times at which the list is usable.
 #[derive(Default)]
 struct RequestCounts {
     served: u32,
@@ -258,7 +265,7 @@
 
 type SharedCounts = Arc<Mutex<RequestCounts>>;
 
-/// A request for the node with that number, which holds the shard of the same number.
+/// Creates a request for the node with that number, which holds the shard of the same number.
 fn request_for(node: u32, number: u32, deadline: Instant) -> ClientRequest {
     let request = read_request(&number.to_string(), node);
     let node_request = NodeRequest {
@@ -273,7 +280,7 @@
 async fn send_request(mut core: CoreHandle, request: ClientRequest, counts: Option<SharedCounts>) {
     let deadline = request.deadline;
     let answer = core.call(request).await.unwrap();
-    assert!(Instant::now() <= deadline + Duration::from_millis(10), "an answer in time");
+    assert!(Instant::now() <= deadline + Duration::from_millis(10), "the answer came after the deadline");
     if let Some(counts) = counts {
         let counts = &mut *counts.lock().unwrap();
         counts.served += u32::from(matches!(answer, Answer::Served(_)));
@@ -316,8 +323,8 @@
     }
 }
 
-/// The last case is a planted fault, by which the test is known to detect one: an agent that accepts no call
-/// is treated as one that has nothing new.
+/// Guards against requests to a node after the grace period of its drain. The last case injects a fault to
+/// show that the test detects one: an agent that accepts no call is treated as one that has nothing new.
 #[rstest]
 #[case(1, Outage::DiscoveryDown)]
 #[case(2, Outage::DiscoveryDown)]
--- a/crates/core/tests/endpoint_update_cost.rs
+++ b/crates/core/tests/endpoint_update_cost.rs
@@ -1,5 +1,5 @@
-//! What an endpoint update costs with many nodes, in nodes that are checked: those that it names, and none
-//! while there are no updates. The tests count checks and measure no times.
+//! The cost of an endpoint update with many nodes, in nodes that are checked: only those that the update
+//! names, and none while there are no updates. The tests count checks; they do not measure time.
 #![cfg(test)]
 
 use std::sync::{Arc, Mutex};
@@ -24,7 +24,7 @@
 const FLEET_SIZE: u32 = 5_100;
 const SLOW_START: Duration = Duration::from_secs(20);
 
-/// A change of a node's treatment that the observer was told.
+/// A change of a node's treatment that was reported to the observer.
 #[derive(Clone)]
 struct TreatmentChange {
     treatment: NodeTreatment,
@@ -49,7 +49,7 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_micros() as Micros
 }
 
-/// A node in one of 40 zones.
+/// Creates a node in one of 40 zones.
 fn endpoint(number: u32, state: NodeState, started_at: Option<Micros>) -> Endpoint {
     let zone = format!("z-{}", number % 40).into();
     Endpoint { zone, started_at, ..common::endpoint(number, state) }
@@ -68,7 +68,8 @@
     to_node
 }
 
-/// A core with `size` nodes and an observer, what the observer is told, and the attempts that were served.
+/// Starts a core with `size` nodes and an observer, and returns it with the treatment changes that are
+/// reported to the observer and the attempts that are served.
 async fn core_with_nodes(size: u32) -> (CoreHandle, TreatmentChanges, mpsc::Receiver<Attempt>) {
     let (served, attempts) = mpsc::channel(64);
     let mut deployment = deployment(1, 1_000_000, None);
@@ -98,14 +99,14 @@
     core.metrics().await.unwrap().counters.node_checks
 }
 
-/// Guards against a walk of all nodes for an update of a few, and on each tick of the observer.
+/// Guards against walking all nodes for an update of a few, or on each tick of the observer.
 #[tokio::test(start_paused = true)]
 async fn an_update_checks_only_the_nodes_that_it_names_and_none_are_checked_without_updates() {
     let (core, changes, _attempts) = core_with_nodes(FLEET_SIZE).await;
     let checks_of_snapshot = node_checks(&core).await;
-    assert_eq!(checks_of_snapshot, u64::from(FLEET_SIZE), "a snapshot, once");
+    assert_eq!(checks_of_snapshot, u64::from(FLEET_SIZE), "the snapshot checks each node once");
     sleep(Duration::from_secs(60)).await;
-    assert_eq!(node_checks(&core).await, checks_of_snapshot, "600 ticks");
+    assert_eq!(node_checks(&core).await, checks_of_snapshot, "no node is checked in 600 ticks");
     for change in 0..100 {
         let before = node_checks(&core).await;
         let removed = endpoint(change, NodeState::Removed, None);
@@ -117,8 +118,8 @@
     assert_eq!(core.metrics().await.unwrap().listed_nodes, FLEET_SIZE as usize);
 }
 
-/// Guards against reporting the end of slow start late, or never, as only nodes are checked whose time has
-/// come; and against checking all nodes in slow start on each tick.
+/// Guards against reporting the end of slow start late or never, as only nodes with a due check are
+/// checked, and against checking all nodes in slow start on each tick.
 #[tokio::test(start_paused = true)]
 async fn the_end_of_slow_start_is_reported_in_time_after_one_check() {
     let (core, changes, _attempts) = core_with_nodes(FLEET_SIZE).await;
@@ -130,14 +131,14 @@
     let in_slow_start = |change: &TreatmentChange| matches!(change.treatment, NodeTreatment::SlowStart(_));
     assert_eq!(changes.lock().unwrap().drain(..).filter(in_slow_start).count(), 100);
     while changes.lock().unwrap().is_empty() {
-        assert!(start.elapsed() < SLOW_START * 2, "never reported");
+        assert!(start.elapsed() < SLOW_START * 2, "the end of slow start is never reported");
         sleep(Duration::from_millis(50)).await;
     }
     let ended = changes.lock().unwrap().clone();
     assert!(ended.iter().all(|change| {
         (change.treatment, change.cause) == (NodeTreatment::InService, TreatmentCause::TimePassed)
     }));
-    // The policy's clock is the machine's, which is a little ahead of the paused one.
+    // The policy's clock starts at the machine's time, which is slightly ahead of the paused clock.
     let late = start.elapsed().saturating_sub(SLOW_START);
     assert!(late <= Duration::from_secs(2) && ended.len() == 100, "{late:?}, {}", ended.len());
     sleep(Duration::from_secs(60)).await;
@@ -152,8 +153,9 @@
     attempts.recv().await.unwrap().node
 }
 
-/// Guards against a node that is new to the policy when it leaves its list for less than a minute, also if
-/// nothing else had changed for a longer time before; and against one that is retained for ever.
+/// Guards against a node that gets a new number after it was out of the endpoint list for less than a
+/// minute, also if the list had not changed for longer before that, and against a node that is retained for
+/// ever.
 #[tokio::test(start_paused = true)]
 async fn a_node_that_returns_within_a_minute_keeps_its_number_and_later_gets_another() {
     let (core, _, mut attempts) = core_with_nodes(3).await;
