--- a/crates/event-recorder/src/lib.rs
+++ b/crates/event-recorder/src/lib.rs
@@ -186,11 +186,11 @@
         &mut self,
         monotonic: Micros,
         request: RequestId,
-        record: impl FnOnce() -> RequestRecord,
+        build_record: impl FnOnce() -> RequestRecord,
     ) {
         let Some(tracked_requests) = &mut self.tracked_requests else { return };
         if tracked_requests.len() < MAX_TRACKED_REQUESTS {
-            tracked_requests.insert(request, TrackedRequest { record: record(), has_ended: false });
+            tracked_requests.insert(request, TrackedRequest { record: build_record(), has_ended: false });
         } else {
             let wall_clock = self.clock_skew.wall_clock(self.start, monotonic);
             self.sender.record_loss(Timestamp { wall_clock, monotonic });
