--- a/crates/core/src/actor/handle.rs
+++ b/crates/core/src/actor/handle.rs
@@ -34,8 +34,8 @@
 
 impl std::error::Error for CoreStopped {}
 
-/// A handle to the core's actor. All clones reach the same actor; see [`start_core`](super::start_core) for
-/// when it ends.
+/// A handle to the core's actor. All clones reach the same actor, which ends once all of them are dropped,
+/// together with the senders that [`start_core`](super::start_core) gave to `connect_node`.
 #[derive(Clone, Debug)]
 pub struct CoreHandle {
     pub(super) messages: mpsc::Sender<CoreMessage>,
--- a/crates/core/src/observe.rs
+++ b/crates/core/src/observe.rs
@@ -172,7 +172,7 @@
     Command,
     /// The state of the previous process.
     Handover,
-    /// The end of an attempt.
+    /// The end of an attempt, which ended this way.
     AttemptEnded(AttemptEnd),
     /// Only the passage of time.
     TimePassed,
--- a/crates/core/tests/client_disconnects.rs
+++ b/crates/core/tests/client_disconnects.rs
@@ -49,7 +49,7 @@
 }
 
 /// More requests than the core's request channel holds, which is 4096.
-const BURST: usize = 5_000;
+const BURST_SIZE: usize = 5_000;
 
 /// Guards against an attempt that starts for a client that has disconnected: the attempt was waiting for a
 /// connection, and the full channel must not delay its cancellation. Also guards against work for clients
@@ -60,14 +60,14 @@
     let first = submit(&core, 0);
     let attempt = attempts.recv().await.unwrap();
     assert!(attempt.may_start());
-    let burst: Vec<PendingAnswer> = (1..=BURST).map(|number| submit(&core, number)).collect();
+    let burst: Vec<PendingAnswer> = (1..=BURST_SIZE).map(|number| submit(&core, number)).collect();
     drop(first);
     assert!(
         !attempt.may_start() && attempt.cancel.is_cancelled(),
         "the writer sees the cancellation at once"
     );
     drop(burst);
-    let last = submit_after_the_burst(&core);
+    let last = submit_after_burst(&core);
     let attempt = attempts.recv().await.unwrap();
     assert_eq!(
         &*attempt.node_request.client_request_id, "later",
@@ -83,7 +83,7 @@
 }
 
 /// Submits one more request once the channel has capacity.
-fn submit_after_the_burst(core: &CoreHandle) -> tokio::task::JoinHandle<()> {
+fn submit_after_burst(core: &CoreHandle) -> tokio::task::JoinHandle<()> {
     let mut request = read_request("0", 0);
     let node_request = NodeRequest { client_request_id: "later".into(), ..(*request.node_request).clone() };
     request.node_request = Arc::new(node_request);
--- a/crates/core/tests/draining_nodes.rs
+++ b/crates/core/tests/draining_nodes.rs
@@ -280,7 +280,10 @@
 async fn send_request(mut core: CoreHandle, request: ClientRequest, counts: Option<SharedCounts>) {
     let deadline = request.deadline;
     let answer = core.call(request).await.unwrap();
-    assert!(Instant::now() <= deadline + Duration::from_millis(10), "the answer came after the deadline");
+    assert!(
+        Instant::now() <= deadline + Duration::from_millis(10),
+        "the answer came more than 10 ms after the deadline"
+    );
     if let Some(counts) = counts {
         let counts = &mut *counts.lock().unwrap();
         counts.served += u32::from(matches!(answer, Answer::Served(_)));
--- a/crates/core/tests/endpoint_update_cost.rs
+++ b/crates/core/tests/endpoint_update_cost.rs
@@ -138,7 +138,8 @@
     assert!(ended.iter().all(|change| {
         (change.treatment, change.cause) == (NodeTreatment::InService, TreatmentCause::TimePassed)
     }));
-    // The policy's clock starts at the machine's time, which is slightly ahead of the paused clock.
+    // `started_at` is read from the machine's clock, which is slightly ahead of the policy's clock, as the
+    // latter advances with the paused time.
     let late = start.elapsed().saturating_sub(SLOW_START);
     assert!(late <= Duration::from_secs(2) && ended.len() == 100, "{late:?}, {}", ended.len());
     sleep(Duration::from_secs(60)).await;
