--- a/crates/core/src/actor/attempts.rs
+++ b/crates/core/src/actor/attempts.rs
@@ -24,29 +24,29 @@
     /// with [`AttemptEnd::NotSent`].
     pub(super) fn send_attempt(&mut self, request: RequestId, node: NodeId, timeout: Option<Micros>) {
         let now = Instant::now();
-        let Some(open) = self.requests.get_mut(request) else { return };
-        let key = AttemptKey { request, number: open.next_attempt_number(), node };
+        let Some(open_request) = self.requests.get_mut(request) else { return };
+        let key = AttemptKey { request, number: open_request.next_attempt_number(), node };
         let deployment = self.published.deployment();
-        let class = &deployment.settings.classes[usize::from(open.request.class.0)];
-        let deadline = open.attempt_deadline(now, timeout, class);
+        let class = &deployment.settings.classes[usize::from(open_request.request.class.0)];
+        let deadline = open_request.attempt_deadline(now, timeout, class);
         let target = self.nodes.get(node);
-        let in_flight = target.filter(|_| open.may_send(now, deadline)).and_then(|target| {
-            let attempt = new_attempt(key, open, target, now, deadline, &self.written_attempts);
+        let in_flight = target.filter(|_| open_request.may_send(now, deadline)).and_then(|target| {
+            let attempt = new_attempt(key, open_request, target, now, deadline, &self.written_attempts);
             try_send(attempt, target, now)
         });
         let sent = in_flight.is_some();
         if let Some(in_flight) = in_flight {
-            open.attempt_sent(in_flight);
+            open_request.attempt_sent(in_flight);
             self.counters.attempts_sent += 1;
         } else {
             self.counters.count_attempt_end(AttemptEnd::NotSent);
         }
         if let Some(target) = target {
-            let units = open.request.node_request.units;
+            let units = open_request.request.node_request.units;
             self.observer.observe_at(now, send_observation(request, target, units, sent));
         }
         if !sent {
-            let outcome = attempt_outcome(key, AttemptEnd::NotSent, open.is_answered(), 0);
+            let outcome = attempt_outcome(key, AttemptEnd::NotSent, open_request.is_answered(), 0);
             self.policy.enqueue(Event::AttemptEnded(outcome));
         }
     }
@@ -55,13 +55,13 @@
     /// policy.
     pub(super) fn attempt_ended(&mut self, attempt: EndedAttempt) {
         let EndedAttempt { request, number, node, end, reply } = attempt;
-        let Some(open) = self.requests.get_mut(request) else { return };
-        let Some(finished) = open.attempt_ended(number, end) else { return };
+        let Some(open_request) = self.requests.get_mut(request) else { return };
+        let Some(finished) = open_request.attempt_ended(number, end) else { return };
         let now = Instant::now();
         self.counters.count_attempt_end(end);
         self.observer.observe_at(now, Observation::AttemptEnded { request, node: &finished.node, end });
         if end == AttemptEnd::Served {
-            let reply = keep_id_while_streaming(reply, open);
+            let reply = keep_id_while_streaming(reply, open_request);
             self.answer_request(request, Some(Answer::Served(reply)));
         }
         let request_closed = self.requests.is_answered(request);
@@ -76,7 +76,7 @@
 
 fn new_attempt(
     key: AttemptKey,
-    open: &OpenRequest,
+    open_request: &OpenRequest,
     target: &Node,
     now: Instant,
     deadline: Instant,
@@ -87,10 +87,10 @@
         number: key.number,
         node: key.node,
         deadline,
-        connect_deadline: open.connect_deadline(now, deadline),
-        node_request: open.request.node_request.clone(),
+        connect_deadline: open_request.connect_deadline(now, deadline),
+        node_request: open_request.request.node_request.clone(),
         send_gate: target.send_gate.clone(),
-        cancel: open.cancel.clone(),
+        cancel: open_request.cancel.clone(),
         written_attempts: written_attempts.clone(),
         write_completion: WriteCompletion::default(),
     }
@@ -141,10 +141,10 @@
 
 /// Moves the guard of the client's request id into a streamed reply, so that the id stays reserved until
 /// the reply has been streamed.
-fn keep_id_while_streaming(reply: NodeReply, open: &mut OpenRequest) -> NodeReply {
+fn keep_id_while_streaming(reply: NodeReply, open_request: &mut OpenRequest) -> NodeReply {
     match reply {
         NodeReply::Streamed(reply) => {
-            let id_guard = open.id_guard.take().map(|guard| guard.start_streaming());
+            let id_guard = open_request.id_guard.take().map(|guard| guard.start_streaming());
             NodeReply::Streamed(StreamedReply { _id_guard: id_guard, ..reply })
         }
         NodeReply::Buffered(body) => NodeReply::Buffered(body),
--- a/crates/core/src/actor/decisions.rs
+++ b/crates/core/src/actor/decisions.rs
@@ -59,9 +59,9 @@
     }
 
     fn fail_request(&mut self, request: RequestId) {
-        let Some(open) = self.requests.get(request) else { return };
-        let possibly_executed = open.is_possibly_executed();
-        let deadline_passed = Instant::now() + DEADLINE_TOLERANCE >= open.request.deadline;
+        let Some(open_request) = self.requests.get(request) else { return };
+        let possibly_executed = open_request.is_possibly_executed();
+        let deadline_passed = Instant::now() + DEADLINE_TOLERANCE >= open_request.request.deadline;
         self.answer_request(request, Some(Answer::Failed { possibly_executed, deadline_passed }));
     }
 }
--- a/crates/core/src/actor/open_requests.rs
+++ b/crates/core/src/actor/open_requests.rs
@@ -106,9 +106,8 @@
     /// Returns whether a node may have executed it, or may be executing it. An attempt that still waits for
     /// a connection, or is not written completely, cannot be executed.
     pub(super) fn is_possibly_executed(&self) -> bool {
-        let is_in_execution =
-            self.in_flight.as_ref().is_some_and(|attempt| attempt.write_completion.is_set());
-        self.first_possible_execution.is_some() || is_in_execution
+        let is_executing = self.in_flight.as_ref().is_some_and(|attempt| attempt.write_completion.is_set());
+        self.first_possible_execution.is_some() || is_executing
     }
 
     /// Counts one more attempt and returns its number.
@@ -211,9 +210,9 @@
         self.shutdown_deadline.is_some()
     }
 
-    pub(super) fn insert(&mut self, id: RequestId, open: OpenRequest) {
-        self.overdue_schedule.insert((open.overdue_at(), id));
-        self.by_id.insert(id, open);
+    pub(super) fn insert(&mut self, id: RequestId, open_request: OpenRequest) {
+        self.overdue_schedule.insert((open_request.overdue_at(), id));
+        self.by_id.insert(id, open_request);
     }
 
     pub(super) fn get(&self, id: RequestId) -> Option<&OpenRequest> {
@@ -233,18 +232,18 @@
     /// an attempt is still expected, and returns what is needed to answer it. Returns `None` if it was
     /// answered before.
     pub(super) fn take_for_answer(&mut self, id: RequestId) -> Option<AnsweredRequest> {
-        let open = self.by_id.get_mut(&id)?;
-        let reply = open.reply.take()?;
-        open.cancel.cancel();
+        let open_request = self.by_id.get_mut(&id)?;
+        let reply = open_request.reply.take()?;
+        open_request.cancel.cancel();
         let answered = AnsweredRequest {
-            class: open.request.class,
-            received_at: open.received_at,
+            class: open_request.request.class,
+            received_at: open_request.received_at,
             reply,
-            attempts: open.attempts,
-            last_attempt_end: open.last_attempt_end,
+            attempts: open_request.attempts,
+            last_attempt_end: open_request.last_attempt_end,
         };
-        self.overdue_schedule.remove(&(open.overdue_at(), id));
-        if open.in_flight.is_none() {
+        self.overdue_schedule.remove(&(open_request.overdue_at(), id));
+        if open_request.in_flight.is_none() {
             self.by_id.remove(&id);
         }
         Some(answered)
@@ -286,9 +285,9 @@
         // `deadline` allows.
         for (_, id) in self.overdue_schedule.split_off(&first_too_late) {
             // Each request in the schedule is also in the table.
-            if let Some(open) = self.by_id.get_mut(&id) {
-                open.request.deadline = deadline;
-                self.overdue_schedule.insert((open.overdue_at(), id));
+            if let Some(open_request) = self.by_id.get_mut(&id) {
+                open_request.request.deadline = deadline;
+                self.overdue_schedule.insert((open_request.overdue_at(), id));
             }
         }
     }
