--- a/crates/event-recorder/src/lib.rs
+++ b/crates/event-recorder/src/lib.rs
@@ -29,7 +29,7 @@
 /// The largest number of nodes in one event of an endpoint update: with ids of 128 bytes, this many fit
 /// into a frame.
 const ENDPOINTS_PER_EVENT: usize = 256;
-/// How often both clocks are read at most to get a reading without an interruption between the two.
+/// The largest number of times that both clocks are read to get a reading that was not interrupted.
 const MAX_CLOCK_READS: usize = 4;
 /// A reading of both clocks counts as uninterrupted if it took less than this, which is well below the 1 ms
 /// resolution of reports.
@@ -148,7 +148,7 @@
     }
 
     /// Sends the counts of the current second if it has passed.
-    fn send_second_if_over(&mut self, monotonic: Micros) {
+    fn send_second_if_passed(&mut self, monotonic: Micros) {
         if self.current_second.has_passed(monotonic) {
             self.send_second(monotonic);
         }
@@ -288,7 +288,7 @@
 impl Observer for Recorder {
     fn observe(&mut self, at: Instant, observation: Observation<'_>) {
         let monotonic = self.monotonic_micros(at);
-        self.send_second_if_over(monotonic);
+        self.send_second_if_passed(monotonic);
         match observation {
             Observation::TimePassed => {}
             Observation::EndpointsUpdated { revision, kind, endpoints } => {
