--- a/crates/core/tests/draining_nodes.rs
+++ b/crates/core/tests/draining_nodes.rs
@@ -110,17 +110,18 @@
 
 impl Conditions {
     fn draw(rng: &mut Rng, schedule_start: Instant) -> Self {
-        let ms = Duration::from_millis;
-        let start = schedule_start + ms(if rng.bool() { 0 } else { rng.u64(0..6_000) });
-        let moved_at = (rng.u32(0..4) == 0).then(|| start + ms(rng.u64(2_000..8_000)));
+        let millis = Duration::from_millis;
+        let start = schedule_start + millis(if rng.bool() { 0 } else { rng.u64(0..6_000) });
+        let moved_at = (rng.u32(0..4) == 0).then(|| start + millis(rng.u64(2_000..8_000)));
         let outage_start =
-            moved_at.unwrap_or(start + ms(if rng.u32(0..4) == 0 { 0 } else { rng.u64(0..12_000) }));
+            moved_at.unwrap_or(start + millis(if rng.u32(0..4) == 0 { 0 } else { rng.u64(0..12_000) }));
         let length = if rng.u32(0..3) == 0 { rng.u64(0..14_000) } else { 0 };
         let outage = [Outage::DiscoveryDown, Outage::WatchBroken, Outage::AgentDown][rng.usize(0..3)];
-        let length = if outage == Outage::WatchBroken { ms(length).min(WATCH_TIMEOUT) } else { ms(length) };
+        let length =
+            if outage == Outage::WatchBroken { millis(length).min(WATCH_TIMEOUT) } else { millis(length) };
         Self {
             start,
-            agent_delay: ms(rng.u64(0..2_000)),
+            agent_delay: millis(rng.u64(0..2_000)),
             outage,
             outage_start,
             outage_end: outage_start + length,
