--- a/crates/event-recorder/src/second.rs
+++ b/crates/event-recorder/src/second.rs
@@ -1,4 +1,4 @@
-//! Counts of requests and attempts within the present second.
+//! Counts of requests and attempts within the current second.
 
 use hdrhistogram::serialization::{Serializer, V2Serializer};
 use hdrhistogram::Histogram;
@@ -7,21 +7,22 @@
     ATTEMPT_END_NAMES, FAILURE_REASON_NAMES, SHED_REASON_NAMES,
 };
 
-/// The length of a second; the last one of a run is shorter.
+/// Length of the interval that counts cover, in microseconds; the last interval of a run is shorter.
 const SECOND: Micros = 1_000_000;
-/// The highest latency that a histogram distinguishes; higher ones count as this.
+/// The highest latency of a histogram; higher latencies count as this one.
 const MAX_LATENCY: Micros = 120_000_000;
-/// Significant decimal digits of a latency in a histogram.
+/// Number of significant decimal digits of a latency in a histogram.
 const LATENCY_DIGITS: u8 = 2;
-/// Nodes that are counted at a time; attempts at further nodes are not counted until the next second.
-const MAX_NODES: usize = 1024;
+/// The largest number of nodes that are counted at a time; attempts at further nodes are not counted until
+/// the next second.
+const MAX_COUNTED_NODES: usize = 1024;
 
-/// Counts by class and by node.
+/// Counts of the current second, by class and by node.
 #[derive(Debug, Default)]
-pub struct Second {
-    /// When the second began, on the monotonic clock.
+pub struct SecondCounts {
+    /// When the second began, in microseconds on the recorder's monotonic clock.
     start: Micros,
-    /// The latency objectives of the classes, by index.
+    /// Latency objectives of the classes, by class index.
     pub latency_objectives: Vec<Micros>,
     classes: Vec<ClassCounts>,
     /// Sorted by id.
@@ -31,7 +32,7 @@
 #[derive(Debug, Default)]
 struct ClassCounts {
     counts: ClassSecond,
-    /// Of served requests; created with the first one.
+    /// Latencies of served requests; created with the first one.
     latencies: Option<Histogram<u32>>,
 }
 
@@ -39,18 +40,18 @@
 struct NodeCounts {
     id: Box<str>,
     counts: NodeSecond,
-    /// Attempts in flight now.
+    /// Number of attempts in flight now.
     in_flight: u32,
 }
 
-impl Second {
-    /// Whether the second has passed.
-    pub fn over(&self, now: Micros) -> bool {
+impl SecondCounts {
+    /// Returns whether the second has passed at `now`.
+    pub fn has_passed(&self, now: Micros) -> bool {
         now.saturating_sub(self.start) >= SECOND
     }
 
-    /// The counts of a class.
-    pub fn class(&mut self, class: u16) -> &mut ClassSecond {
+    /// Returns the counts of a class.
+    pub fn class_second(&mut self, class: u16) -> &mut ClassSecond {
         &mut self.class_counts(class).counts
     }
 
@@ -63,7 +64,7 @@
     }
 
     /// Counts the end of a request.
-    pub fn answered(&mut self, class: u16, outcome: RequestOutcome, latency: Micros) {
+    pub fn count_request_end(&mut self, class: u16, outcome: RequestOutcome, latency: Micros) {
         let objective = self.latency_objectives.get(usize::from(class)).copied().unwrap_or(Micros::MAX);
         let ClassCounts { counts, latencies } = self.class_counts(class);
         match outcome {
@@ -84,8 +85,9 @@
         }
     }
 
-    /// Counts an attempt that was sent to a node.
-    pub fn sent(&mut self, node: &str, slow_start_units: u32) {
+    /// Counts an attempt that was sent to a node, and the units that it takes from the node's limit in slow
+    /// start.
+    pub fn count_attempt_sent(&mut self, node: &str, slow_start_units: u32) {
         if let Some(NodeCounts { counts, in_flight, .. }) = self.node_counts(node) {
             *in_flight += 1;
             counts.sent += 1;
@@ -95,7 +97,7 @@
     }
 
     /// Counts the end of an attempt that was sent to a node.
-    pub fn ended(&mut self, node: &str, end: AttemptEnd) {
+    pub fn count_attempt_end(&mut self, node: &str, end: AttemptEnd) {
         if let Some(NodeCounts { counts, in_flight, .. }) = self.node_counts(node) {
             counts.attempt_ends[attempt_end_index(end)] += 1;
             *in_flight = in_flight.saturating_sub(1);
@@ -103,7 +105,7 @@
     }
 
     /// Counts an attempt that could not be sent to a node.
-    pub fn not_sent(&mut self, node: &str) {
+    pub fn count_attempt_not_sent(&mut self, node: &str) {
         if let Some(NodeCounts { counts, .. }) = self.node_counts(node) {
             counts.attempt_ends[attempt_end_index(AttemptEnd::NotSent)] += 1;
         }
@@ -112,7 +114,7 @@
     fn node_counts(&mut self, node: &str) -> Option<&mut NodeCounts> {
         let index = match self.nodes.binary_search_by(|known| (*known.id).cmp(node)) {
             Ok(index) => index,
-            Err(_) if self.nodes.len() >= MAX_NODES => return None,
+            Err(_) if self.nodes.len() >= MAX_COUNTED_NODES => return None,
             Err(index) => {
                 let new = NodeCounts { id: node.into(), counts: NodeSecond::default(), in_flight: 0 };
                 self.nodes.insert(index, new);
@@ -122,12 +124,12 @@
         Some(&mut self.nodes[index])
     }
 
-    /// Ends the second, returns its counts, and begins the next one. There is at least one event, which shows
-    /// that the scheduler is running.
+    /// Ends the second, returns its counts as events, and begins the next one. At least one event is
+    /// returned, to show that the scheduler is running.
     pub fn close(&mut self, now: Micros) -> Vec<Event> {
         let (start, elapsed) = (self.start, now.saturating_sub(self.start));
-        // The clock is checked before every event, so that all counts belong to the first second of the
-        // elapsed time. The next one begins at a whole second.
+        // The clock is checked before every observation, so all counts belong to the first second of the
+        // elapsed time. The next interval begins at a whole second.
         let duration = elapsed.min(SECOND);
         self.start += elapsed - elapsed % SECOND;
         let mut events = self.close_classes(start, duration);
@@ -159,8 +161,8 @@
     fn close_nodes(&mut self, start: Micros, duration: Micros) -> Vec<Event> {
         let mut events = Vec::new();
         for NodeCounts { id, counts, in_flight } in &mut self.nodes {
-            let unchanged = NodeSecond { max_in_flight: 0, ..counts.clone() } == NodeSecond::default();
-            if !unchanged || *in_flight > 0 {
+            let is_empty = NodeSecond { max_in_flight: 0, ..counts.clone() } == NodeSecond::default();
+            if !is_empty || *in_flight > 0 {
                 let (node, counts) = (id.to_string(), std::mem::take(counts));
                 events.push(Event::NodeSecond(NodeSecond { start, duration, node, ..counts }));
             }
