--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -4,7 +4,7 @@
 
 use heathward_load_sources::Rules;
 use heathward_policy::settings::{ConfigError, Deployment};
-use heathward_transport::nvme::Map;
+use heathward_transport::nvme::NvmeMap;
 use miniserde::json::{self, Value};
 
 use crate::configuration::parse_configuration;
@@ -71,7 +71,7 @@
         FileKind::Configuration => parse_configuration(&text).map(drop)?,
         FileKind::NvmeMap => {
             let no_configuration = || ConfigError::missing("a configuration that the NVMe map goes with");
-            Map::parse(&text, deployment.ok_or_else(no_configuration)?).map(drop)?;
+            NvmeMap::parse(&text, deployment.ok_or_else(no_configuration)?).map(drop)?;
         }
         FileKind::Rules => match deployment {
             Some(deployment) => Rules::parse(&text, deployment.clone().into()).map(drop)?,
--- a/crates/config/src/configuration.rs
+++ b/crates/config/src/configuration.rs
@@ -7,7 +7,7 @@
 use heathward_policy::settings::{ConfigError, Deployment, JsonSource, SettingsSource};
 use heathward_policy::EndpointUpdateKind;
 use heathward_transport::discovery;
-use heathward_transport::nvme::Map;
+use heathward_transport::nvme::NvmeMap;
 use miniserde::json::{self, Value};
 
 use crate::operator::OperatorSettings;
@@ -37,7 +37,7 @@
     /// The settings of the decision module, and the names of classes and plans.
     pub deployment: Deployment,
     /// The map of the NVMe front, if that front is on.
-    pub nvme_map: Option<Map>,
+    pub nvme_map: Option<NvmeMap>,
     /// The operator file's settings; the defaults if there is no such file.
     pub operator_settings: OperatorSettings,
     /// A load source to be listed in place of serving.
--- a/crates/config/src/files.rs
+++ b/crates/config/src/files.rs
@@ -5,7 +5,7 @@
 
 use heathward_load_sources::Rules;
 use heathward_policy::settings::ConfigError;
-use heathward_transport::nvme::Map;
+use heathward_transport::nvme::NvmeMap;
 
 use crate::configuration::{parse_configuration, Config, LoadListing, LoadSource};
 use crate::jsonnet::current_executable;
@@ -44,7 +44,7 @@
         if config.nvme_map.is_some() {
             return Err(ConfigError::invalid("--nvme", "set in the operator file too"));
         }
-        config.nvme_map = Some(Map::parse(&read_text_file("--nvme", path)?, &config.deployment)?);
+        config.nvme_map = Some(NvmeMap::parse(&read_text_file("--nvme", path)?, &config.deployment)?);
     }
     config.load_listing = read_load_listing(files, &config)?;
     Ok(config)
--- a/crates/config/src/operator.rs
+++ b/crates/config/src/operator.rs
@@ -8,7 +8,7 @@
 use heathward_event_recorder::{Clock, Settings};
 use heathward_logs::{Filter, Format};
 use heathward_policy::settings::{ConfigError, Deployment, JsonSource, SettingsSource};
-use heathward_transport::nvme::Map;
+use heathward_transport::nvme::NvmeMap;
 use miniserde::json::{self, Value};
 
 use crate::jsonnet;
@@ -46,7 +46,7 @@
     /// The log.
     pub log: LogSettings,
     /// The map of the NVMe front, if that front is on.
-    pub nvme_map: Option<Map>,
+    pub nvme_map: Option<NvmeMap>,
     /// The event recorder, if it is on.
     pub recorder: Option<Settings>,
 }
@@ -115,10 +115,10 @@
     ConfigError { field: path.to_owned(), reason: reason.into() }
 }
 
-fn nvme_map(map: &Value, deployment: Option<&Deployment>) -> Result<Map, ConfigError> {
+fn nvme_map(map: &Value, deployment: Option<&Deployment>) -> Result<NvmeMap, ConfigError> {
     let no_configuration = || ConfigError::missing("a configuration that the section nvme goes with");
     let in_section = |error: ConfigError| ConfigError { field: format!("nvme.{}", error.field), ..error };
-    Map::parse(&json::to_string(map), deployment.ok_or_else(no_configuration)?).map_err(in_section)
+    NvmeMap::parse(&json::to_string(map), deployment.ok_or_else(no_configuration)?).map_err(in_section)
 }
 
 fn recorder(source: &JsonSource<'_>, section: &Value) -> Result<Settings, ConfigError> {
--- a/crates/scheduler/src/core_start.rs
+++ b/crates/scheduler/src/core_start.rs
@@ -5,8 +5,8 @@
 
 use heathward_core::{self as core, CoreHandle, CoreMessage, Endpoint};
 use heathward_policy::settings::Deployment;
-use heathward_transport::node::{self, HttpLink, Pool};
-use heathward_transport::nvme::{Map, NvmeLink, Target};
+use heathward_transport::node::{self, ConnectionPool, HttpLink};
+use heathward_transport::nvme::{NvmeLink, NvmeMap, Target};
 use tokio::sync::mpsc;
 
 /// Starts the core. It connects to each node of the endpoint list by NVMe/TCP if the NVMe map names the
@@ -17,8 +17,8 @@
 pub fn start(
     deployment: Arc<Deployment>,
     seed: u64,
-    pool: Pool,
-    nvme_map: Option<Arc<Map>>,
+    pool: ConnectionPool,
+    nvme_map: Option<Arc<NvmeMap>>,
 ) -> io::Result<CoreHandle> {
     let connect = move |endpoint: &Endpoint, core: mpsc::Sender<CoreMessage>| {
         let target = nvme_map.as_ref().and_then(|map| Some((map, nvme_target(map, endpoint)?)));
@@ -34,6 +34,6 @@
 }
 
 /// The map's entry for a storage node, if it is an NVMe target.
-fn nvme_target<'a>(map: &'a Map, endpoint: &Endpoint) -> Option<&'a Target> {
+fn nvme_target<'a>(map: &'a NvmeMap, endpoint: &Endpoint) -> Option<&'a Target> {
     map.targets.iter().find(|target| *target.node == *endpoint.id)
 }
--- a/crates/scheduler/src/descriptor_budget.rs
+++ b/crates/scheduler/src/descriptor_budget.rs
@@ -5,8 +5,8 @@
 //! process of the same scheduler runs, both count against the same limit and each takes less.
 
 use heathward_policy::settings::Deployment;
-use heathward_transport::http::closing_places;
-use heathward_transport::node::Limits;
+use heathward_transport::http::closing_capacity;
+use heathward_transport::node::PoolLimits;
 
 /// The fewest connections to storage nodes that may stand idle at a node.
 const MIN_IDLE_PER_NODE: usize = 2;
@@ -37,16 +37,16 @@
     /// The limits of the connections to storage nodes: 3/8 of the descriptors, or 5/32 while a peer process
     /// runs, so that both together stay below that. Idle connections are limited per node, so that many
     /// nodes do not keep the others from being reached.
-    pub fn node_limits(&self, deployment: &Deployment) -> Limits {
+    pub fn node_limits(&self, deployment: &Deployment) -> PoolLimits {
         let total = self.max_descriptors;
         let open = if self.peer_running { total * 5 / 32 } else { total * 3 / 8 };
-        Limits::new(deployment, open, (total / 48).max(MIN_IDLE_PER_NODE))
+        PoolLimits::new(deployment, open, (total / 48).max(MIN_IDLE_PER_NODE))
     }
 
     /// The limits of client connections: half of the descriptors, or 3/8 while a peer process runs, less
     /// those that the front needs for connections that it is closing.
     pub fn client_limits(&self) -> ClientConnectionLimits {
-        let without_closing = |share: usize| share - closing_places(share).min(share / 2);
+        let without_closing = |share: usize| share - closing_capacity(share).min(share / 2);
         let alone = self.max_descriptors / 2;
         let current = if self.peer_running { self.max_descriptors * 3 / 8 } else { alone };
         ClientConnectionLimits { capacity: without_closing(alone), current: without_closing(current) }
--- a/crates/scheduler/src/server.rs
+++ b/crates/scheduler/src/server.rs
@@ -10,7 +10,7 @@
 use heathward_logs::Logs;
 use heathward_policy::settings::ConfigError;
 use heathward_transport::discovery::DiscoveryAddress;
-use heathward_transport::node::Limits;
+use heathward_transport::node::PoolLimits;
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 use tokio::time::Instant;
@@ -32,7 +32,7 @@
     /// The process's file descriptors.
     pub descriptors: DescriptorBudget,
     /// The limits of connections to storage nodes, which the connection pool follows.
-    pub node_limits: watch::Sender<Limits>,
+    pub node_limits: watch::Sender<PoolLimits>,
     /// The address of discovery, which the watch of the endpoint list follows.
     pub discovery_address: watch::Sender<DiscoveryAddress>,
     /// The files that the command line names, to be read again.
--- a/crates/scheduler/src/startup.rs
+++ b/crates/scheduler/src/startup.rs
@@ -14,8 +14,8 @@
 use heathward_transport::backoff::ReconnectPolicy;
 use heathward_transport::discovery::DiscoveryAddress;
 use heathward_transport::handover::ReceivedHandover;
-use heathward_transport::node::Pool;
-use heathward_transport::nvme::{Map, Subsystem};
+use heathward_transport::node::ConnectionPool;
+use heathward_transport::nvme::{NvmeMap, Subsystem};
 use heathward_transport::{admin, discovery};
 use tokio::net::TcpListener;
 use tokio::sync::watch;
@@ -48,7 +48,7 @@
     let descriptors = DescriptorBudget { max_descriptors, peer_running: received.is_some() };
     let (node_limits, pool_limits) = watch::channel(descriptors.node_limits(&deployment));
     let nvme_map = config.nvme_map.map(Arc::new);
-    let core = core_start::start(deployment, seed, Pool::new(pool_limits), nvme_map.clone())?;
+    let core = core_start::start(deployment, seed, ConnectionPool::new(pool_limits), nvme_map.clone())?;
     // The watch begins with what changed after the newer of the two lists.
     let inherited_revision = received.as_ref().map_or(0, |received| received.state.endpoint_list.revision);
     let revision = inherited_revision.max(cached_endpoints.revision);
@@ -89,7 +89,7 @@
 
 /// Opens the NVMe front's socket, or inherits it. No connections are accepted yet.
 fn open_nvme_front(
-    map: Arc<Map>,
+    map: Arc<NvmeMap>,
     inherited: &mut Vec<OwnedFd>,
     core: CoreHandle,
     seed: u64,
--- a/crates/scheduler/tests/net/admin_interface.rs
+++ b/crates/scheduler/tests/net/admin_interface.rs
@@ -2,7 +2,7 @@
 
 use heathward_core::{CoreMessage, SendGate};
 use heathward_policy::AttemptEnd;
-use heathward_transport::node::{HttpLink, Job};
+use heathward_transport::node::{HttpLink, LinkRequest};
 use heathward_transport::{admin, discovery};
 use rstest::rstest;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -155,7 +155,8 @@
     gate.set_closed(out);
     let attempt = attempt(gate, by);
     let tries = attempt.written_attempts.clone();
-    let Ok(done) = HttpLink::new(node).call(Job { attempt, idle: None, connect_by: by }).await;
+    let Ok(done) =
+        HttpLink::new(node).call(LinkRequest { attempt, idle_connection: None, dial_deadline: by }).await;
     assert_eq!((done.end, log.all().len(), tries.total()), (end, seen, seen as u64));
 }
 
--- a/crates/scheduler/tests/net/client_disconnect.rs
+++ b/crates/scheduler/tests/net/client_disconnect.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use heathward_fakes::nvme::{capsule, read_of, Host, FRONT, NONE, SMALL};
 use heathward_fakes::*;
-use heathward_transport::nvme::{serve, Body, Map, Subsystem};
+use heathward_transport::nvme::{serve, Body, NvmeMap, Subsystem};
 use rstest::rstest;
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
@@ -231,7 +231,7 @@
             "stripe":256,"shards":[0]}}]}}"#
     );
     let deployment = heathward_config::parse_configuration(&patient_config(node)).unwrap().deployment;
-    let map = Arc::new(Map::parse(&map, &deployment).unwrap());
+    let map = Arc::new(NvmeMap::parse(&map, &deployment).unwrap());
     let subsystem = Subsystem::new(map, rig.core.clone(), 1);
     let (listener, address) = listen().await;
     let (stop, stopping) = watch::channel(false);
--- a/crates/scheduler/tests/net/connection_close.rs
+++ b/crates/scheduler/tests/net/connection_close.rs
@@ -98,7 +98,7 @@
     assert_eq!(answer(&mut stream).await.0, 200);
     // Nobody else has a turn from here to the newcomer.
     stream.try_write(crosses.as_bytes()).unwrap();
-    let newcomer = table.enter(Instant::now() + Duration::from_secs(5));
+    let newcomer = table.admit(Instant::now() + Duration::from_secs(5));
     assert!(newcomer.is_some(), "the idle one makes way");
     let mut came = Vec::new();
     let ended = timeout(PATIENCE, stream.read_to_end(&mut came)).await.expect("an end");
--- a/crates/scheduler/tests/net/disconnect_while_connecting.rs
+++ b/crates/scheduler/tests/net/disconnect_while_connecting.rs
@@ -2,7 +2,7 @@
 
 use heathward_core::SendGate;
 use heathward_policy::AttemptEnd;
-use heathward_transport::node::{HttpLink, Job};
+use heathward_transport::node::{HttpLink, LinkRequest};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
@@ -19,14 +19,17 @@
     let by = Instant::now() + PATIENCE * 10;
     let attempt = attempt(SendGate::default(), by);
     let cancel = attempt.cancel.clone();
-    let dialling =
-        tokio::spawn(HttpLink::new(node.address).call(Job { attempt, idle: None, connect_by: by }));
+    let dialling = tokio::spawn(HttpLink::new(node.address).call(LinkRequest {
+        attempt,
+        idle_connection: None,
+        dial_deadline: by,
+    }));
     tokio::task::yield_now().await;
     assert!(!dialling.is_finished());
     cancel.cancel();
     let Ok(done) = timeout(PATIENCE, dialling).await.expect("at once").unwrap();
     assert_eq!(done.end, AttemptEnd::NotSent);
-    assert!(done.idle.is_none());
+    assert!(done.idle_connection.is_none());
 }
 
 /// Reads on each connection that comes up what there is, and answers a request; tells of each that came.
--- a/crates/scheduler/tests/net/nvme.rs
+++ b/crates/scheduler/tests/net/nvme.rs
@@ -7,7 +7,9 @@
 use bytes::Bytes;
 use heathward_core::AnswerCounts;
 use heathward_policy::AttemptEnd;
-use heathward_transport::nvme::{serve, Blocks, Body, Fatal, Map, Pdu, Sgl, Status, Subsystem, Wire};
+use heathward_transport::nvme::{
+    serve, BlockRange, Body, FatalError, NvmeMap, Pdu, PduStream, Sgl, Status, Subsystem,
+};
 use rstest::rstest;
 use tokio::net::TcpStream;
 use tokio::sync::watch;
@@ -56,7 +58,7 @@
         member("s2", nobody, 2, "in_service", 0),
     ];
     let deployment = heathward_config::parse_configuration(&config_text("127.0.0.1:1", "127.0.0.1:1", ""));
-    let map = Arc::new(Map::parse(&map(), &deployment.unwrap().deployment).unwrap());
+    let map = Arc::new(NvmeMap::parse(&map(), &deployment.unwrap().deployment).unwrap());
     let rig = rig(&members, Some(map.clone())).await;
     let subsystem = Subsystem::new(map, rig.core.clone(), 1);
     let (listener, address) = listen().await;
@@ -66,7 +68,7 @@
 }
 
 /// A write of one block.
-const WRITE: Body = Body::Write(Blocks { nsid: 1, first: 0, count: 1 });
+const WRITE: Body = Body::Write(BlockRange { nsid: 1, first: 0, count: 1 });
 
 #[tokio::test]
 async fn a_host_discovers_its_namespaces_and_reads_and_writes_on_both_kinds_of_node() {
@@ -113,8 +115,8 @@
 /// a repeat of what may have run, and against "interrupted" for a write that may have run.
 #[rstest]
 #[case::error_read(Does::Error, SMALL, false, AttemptEnd::Error, 3, Status::INTERRUPTED)]
-#[case::error_write(Does::Error, SMALL, true, AttemptEnd::Error, 3, Status::INTERNAL.last())]
-#[case::error_large(Does::Error, LARGE, true, AttemptEnd::Error, 3, Status::INTERNAL.last())]
+#[case::error_write(Does::Error, SMALL, true, AttemptEnd::Error, 3, Status::INTERNAL.without_retry())]
+#[case::error_large(Does::Error, LARGE, true, AttemptEnd::Error, 3, Status::INTERNAL.without_retry())]
 #[case::full(Does::Reject, SMALL, true, AttemptEnd::Rejected, 1, Status::INTERRUPTED)]
 #[case::spoilt_read(Does::Say("no sense\r\n\r\n"), SMALL, false, AttemptEnd::Error, 3, Status::INTERRUPTED)]
 #[case::spoilt_write(
@@ -123,10 +125,10 @@
     true,
     AttemptEnd::Error,
     3,
-    Status::INTERNAL.last(),
+    Status::INTERNAL.without_retry(),
 )]
 #[case::reset_read(Does::Reset, SMALL, false, AttemptEnd::Reset, 3, Status::INTERRUPTED)]
-#[case::reset_write(Does::Reset, LARGE, true, AttemptEnd::Reset, 3, Status::INTERNAL.last())]
+#[case::reset_write(Does::Reset, LARGE, true, AttemptEnd::Reset, 3, Status::INTERNAL.without_retry())]
 #[tokio::test]
 async fn the_end_of_an_attempt_decides_the_command_status(
     #[case] does: Does,
@@ -144,8 +146,8 @@
     } else {
         host.read(1, first, size).await.0.status
     };
-    assert_eq!(Status { delay: 0, ..status }, ends);
-    assert_eq!(status.delay > 0, ends == Status::INTERRUPTED, "a hint when to come again");
+    assert_eq!(Status { retry_delay: 0, ..status }, ends);
+    assert_eq!(status.retry_delay > 0, ends == Status::INTERRUPTED, "a hint when to come again");
     let counters = mixed.rig.counters().await;
     assert!(counters.attempts_ended(end) == tries && counters.attempts_sent == tries, "{counters}");
     let seen = mixed.log.all();
@@ -159,8 +161,8 @@
 /// ran; after the last byte it may have.
 #[rstest]
 #[case::before_its_data(Does::HangUp, LARGE, AttemptEnd::NotConnected, Status::INTERRUPTED)]
-#[case::after_its_data(Does::Reset, LARGE, AttemptEnd::Reset, Status::INTERNAL.last())]
-#[case::after_a_whole_capsule(Does::HangUp, SMALL, AttemptEnd::Reset, Status::INTERNAL.last())]
+#[case::after_its_data(Does::Reset, LARGE, AttemptEnd::Reset, Status::INTERNAL.without_retry())]
+#[case::after_a_whole_capsule(Does::HangUp, SMALL, AttemptEnd::Reset, Status::INTERNAL.without_retry())]
 #[tokio::test]
 async fn a_target_closes_a_queue_mid_command(
     #[case] does: Does,
@@ -171,7 +173,7 @@
     let mixed = mixed(&[does], 0).await;
     let mut host = Host::connect(mixed.address).await;
     let status = host.write(1, 256, vec![7; size]).await;
-    assert_eq!(Status { delay: 0, ..status }, ends);
+    assert_eq!(Status { retry_delay: 0, ..status }, ends);
     let counters = mixed.rig.counters().await;
     // A reset is repeated, as an error is.
     assert_eq!(counters.attempts_ended(end), if end == AttemptEnd::Reset { 3 } else { 1 }, "{counters}");
@@ -196,7 +198,7 @@
     let mut host = Host::connect(mixed.address).await;
     let status = host.write(2, 0, vec![7; SMALL]).await;
     assert!(
-        status == Status { delay: status.delay, ..Status::INTERRUPTED } && status.delay > 0,
+        status == Status { retry_delay: status.retry_delay, ..Status::INTERRUPTED } && status.retry_delay > 0,
         "{status:?}"
     );
 }
@@ -209,7 +211,7 @@
 #[case::overflow(read_of(1, u64::MAX, SMALL).0, Sgl::Transport { length: 512 }, Status::LBA_RANGE)]
 #[case::too_long(read_of(1, 0, 1 << 17).0, Sgl::Transport { length: 1 << 17 }, Status::INVALID_FIELD)]
 #[case::length(read_of(1, 0, SMALL).0, Sgl::Transport { length: 511 }, Status::SGL_LENGTH)]
-#[case::kind(read_of(1, 0, SMALL).0, Sgl::Other(0x30), Status::SGL_KIND)]
+#[case::kind(read_of(1, 0, SMALL).0, Sgl::Other(0x30), Status::SGL_TYPE)]
 #[case::offset(WRITE, Sgl::InCapsule { offset: 8, length: 512 }, Status::SGL_OFFSET)]
 #[case::no_data(WRITE, Sgl::InCapsule { offset: 0, length: 512 }, Status::SGL_LENGTH)]
 #[case::second_connect(connect(1, 1, 0).0, NONE, Status::SEQUENCE)]
@@ -309,7 +311,7 @@
     assert!(timeout(PATIENCE, idle.io.next()).await.expect("in time").is_err());
     assert_eq!(mixed.rig.counters().await.total_answers().shed, 0, "the other still waits");
     let status = finish(&mut busy.io, 3, Bytes::new()).await.0.status;
-    assert_eq!(Status { delay: 0, ..status }, Status::INTERRUPTED);
+    assert_eq!(Status { retry_delay: 0, ..status }, Status::INTERRUPTED);
     for queue in [&mut busy.io, &mut busy.admin, &mut idle.admin] {
         assert!(timeout(PATIENCE, queue.next()).await.expect("in time").is_err());
     }
@@ -329,26 +331,26 @@
     let Pdu::TermReq { fatal, .. } = next_pdu(&mut host.io).await else { panic!("no reason") };
     assert_eq!(
         (fatal, mixed.rig.until(|c| c.malformed_requests == 1).await.requests_received),
-        (Fatal::SEQUENCE, 0)
+        (FatalError::SEQUENCE, 0)
     );
 }
 
 /// Malformed PDUs end the connection with the reason; the front goes on for others.
 #[rstest]
-#[case::no_ic(true, vec![4, 0, 72, 0, 72, 0, 0, 0], 72, Fatal::SEQUENCE)]
-#[case::version(true, vec![0, 0, 128, 0, 128, 0, 0, 0, 9], 128, Fatal::parameter(8))]
-#[case::alignment(true, vec![0, 0, 128, 0, 128, 0, 0, 0, 0, 0, 32], 128, Fatal::header(10))]
-#[case::kind(false, vec![0x55, 0, 8, 0, 8, 0, 0, 0], 8, Fatal::header(0))]
-#[case::second_ic(false, vec![0, 0, 128, 0, 128, 0, 0, 0], 128, Fatal::SEQUENCE)]
-#[case::length(false, vec![4, 0, 72, 0, 0, 0, 0, 255], 8, Fatal::header(4))]
-#[case::stray_data(false, vec![6, 4, 24, 0, 24, 0, 0, 0, 1], 24, Fatal::header(8))]
-#[case::from_the_wrong_side(false, vec![5, 0, 24, 0, 24, 0, 0, 0], 24, Fatal::SEQUENCE)]
+#[case::no_ic(true, vec![4, 0, 72, 0, 72, 0, 0, 0], 72, FatalError::SEQUENCE)]
+#[case::version(true, vec![0, 0, 128, 0, 128, 0, 0, 0, 9], 128, FatalError::parameter(8))]
+#[case::alignment(true, vec![0, 0, 128, 0, 128, 0, 0, 0, 0, 0, 32], 128, FatalError::header(10))]
+#[case::kind(false, vec![0x55, 0, 8, 0, 8, 0, 0, 0], 8, FatalError::header(0))]
+#[case::second_ic(false, vec![0, 0, 128, 0, 128, 0, 0, 0], 128, FatalError::SEQUENCE)]
+#[case::length(false, vec![4, 0, 72, 0, 0, 0, 0, 255], 8, FatalError::header(4))]
+#[case::stray_data(false, vec![6, 4, 24, 0, 24, 0, 0, 0, 1], 24, FatalError::header(8))]
+#[case::from_the_wrong_side(false, vec![5, 0, 24, 0, 24, 0, 0, 0], 24, FatalError::SEQUENCE)]
 #[tokio::test]
 async fn a_malformed_pdu_ends_the_connection_with_its_reason(
     #[case] first: bool,
     #[case] mut bytes: Vec<u8>,
     #[case] size: usize,
-    #[case] fatal: Fatal,
+    #[case] fatal: FatalError,
 ) {
     use tokio::io::AsyncWriteExt;
     let mixed = mixed(&[Does::Serve], 0).await;
@@ -360,7 +362,7 @@
         stream.write_all(&ic).await.unwrap();
     }
     stream.write_all(&bytes).await.unwrap();
-    let mut wire = Wire::new(stream).unwrap();
+    let mut wire = PduStream::new(stream).unwrap();
     if !first {
         assert!(matches!(next_pdu(&mut wire).await, Pdu::IcResp { .. }));
     }
@@ -373,13 +375,13 @@
 }
 
 #[rstest]
-#[case::past_its_end(0, 1024, Fatal::RANGE)]
-#[case::with_a_gap(512, 512, Fatal::RANGE)]
+#[case::past_its_end(0, 1024, FatalError::RANGE)]
+#[case::with_a_gap(512, 512, FatalError::RANGE)]
 #[tokio::test]
 async fn data_outside_its_transfer_ends_the_connection(
     #[case] offset: u32,
     #[case] size: usize,
-    #[case] fatal: Fatal,
+    #[case] fatal: FatalError,
 ) {
     let mixed = mixed(&[Does::Serve], 0).await;
     let mut host = Host::connect(mixed.address).await;
--- a/crates/scheduler/tests/net/parsers.rs
+++ b/crates/scheduler/tests/net/parsers.rs
@@ -8,10 +8,11 @@
 use heathward_policy::settings::Deployment;
 use heathward_policy::{EndpointUpdateKind, KeyId, NodeState, ShardId, VolumeId};
 use heathward_transport::discovery;
-use heathward_transport::http::retry_after;
-use heathward_transport::node::Written;
+use heathward_transport::http::format_retry_after;
+use heathward_transport::node::WriteProgress;
 use heathward_transport::nvme::{
-    Blocks, Body, Command, Completion, Connect, ConnectData, Fatal, Map, Pdu, Sgl, Status, MOST_DATA,
+    BlockRange, Body, Command, Completion, Connect, ConnectData, FatalError, NvmeMap, Pdu, Sgl, Status,
+    MAX_DATA_BYTES,
 };
 use rstest::rstest;
 use tokio::time::Instant;
@@ -31,12 +32,12 @@
     #[case] whole: bool,
     #[values(1, 3, 1000)] piece: usize,
 ) {
-    let (written, attempt) = (Written::default(), attempt(SendGate::default(), Instant::now()));
+    let (written, attempt) = (WriteProgress::default(), attempt(SendGate::default(), Instant::now()));
     let tries = attempt.written_attempts.clone();
     for _ in 0..2 {
         written.begin(body, attempt.clone());
-        bytes.as_bytes().chunks(piece).for_each(|part| written.note(part));
-        assert_eq!(written.whole(), whole);
+        bytes.as_bytes().chunks(piece).for_each(|part| written.record(part));
+        assert_eq!(written.is_complete(), whole);
     }
     assert_eq!(tries.total(), if whole { 2 } else { 0 }, "counted once each");
 }
@@ -46,7 +47,7 @@
 #[case(75_000, "0.075")]
 #[case(2_000_000, "2.000")]
 fn retry_hints_are_decimal_seconds(#[case] span: u64, #[case] text: &str) {
-    assert_eq!(retry_after(span), text);
+    assert_eq!(format_retry_after(span), text);
 }
 
 const ENTRY: &str = r#"{"revision":43,"complete":false,"members":[
@@ -90,7 +91,7 @@
     bytes
 }
 
-const BLOCKS: Blocks = Blocks { nsid: 3, first: 0x0102_0304_0506, count: 8 };
+const BLOCKS: BlockRange = BlockRange { nsid: 3, first: 0x0102_0304_0506, count: 8 };
 
 #[rstest]
 #[case::ic_req(
@@ -135,7 +136,7 @@
     pdu(&[5, 0, 24, 0, 24, 0, 0, 0, 9, 0, 0, 0, 0, 0, 0, 0, 6, 0, 0, 0, 7, 1, 0x42, 0xa0], 24),
     Pdu::Response(Completion {
         result: 9, head: 6, cid: 0x107,
-        status: Status { delay: 2, final_: true, ..Status::INTERRUPTED }
+        status: Status { retry_delay: 2, do_not_retry: true, ..Status::INTERRUPTED }
     })
 )]
 #[case::h2c_data(
@@ -152,7 +153,7 @@
 )]
 #[case::term(
     [pdu(&[3, 0, 24, 0, 28, 0, 0, 0, 1, 0, 4], 24), vec![1, 2, 3, 4]].concat(),
-    Pdu::TermReq { by_host: false, fatal: Fatal::header(4), echo: Bytes::from_static(&[1, 2, 3, 4]) }
+    Pdu::TermReq { by_host: false, fatal: FatalError::header(4), echo: Bytes::from_static(&[1, 2, 3, 4]) }
 )]
 fn pdus_round_trip(#[case] bytes: Vec<u8>, #[case] pdu: Pdu) {
     let mut input = BytesMut::new();
@@ -168,21 +169,21 @@
 }
 
 #[rstest]
-#[case::kind(&[8, 0, 24, 0, 24, 0, 0, 0], Fatal::header(0))]
-#[case::digest(&[4, 1, 72, 0, 72, 0, 0, 0], Fatal::header(1))]
-#[case::head(&[4, 0, 71, 0, 72, 0, 0, 0], Fatal::header(2))]
-#[case::data_before_head(&[6, 0, 24, 23, 48, 0, 0, 0], Fatal::header(3))]
-#[case::data_past_end(&[6, 0, 24, 200, 48, 0, 0, 0], Fatal::header(3))]
-#[case::short(&[0, 0, 128, 0, 127, 0, 0, 0], Fatal::header(4))]
-#[case::long(&[4, 0, 72, 72, 0, 0, 0, 1], Fatal::header(4))]
-#[case::data_on_r2t(&[9, 0, 24, 24, 25, 0, 0, 0], Fatal::header(4))]
-fn malformed_pdus_are_fatal_once_their_header_is_complete(#[case] bytes: &[u8], #[case] fatal: Fatal) {
+#[case::kind(&[8, 0, 24, 0, 24, 0, 0, 0], FatalError::header(0))]
+#[case::digest(&[4, 1, 72, 0, 72, 0, 0, 0], FatalError::header(1))]
+#[case::head(&[4, 0, 71, 0, 72, 0, 0, 0], FatalError::header(2))]
+#[case::data_before_head(&[6, 0, 24, 23, 48, 0, 0, 0], FatalError::header(3))]
+#[case::data_past_end(&[6, 0, 24, 200, 48, 0, 0, 0], FatalError::header(3))]
+#[case::short(&[0, 0, 128, 0, 127, 0, 0, 0], FatalError::header(4))]
+#[case::long(&[4, 0, 72, 72, 0, 0, 0, 1], FatalError::header(4))]
+#[case::data_on_r2t(&[9, 0, 24, 24, 25, 0, 0, 0], FatalError::header(4))]
+fn malformed_pdus_are_fatal_once_their_header_is_complete(#[case] bytes: &[u8], #[case] fatal: FatalError) {
     assert_eq!(Pdu::decode(&mut BytesMut::from(bytes)), Err(fatal));
 }
 
 #[test]
 fn data_is_aligned_as_the_peer_requires() {
-    let data = Bytes::from(vec![7; MOST_DATA]);
+    let data = Bytes::from(vec![7; MAX_DATA_BYTES]);
     let pdu = Pdu::C2hData { cid: 1, offset: 0, last: true, data };
     for align in [4, 24, 32, 128] {
         let mut bytes = BytesMut::new();
@@ -227,16 +228,16 @@
 ) {
     let text = include_str!("../../../../deploy/nvme.json");
     assert!(text.contains(from));
-    let map = Map::parse(&text.replacen(from, to, 1), &deployment());
+    let map = NvmeMap::parse(&text.replacen(from, to, 1), &deployment());
     assert_eq!(map.as_ref().err().map(|error| error.field.as_str()), wrong);
     if let Ok(map) = map {
         let namespace = map.namespace(2).unwrap();
         assert_eq!([0, 255, 256, 512].map(|block| namespace.shard(block).0), [3, 3, 4, 3]);
         assert_eq!([1, 16, 17, 128].map(|blocks| map.units(blocks)), [1, 1, 2, 8]);
         let (volume, end) = (VolumeId(0x3_b4d6_0022), namespace.blocks);
-        assert_eq!(map.blocks(volume, KeyId(5), 8), Some(Blocks { nsid: 2, first: 5, count: 8 }));
-        assert_eq!(map.blocks(volume, KeyId(end - 7), 8), None, "past the end");
-        assert_eq!(map.blocks(VolumeId(1), KeyId(5), 8), None, "no namespace");
+        assert_eq!(map.block_range(volume, KeyId(5), 8), Some(BlockRange { nsid: 2, first: 5, count: 8 }));
+        assert_eq!(map.block_range(volume, KeyId(end - 7), 8), None, "past the end");
+        assert_eq!(map.block_range(VolumeId(1), KeyId(5), 8), None, "no namespace");
     }
 }
 
--- a/crates/scheduler/tests/net/process.rs
+++ b/crates/scheduler/tests/net/process.rs
@@ -6,7 +6,7 @@
 use std::process::Command;
 use std::time::Duration;
 
-use heathward_transport::nvme::{Pdu, Wire};
+use heathward_transport::nvme::{Pdu, PduStream};
 use rstest::rstest;
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
@@ -27,7 +27,7 @@
     let mut child = start_program(&config, &["--nvme", map.to_str().unwrap()]);
     let mut lines = BufReader::new(child.stderr.take().unwrap());
     let address = address_in_next_line(&mut lines, "NVMe front listening on ");
-    let mut wire = Wire::new(TcpStream::connect(address).await.unwrap()).unwrap();
+    let mut wire = PduStream::new(TcpStream::connect(address).await.unwrap()).unwrap();
     wire.send(&[Pdu::IcReq { pfv: 0, hpda: 0, digests: 3, max_r2t: 0 }]).await.unwrap();
     let answer = timeout(PATIENCE, wire.next()).await.expect("in time").unwrap();
     child.kill().unwrap();
--- a/crates/scheduler/tests/net/request_writer.rs
+++ b/crates/scheduler/tests/net/request_writer.rs
@@ -9,7 +9,9 @@
 use heathward_core::{endpoint_lease::LeaseExpiry, CoreMessage, SendGate};
 use heathward_fakes::{attempt, config_text, listen, PATIENCE};
 use heathward_policy::AttemptEnd;
-use heathward_transport::node::{self, Connection, Counted, Done, Job, Limits, Pool, Written};
+use heathward_transport::node::{
+    self, Connection, ConnectionPool, LinkRequest, LinkResponse, PoolLimits, TrackedStream, WriteProgress,
+};
 use rstest::rstest;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -18,11 +20,11 @@
 
 const HEAD: &[u8] = b"GET / HTTP/1.1\r\n\r\n";
 
-async fn pair() -> (Counted, Arc<Written>, TcpStream) {
+async fn pair() -> (TrackedStream, Arc<WriteProgress>, TcpStream) {
     let (listener, address) = listen().await;
     let near = TcpStream::connect(address).await.unwrap();
-    let written = Arc::new(Written::default());
-    (Counted::new(near, written.clone()), written, listener.accept().await.unwrap().0)
+    let written = Arc::new(WriteProgress::default());
+    (TrackedStream::new(near, written.clone()), written, listener.accept().await.unwrap().0)
 }
 
 /// What shuts the way to a node, or ends the wish to go there.
@@ -65,7 +67,7 @@
     }
     let rest = near.write_all(&HEAD[before..]).await;
     let stopped = before == 0 || shuts == Shuts::Cancel;
-    assert_eq!((rest.is_err(), written.withheld(), written.whole()), (stopped, stopped, !stopped));
+    assert_eq!((rest.is_err(), written.is_withheld(), written.is_complete()), (stopped, stopped, !stopped));
     // Not even where the way opens again meanwhile: the attempt has been told as never sent.
     gate.set_closed(false);
     end.set(None);
@@ -114,7 +116,7 @@
     written.begin(0, attempt);
     let sound = crosses == Crosses::Nothing;
     assert_eq!(near.write_all(HEAD).await.is_ok(), sound);
-    assert_eq!((written.stale(), written.withheld(), written.whole()), (!sound, false, sound));
+    assert_eq!((written.is_stale(), written.is_withheld(), written.is_complete()), (!sound, false, sound));
 }
 
 /// A connection that is never closed.
@@ -131,18 +133,22 @@
 /// Serves at once, and tells of each attempt whether it came on a kept connection.
 struct AtOnce(mpsc::UnboundedSender<bool>);
 
-impl tower::Service<Job<Kept>> for AtOnce {
-    type Response = Done<Kept>;
+impl tower::Service<LinkRequest<Kept>> for AtOnce {
+    type Response = LinkResponse<Kept>;
     type Error = Infallible;
-    type Future = Ready<Result<Done<Kept>, Infallible>>;
+    type Future = Ready<Result<LinkResponse<Kept>, Infallible>>;
 
     fn poll_ready(&mut self, _: &mut Context<'_>) -> Poll<Result<(), Infallible>> {
         Poll::Ready(Ok(()))
     }
 
-    fn call(&mut self, job: Job<Kept>) -> Self::Future {
-        self.0.send(job.idle.is_some()).unwrap();
-        ready(Ok(Done::back(AttemptEnd::Served, Bytes::new(), job.idle.unwrap_or(Kept))))
+    fn call(&mut self, job: LinkRequest<Kept>) -> Self::Future {
+        self.0.send(job.idle_connection.is_some()).unwrap();
+        ready(Ok(LinkResponse::reusable(
+            AttemptEnd::Served,
+            Bytes::new(),
+            job.idle_connection.unwrap_or(Kept),
+        )))
     }
 }
 
@@ -152,10 +158,10 @@
 async fn a_connection_pauses_after_an_answer_before_the_next_attempt() {
     let config = config_text("127.0.0.1:1", "127.0.0.1:1", "");
     let deployment = heathward_config::parse_configuration(&config).unwrap().deployment;
-    let (_keep, limits) = watch::channel(Limits::new(&deployment, 16, 8));
+    let (_keep, limits) = watch::channel(PoolLimits::new(&deployment, 16, 8));
     let (tell, mut kept) = mpsc::unbounded_channel();
     let (core, mut ended) = mpsc::channel(16);
-    let node = node::spawn(AtOnce(tell), Pool::new(limits), core);
+    let node = node::spawn(AtOnce(tell), ConnectionPool::new(limits), core);
     for (pause, reused) in
         [(0, false), (0, false), (4, false), (1, true), (5, true), (1, true), (1, true), (1, false)]
     {
--- a/crates/transport/src/http/connection.rs
+++ b/crates/transport/src/http/connection.rs
@@ -51,7 +51,7 @@
             }
         };
         // With none to spare, the newcomer's connection is closed at once.
-        if let Some(slot) = table.enter(Instant::now()) {
+        if let Some(slot) = table.admit(Instant::now()) {
             tokio::spawn(serve_connection(stream, front.clone(), slot, stopping.clone()));
         }
     }
--- a/crates/transport/src/http/connections.rs
+++ b/crates/transport/src/http/connections.rs
@@ -250,7 +250,7 @@
 
 /// Beside so many places, those for connections that had to make way and are being closed: the oldest of them
 /// is cut for the next.
-pub fn closing_places(cap: usize) -> usize {
+pub fn closing_capacity(cap: usize) -> usize {
     (cap / 16).max(1)
 }
 
@@ -275,7 +275,7 @@
 }
 
 impl ConnectionTable {
-    /// A table of so many places, and [`closing_places`] beside them.
+    /// A table of so many places, and [`closing_capacity`] beside them.
     pub fn new(most: usize) -> Self {
         let (most, cap) = (Arc::new(AtomicUsize::new(most)), Arc::new(AtomicUsize::new(most)));
         Self { most, cap, slots: Arc::default() }
@@ -293,10 +293,10 @@
     }
 
     /// A place for a newcomer; `None` if all are taken by those who can't be spared.
-    pub fn enter(&self, now: Instant) -> Option<Slot> {
+    pub fn admit(&self, now: Instant) -> Option<Slot> {
         let (mut slots, most) = (lock(&self.slots), self.most.load(Ordering::Relaxed));
         let cap = self.cap.load(Ordering::Relaxed);
-        let (closing, taken) = (closing_places(cap), slots.taken.len());
+        let (closing, taken) = (closing_capacity(cap), slots.taken.len());
         // Clients may be short of descriptors themselves, of which they hold a third, two thirds of the
         // places: before it comes to that, the answered go, long idle or not.
         let ranks: &[u8] = match () {
--- a/crates/transport/src/http/connections/tests.rs
+++ b/crates/transport/src/http/connections/tests.rs
@@ -14,7 +14,7 @@
         let (mut open, mut refused) = (BTreeMap::new(), 0);
         for newcomer in 0..2_000 {
             now += Duration::from_millis(rng.u64(0..40));
-            if let Some(slot) = table.enter(now) {
+            if let Some(slot) = table.admit(now) {
                 let phase = match rng.u32(0..4) {
                     0 => Phase::Processing,
                     1 => Phase::ReceivingRequest(now),
@@ -37,7 +37,7 @@
                 }
             }
             let slots = lock(&table.slots);
-            assert!(slots.closing.len() <= closing_places(cap));
+            assert!(slots.closing.len() <= closing_capacity(cap));
             assert!(slots.taken.len() <= cap, "{cap}");
             assert_eq!(slots.taken.len() + slots.closing.len(), open.len());
         }
--- a/crates/transport/src/http/decode.rs
+++ b/crates/transport/src/http/decode.rs
@@ -130,7 +130,7 @@
 }
 
 /// The value of `Retry-After`: seconds with milliseconds.
-pub fn retry_after(span: Micros) -> String {
+pub fn format_retry_after(span: Micros) -> String {
     let ms = span.div_ceil(1000);
     format!("{}.{:03}", ms / 1000, ms % 1000)
 }
--- a/crates/transport/src/http/front.rs
+++ b/crates/transport/src/http/front.rs
@@ -21,7 +21,7 @@
 use super::body::AnswerBody;
 use super::connections::{Client, Framing, Phase};
 use super::request_body::{pass, Buffered, RequestBody};
-use super::{decode, headers, retry_after, InvalidRequest, LONGEST_BODY};
+use super::{decode, format_retry_after, headers, InvalidRequest, LONGEST_BODY};
 use heathward_core::{body_channel, Answer, ClientRequest, CoreHandle, Draining, NodeReply, Upload};
 
 /// The platform's front as a tower service.
@@ -165,7 +165,7 @@
         }
         Answer::Shed { retry_after: advice } => {
             let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "refused");
-            if let Some(value) = advice.and_then(|span| retry_after(span).parse().ok()) {
+            if let Some(value) = advice.and_then(|span| format_retry_after(span).parse().ok()) {
                 response.headers_mut().insert(RETRY_AFTER, value);
             }
             response
--- a/crates/transport/src/http/mod.rs
+++ b/crates/transport/src/http/mod.rs
@@ -9,8 +9,8 @@
 mod stream;
 
 pub use connection::serve;
-pub use connections::{closing_places, ConnectionTable};
-pub use decode::{decode, retry_after, InvalidRequest};
+pub use connections::{closing_capacity, ConnectionTable};
+pub use decode::{decode, format_retry_after, InvalidRequest};
 pub use front::Front;
 
 /// No body holds more.
--- a/crates/transport/src/node/http.rs
+++ b/crates/transport/src/node/http.rs
@@ -19,7 +19,7 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep_until, timeout_at, Instant};
 
-use super::{Connection, Counted, Done, Job, Written};
+use super::{Connection, LinkRequest, LinkResponse, TrackedStream, WriteProgress};
 use crate::http::{headers, HEAD_LIMIT, LONGEST_BODY};
 use heathward_core::{
     body_channel, Attempt, BodyInterrupted, BodySender, BodyStream, NodeReply, NodeRequest, StreamedReply,
@@ -27,13 +27,13 @@
 };
 use heathward_policy::AttemptEnd;
 
-type Driver = http1::Connection<TokioIo<Counted>, Sending>;
+type Driver = http1::Connection<TokioIo<TrackedStream>, Sending>;
 
 /// A request's body on its way to a node.
 struct Sending {
     held: Option<Bytes>,
     /// The rest, its length where that is told, and whom to tell that it has ended.
-    rest: Option<(BodyStream, Option<u64>, Arc<Written>)>,
+    rest: Option<(BodyStream, Option<u64>, Arc<WriteProgress>)>,
 }
 
 impl Body for Sending {
@@ -50,7 +50,7 @@
         let Some((pieces, _, written)) = &mut self.rest else { return Poll::Ready(None) };
         let next = ready!(pieces.poll_next(cx));
         if next.is_none() {
-            written.last();
+            written.mark_body_end();
         }
         Poll::Ready(next.map(|piece| piece.map(Frame::data)))
     }
@@ -85,7 +85,7 @@
 pub struct HttpConnection {
     sender: http1::SendRequest<Sending>,
     driver: Pin<Box<Driver>>,
-    written: Arc<Written>,
+    written: Arc<WriteProgress>,
     over: bool,
 }
 
@@ -106,8 +106,8 @@
     async fn open(address: SocketAddr) -> Option<Self> {
         let stream = TcpStream::connect(address).await.ok()?;
         stream.set_nodelay(true).ok()?;
-        let written = Arc::new(Written::default());
-        let io = TokioIo::new(Counted::new(stream, written.clone()));
+        let written = Arc::new(WriteProgress::default());
+        let io = TokioIo::new(TrackedStream::new(stream, written.clone()));
         let mut builder = http1::Builder::new();
         builder.max_buf_size(HEAD_LIMIT);
         let (sender, driver) = builder.handshake(io).await.ok()?;
@@ -206,8 +206,8 @@
     }
 }
 
-impl tower::Service<Job<HttpConnection>> for HttpLink {
-    type Response = Done<HttpConnection>;
+impl tower::Service<LinkRequest<HttpConnection>> for HttpLink {
+    type Response = LinkResponse<HttpConnection>;
     type Error = Infallible;
     type Future = BoxFuture<'static, Result<Self::Response, Infallible>>;
 
@@ -215,7 +215,7 @@
         Poll::Ready(Ok(()))
     }
 
-    fn call(&mut self, job: Job<HttpConnection>) -> Self::Future {
+    fn call(&mut self, job: LinkRequest<HttpConnection>) -> Self::Future {
         let address = self.address;
         Box::pin(async move { Ok(run(address, job).await) })
     }
@@ -232,28 +232,28 @@
 
 /// One attempt. Whatever it is given up on is dropped, and so closed, before the end is told: no other
 /// attempt of the request may start while a connection of this one is open.
-async fn run(address: SocketAddr, job: Job<HttpConnection>) -> Done<HttpConnection> {
-    let Job { attempt, mut idle, connect_by } = job;
+async fn run(address: SocketAddr, job: LinkRequest<HttpConnection>) -> LinkResponse<HttpConnection> {
+    let LinkRequest { attempt, idle_connection: mut idle, dial_deadline } = job;
     loop {
         let reused = idle.is_some();
-        let reached = timeout_at(connect_by.min(attempt.connect_deadline), reach(address, idle.take()));
+        let reached = timeout_at(dial_deadline.min(attempt.connect_deadline), reach(address, idle.take()));
         let reached = tokio::select! {
             biased;
             // Whoever has left waits for no connection, and holds none.
-            () = attempt.cancel.cancelled() => return Done::lost(AttemptEnd::NotSent),
+            () = attempt.cancel.cancelled() => return LinkResponse::closed(AttemptEnd::NotSent),
             reached = reached => reached,
         };
         let mut connection = match reached {
             Ok(Some(connection)) => connection,
             // One that has grown stale takes nothing of a request.
             Ok(None) if reused => continue,
-            _ => return Done::lost(AttemptEnd::NotConnected),
+            _ => return LinkResponse::closed(AttemptEnd::NotConnected),
         };
         if !attempt.may_start() {
-            return Done::back(AttemptEnd::NotSent, Bytes::new(), connection);
+            return LinkResponse::reusable(AttemptEnd::NotSent, Bytes::new(), connection);
         }
         let (Ok(request), length) = encode(&attempt, address, &connection.written) else {
-            return Done::lost(AttemptEnd::NotSent);
+            return LinkResponse::closed(AttemptEnd::NotSent);
         };
         let written = connection.written.clone();
         written.begin(length, attempt.clone());
@@ -267,42 +267,52 @@
         let unwanted = async {
             attempt.cancel.cancelled().await;
             // What has been written whole goes on to its answer: the node is at work on it.
-            if written.whole() {
+            if written.is_complete() {
                 pending::<()>().await;
             }
         };
         let tried = tokio::select! {
             biased;
             tried = tried => Ok(tried),
-            () = unwanted => return Done::lost(AttemptEnd::NotSent),
+            () = unwanted => return LinkResponse::closed(AttemptEnd::NotSent),
             () = expired => Err(()),
         };
         match tried {
             Ok(Some(Came::Whole(end, body))) => {
                 let idle = if connection.sound().await { Some(connection) } else { None };
-                return Done { end, body: NodeReply::Buffered(body), idle, rest: None };
+                return LinkResponse {
+                    end,
+                    body: NodeReply::Buffered(body),
+                    idle_connection: idle,
+                    forwarding: None,
+                };
             }
             Ok(Some(Came::Long(length, held, body))) => {
                 let (feed, pieces) = body_channel();
                 let rest = connection.pass(held, body, feed);
                 let body = NodeReply::Streamed(StreamedReply::new(length, pieces));
-                return Done { end: AttemptEnd::Served, body, idle: None, rest: Some(Box::pin(rest)) };
+                return LinkResponse {
+                    end: AttemptEnd::Served,
+                    body,
+                    idle_connection: None,
+                    forwarding: Some(Box::pin(rest)),
+                };
             }
             // It was not to go any more.
-            Ok(_) if written.withheld() => return Done::lost(AttemptEnd::NotSent),
+            Ok(_) if written.is_withheld() => return LinkResponse::closed(AttemptEnd::NotSent),
             // Guards against taking a connection that had grown stale for a node that is down: the node has
             // not had the request, so that this is still the same attempt.
-            Ok(_) if reused && !written.whole() && repeatable(&attempt) => {}
-            Ok(_) if !written.whole() => return Done::lost(AttemptEnd::NotConnected),
-            Ok(_) if written.broken() => return Done::lost(AttemptEnd::Reset),
+            Ok(_) if reused && !written.is_complete() && repeatable(&attempt) => {}
+            Ok(_) if !written.is_complete() => return LinkResponse::closed(AttemptEnd::NotConnected),
+            Ok(_) if written.is_broken() => return LinkResponse::closed(AttemptEnd::Reset),
             // The node is there and has said something that makes no sense. Guards against taking it for one
             // that went down and is cold now: it may have run the request, and that is all.
-            Ok(_) => return Done::lost(AttemptEnd::Error),
+            Ok(_) => return LinkResponse::closed(AttemptEnd::Error),
             // A node that has stopped taking a long body has not had it.
-            Err(()) if attempt.node_request.upload.is_some() && !written.whole() => {
-                return Done::lost(AttemptEnd::NotConnected);
+            Err(()) if attempt.node_request.upload.is_some() && !written.is_complete() => {
+                return LinkResponse::closed(AttemptEnd::NotConnected);
             }
-            Err(()) => return Done::lost(AttemptEnd::TimedOut),
+            Err(()) => return LinkResponse::closed(AttemptEnd::TimedOut),
         }
     }
 }
@@ -315,7 +325,7 @@
 type Encoded = Result<Request<Sending>, hyper::http::Error>;
 
 /// The request, and the length of its body where that is told.
-fn encode(attempt: &Attempt, address: SocketAddr, written: &Arc<Written>) -> (Encoded, Option<usize>) {
+fn encode(attempt: &Attempt, address: SocketAddr, written: &Arc<WriteProgress>) -> (Encoded, Option<usize>) {
     let NodeRequest {
         client_request_id: call,
         class_name: class,
--- a/crates/transport/src/node/mod.rs
+++ b/crates/transport/src/node/mod.rs
@@ -23,8 +23,8 @@
 use pool::{Parked, Permit};
 
 pub use http::HttpLink;
-pub use pool::Pool;
-pub use wire::{Counted, Written};
+pub use pool::ConnectionPool;
+pub use wire::{TrackedStream, WriteProgress};
 
 /// Attempts that wait for a node's actor at most; it takes them at once, so that this is never reached.
 const MAILBOX: usize = 1024;
@@ -46,42 +46,42 @@
 }
 
 /// What a link is asked: try this, on that connection or a new one.
-pub struct Job<C> {
+pub struct LinkRequest<C> {
     /// The attempt.
     pub attempt: Attempt,
     /// An idle connection.
-    pub idle: Option<C>,
+    pub idle_connection: Option<C>,
     /// A new connection that is not made by then never is.
-    pub connect_by: Instant,
+    pub dial_deadline: Instant,
 }
 
 /// How it went. A connection that is not given back is closed by now.
-pub struct Done<C> {
+pub struct LinkResponse<C> {
     /// How the attempt ended.
     pub end: AttemptEnd,
     /// What came with [`AttemptEnd::Served`].
     pub body: NodeReply,
     /// The connection, if it can carry another.
-    pub idle: Option<C>,
+    pub idle_connection: Option<C>,
     /// What passes the rest of an answer on, and gives the connection back then.
-    pub rest: Option<BoxFuture<'static, Option<C>>>,
+    pub forwarding: Option<BoxFuture<'static, Option<C>>>,
 }
 
-impl<C> Done<C> {
+impl<C> LinkResponse<C> {
     /// An attempt that brought nothing back and whose connection is closed.
-    pub fn lost(end: AttemptEnd) -> Self {
-        Self { end, body: NodeReply::Buffered(Bytes::new()), idle: None, rest: None }
+    pub fn closed(end: AttemptEnd) -> Self {
+        Self { end, body: NodeReply::Buffered(Bytes::new()), idle_connection: None, forwarding: None }
     }
 
     /// One that is over, on a connection that can carry another.
-    pub fn back(end: AttemptEnd, body: Bytes, connection: C) -> Self {
-        Self { end, body: NodeReply::Buffered(body), idle: Some(connection), rest: None }
+    pub fn reusable(end: AttemptEnd, body: Bytes, connection: C) -> Self {
+        Self { end, body: NodeReply::Buffered(body), idle_connection: Some(connection), forwarding: None }
     }
 }
 
 /// The limits of connections to nodes.
 #[derive(Clone, Copy, Debug)]
-pub struct Limits {
+pub struct PoolLimits {
     /// A connection that takes longer to make never will be.
     connect: Duration,
     /// Idle connections are kept that long.
@@ -92,7 +92,7 @@
     most_idle: usize,
 }
 
-impl Limits {
+impl PoolLimits {
     /// Those of a deployment: `open` descriptors in all, `most_idle` idle connections for each node.
     pub fn new(deployment: &Deployment, open: usize, most_idle: usize) -> Self {
         let idle = Duration::from_micros(deployment.idle_timeout);
@@ -118,9 +118,11 @@
 }
 
 /// Starts a node's actor over a link: a tower service that carries one attempt on one connection.
-pub fn spawn<L, C>(link: L, pool: Pool, core: mpsc::Sender<CoreMessage>) -> mpsc::Sender<Attempt>
+pub fn spawn<L, C>(link: L, pool: ConnectionPool, core: mpsc::Sender<CoreMessage>) -> mpsc::Sender<Attempt>
 where
-    L: tower::Service<Job<C>, Response = Done<C>, Error = std::convert::Infallible> + Send + 'static,
+    L: tower::Service<LinkRequest<C>, Response = LinkResponse<C>, Error = std::convert::Infallible>
+        + Send
+        + 'static,
     L::Future: Send + 'static,
     C: Connection,
 {
@@ -133,14 +135,14 @@
 /// What has come to its end on a connection.
 enum Finished<C> {
     /// An attempt.
-    Attempt(Box<Attempt>, Done<C>, Option<Permit>),
+    Attempt(Box<Attempt>, LinkResponse<C>, Option<Permit>),
     /// The rest of an answer.
     Rest(Option<C>, Permit),
 }
 
 struct Actor<L, C> {
     link: L,
-    pool: Pool,
+    pool: ConnectionPool,
     core: mpsc::Sender<CoreMessage>,
     /// The newest last.
     idle: VecDeque<Idle<C>>,
@@ -151,7 +153,7 @@
 
 impl<L, C> Actor<L, C>
 where
-    L: tower::Service<Job<C>, Response = Done<C>, Error = std::convert::Infallible>,
+    L: tower::Service<LinkRequest<C>, Response = LinkResponse<C>, Error = std::convert::Infallible>,
     L::Future: Send + 'static,
     C: Connection,
 {
@@ -187,15 +189,15 @@
         };
         if permit.is_none() {
             // No descriptor for it: it never ran, and that says nothing about the node.
-            let done = Done::lost(AttemptEnd::NotSent);
+            let done = LinkResponse::closed(AttemptEnd::NotSent);
             let attempt = Box::new(attempt);
             return self.running.push(Box::pin(async move { Finished::Attempt(attempt, done, None) }));
         }
         let fresh = idle.is_none();
-        let trying = self.link.call(Job {
+        let trying = self.link.call(LinkRequest {
             attempt: attempt.clone(),
-            idle,
-            connect_by: Instant::now() + self.pool.limits().connect,
+            idle_connection: idle,
+            dial_deadline: Instant::now() + self.pool.limits().connect,
         });
         self.running.push(Box::pin(async move {
             if fresh {
@@ -223,9 +225,9 @@
             Finished::Attempt(attempt, done, permit) => (attempt, done, permit),
         };
         if let Some(permit) = permit {
-            match done.rest {
+            match done.forwarding {
                 Some(rest) => self.running.push(Box::pin(async move { Finished::Rest(rest.await, permit) })),
-                None => self.keep(done.idle, permit, listed),
+                None => self.keep(done.idle_connection, permit, listed),
             }
         }
         report_attempt_end(&self.core, &attempt, done.end, done.body).await;
@@ -234,7 +236,7 @@
     /// Keeps a connection for another attempt.
     fn keep(&mut self, link: Option<C>, permit: Permit, listed: bool) {
         if let (Some(link), true) = (link, listed) {
-            let Limits { idle, most_idle, .. } = self.pool.limits();
+            let PoolLimits { idle, most_idle, .. } = self.pool.limits();
             let place = self.pool.park(permit, &self.evicted);
             let since = Instant::now();
             self.idle.push_back(Idle { link, place, since, until: since + idle });
--- a/crates/transport/src/node/pool.rs
+++ b/crates/transport/src/node/pool.rs
@@ -8,12 +8,12 @@
 use tokio::sync::{watch, Notify};
 use tokio::time::Instant;
 
-use super::Limits;
+use super::PoolLimits;
 
 /// What all nodes' actors share: the limits as they are now, the descriptors in use, and what stands idle.
 #[derive(Clone, Debug)]
-pub struct Pool {
-    limits: watch::Receiver<Limits>,
+pub struct ConnectionPool {
+    limits: watch::Receiver<PoolLimits>,
     open: Arc<AtomicUsize>,
     next: Arc<AtomicU64>,
     idle: Arc<Mutex<BTreeMap<Place, Arc<Slot>>>>,
@@ -35,14 +35,14 @@
     }
 }
 
-impl Pool {
+impl ConnectionPool {
     /// A pool with none open.
-    pub fn new(limits: watch::Receiver<Limits>) -> Self {
+    pub fn new(limits: watch::Receiver<PoolLimits>) -> Self {
         Self { limits, open: Arc::default(), next: Arc::default(), idle: Arc::default() }
     }
 
     /// The limits now.
-    pub(super) fn limits(&self) -> Limits {
+    pub(super) fn limits(&self) -> PoolLimits {
         *self.limits.borrow()
     }
 
@@ -90,7 +90,7 @@
 /// An idle connection's place in the pool, given up when dropped.
 #[derive(Debug)]
 pub(super) struct Parked {
-    pool: Pool,
+    pool: ConnectionPool,
     place: Place,
     slot: Arc<Slot>,
 }
--- a/crates/transport/src/node/pool/tests.rs
+++ b/crates/transport/src/node/pool/tests.rs
@@ -4,9 +4,9 @@
 
 use super::*;
 
-fn pool(open: usize) -> Pool {
-    let limits = Limits { connect: Duration::ZERO, idle: Duration::ZERO, open, most_idle: 2 };
-    Pool::new(watch::channel(limits).1)
+fn pool(open: usize) -> ConnectionPool {
+    let limits = PoolLimits { connect: Duration::ZERO, idle: Duration::ZERO, open, most_idle: 2 };
+    ConnectionPool::new(watch::channel(limits).1)
 }
 
 /// Connections of one and of two descriptors, in use and idle.
--- a/crates/transport/src/node/wire.rs
+++ b/crates/transport/src/node/wire.rs
@@ -20,7 +20,7 @@
 /// How far the request that a connection carries has been written. Whether an attempt can have run hangs on
 /// this alone, so it counts bytes that the socket has taken, not what was meant to be sent.
 #[derive(Debug, Default)]
-pub struct Written {
+pub struct WriteProgress {
     /// How much of the blank line that ends a head has been seen.
     ending: AtomicUsize,
     /// Bytes of the body still to come.
@@ -37,7 +37,7 @@
     broken: AtomicBool,
 }
 
-impl Written {
+impl WriteProgress {
     /// An attempt begins whose body holds so many bytes, where that is told; else it goes in chunks.
     /// Once it [may not begin](Attempt::may_start), its first byte is not written any more; once it is
     /// cancelled, no byte is.
@@ -55,28 +55,28 @@
     }
 
     /// All of a body has been handed to the connection: what is written from now on may hold the last of it.
-    pub fn last(&self) {
+    pub fn mark_body_end(&self) {
         self.last.store(true, Ordering::Relaxed);
     }
 
     /// The last byte of the request has reached the socket.
-    pub fn whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.whole.load(Ordering::Relaxed)
     }
 
     /// The far side has closed the connection, or it is reset.
-    pub fn broken(&self) -> bool {
+    pub fn is_broken(&self) -> bool {
         self.broken.load(Ordering::Relaxed)
     }
 
     /// A byte of it was due that was not to go any more: its last one has not been and will not be written.
-    pub fn withheld(&self) -> bool {
+    pub fn is_withheld(&self) -> bool {
         self.withheld.load(Ordering::Relaxed)
     }
 
     /// Its first byte was due on a connection that the far side had ended, or on which something had come
     /// that nobody asked for: nothing of it has been or will be written there.
-    pub fn stale(&self) -> bool {
+    pub fn is_stale(&self) -> bool {
         self.stale.load(Ordering::Relaxed)
     }
 
@@ -86,13 +86,13 @@
 
     /// Whether bytes may be written now. What has begun goes on to its end, but for a client that has left.
     fn may_go(&self, stream: &TcpStream) -> bool {
-        if self.withheld() || self.stale() {
+        if self.is_withheld() || self.is_stale() {
             return false;
         }
         let begun = self.begun.load(Ordering::Relaxed);
         let withheld = self.lock().as_ref().is_some_and(|attempt| match begun {
             false => !attempt.may_start(),
-            true => !self.whole() && attempt.cancel.is_cancelled(),
+            true => !self.is_complete() && attempt.cancel.is_cancelled(),
         });
         let stale = !begun && self.used.load(Ordering::Relaxed) && !quiet(stream);
         self.withheld.store(withheld, Ordering::Relaxed);
@@ -101,7 +101,7 @@
     }
 
     /// Takes note of bytes that the socket has taken.
-    pub fn note(&self, bytes: &[u8]) {
+    pub fn record(&self, bytes: &[u8]) {
         self.begun.store(true, Ordering::Relaxed);
         let (mut ending, mut rest) = (self.ending.load(Ordering::Relaxed), bytes);
         while let Some((&byte, after)) = rest.split_first().filter(|_| ending < END.len()) {
@@ -136,19 +136,19 @@
 
 /// A stream whose written bytes are noted.
 #[derive(Debug)]
-pub struct Counted {
+pub struct TrackedStream {
     stream: TcpStream,
-    written: Arc<Written>,
+    written: Arc<WriteProgress>,
 }
 
-impl Counted {
+impl TrackedStream {
     /// Notes what this stream takes.
-    pub fn new(stream: TcpStream, written: Arc<Written>) -> Self {
+    pub fn new(stream: TcpStream, written: Arc<WriteProgress>) -> Self {
         Self { stream, written }
     }
 }
 
-impl AsyncRead for Counted {
+impl AsyncRead for TrackedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -163,7 +163,7 @@
     }
 }
 
-impl AsyncWrite for Counted {
+impl AsyncWrite for TrackedStream {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         // The one place from which a request's first byte goes out: whatever it has waited for, here it is
         // looked whether it still may.
@@ -172,7 +172,7 @@
         }
         let wrote = ready!(Pin::new(&mut self.stream).poll_write(cx, buf));
         match &wrote {
-            Ok(size) => self.written.note(&buf[..*size]),
+            Ok(size) => self.written.record(&buf[..*size]),
             Err(_) => self.written.broken.store(true, Ordering::Relaxed),
         }
         Poll::Ready(wrote)
--- a/crates/transport/src/nvme/command.rs
+++ b/crates/transport/src/nvme/command.rs
@@ -96,9 +96,9 @@
         cid: u16,
     },
     /// Reads blocks.
-    Read(Blocks),
+    Read(BlockRange),
     /// Writes blocks.
-    Write(Blocks),
+    Write(BlockRange),
     /// Another fabrics command.
     OtherFabrics(u8),
     /// Another opcode.
@@ -107,7 +107,7 @@
 
 /// The blocks that a command is about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Blocks {
+pub struct BlockRange {
     /// The namespace.
     pub nsid: u32,
     /// The first.
@@ -160,7 +160,7 @@
             other => Sgl::Other(other),
         };
         let wide = bytes[40] & 0b111 == 1;
-        let blocks = Blocks { nsid, first: qword(40), count: u32::from(word(48)) + 1 };
+        let blocks = BlockRange { nsid, first: qword(40), count: u32::from(word(48)) + 1 };
         let body = match (opcode, bytes[4]) {
             (FABRICS, 0x00) => Body::PropertySet { wide, offset: dword(44), value: qword(48) },
             (FABRICS, 0x01) => Body::Connect(Connect {
@@ -227,7 +227,8 @@
                 put(40, &queue.to_le_bytes());
                 put(42, &cid.to_le_bytes());
             }
-            Body::Read(Blocks { nsid, first, count }) | Body::Write(Blocks { nsid, first, count }) => {
+            Body::Read(BlockRange { nsid, first, count })
+            | Body::Write(BlockRange { nsid, first, count }) => {
                 put(4, &nsid.to_le_bytes());
                 put(40, &first.to_le_bytes());
                 put(48, &(count.saturating_sub(1) as u16).to_le_bytes());
@@ -247,18 +248,18 @@
     /// Status code.
     pub code: u8,
     /// Command retry delay: 0 for none, else which of the three that Identify tells.
-    pub delay: u8,
+    pub retry_delay: u8,
     /// Do not retry.
-    pub final_: bool,
+    pub do_not_retry: bool,
 }
 
 impl Status {
     /// Done.
     pub const SUCCESS: Self = Self::generic(0x00);
     /// The opcode is not supported.
-    pub const INVALID_OPCODE: Self = Self::generic(0x01).last();
+    pub const INVALID_OPCODE: Self = Self::generic(0x01).without_retry();
     /// A field makes no sense.
-    pub const INVALID_FIELD: Self = Self::generic(0x02).last();
+    pub const INVALID_FIELD: Self = Self::generic(0x02).without_retry();
     /// The id belongs to another open command.
     pub const CID_CONFLICT: Self = Self::generic(0x03);
     /// Something failed inside.
@@ -266,47 +267,47 @@
     /// It was aborted.
     pub const ABORTED: Self = Self::generic(0x07);
     /// No such namespace.
-    pub const INVALID_NAMESPACE: Self = Self::generic(0x0b).last();
+    pub const INVALID_NAMESPACE: Self = Self::generic(0x0b).without_retry();
     /// Out of turn.
-    pub const SEQUENCE: Self = Self::generic(0x0c).last();
+    pub const SEQUENCE: Self = Self::generic(0x0c).without_retry();
     /// The data's length is not that of the command.
-    pub const SGL_LENGTH: Self = Self::generic(0x0f).last();
+    pub const SGL_LENGTH: Self = Self::generic(0x0f).without_retry();
     /// A kind of data pointer that is not supported.
-    pub const SGL_KIND: Self = Self::generic(0x11).last();
+    pub const SGL_TYPE: Self = Self::generic(0x11).without_retry();
     /// The data's offset makes no sense.
-    pub const SGL_OFFSET: Self = Self::generic(0x16).last();
+    pub const SGL_OFFSET: Self = Self::generic(0x16).without_retry();
     /// It was interrupted and may be sent again.
     pub const INTERRUPTED: Self = Self::generic(0x21);
     /// Blocks past the end.
-    pub const LBA_RANGE: Self = Self::generic(0x80).last();
+    pub const LBA_RANGE: Self = Self::generic(0x80).without_retry();
     /// The namespace can't be used yet.
     pub const NOT_READY: Self = Self::generic(0x82);
     /// Too many aborts at a time.
     pub const ABORT_LIMIT: Self = Self { kind: 1, ..Self::generic(0x03) };
     /// A Connect in a format that is not supported.
-    pub const CONNECT_FORMAT: Self = Self { kind: 1, ..Self::generic(0x80) }.last();
+    pub const CONNECT_FORMAT: Self = Self { kind: 1, ..Self::generic(0x80) }.without_retry();
     /// No controller is free.
     pub const CONNECT_BUSY: Self = Self { kind: 1, ..Self::generic(0x81) };
     /// A Connect with a parameter that makes no sense.
-    pub const CONNECT_PARAMETER: Self = Self { kind: 1, ..Self::generic(0x82) }.last();
+    pub const CONNECT_PARAMETER: Self = Self { kind: 1, ..Self::generic(0x82) }.without_retry();
 
     const fn generic(code: u8) -> Self {
-        Self { kind: 0, code, delay: 0, final_: false }
+        Self { kind: 0, code, retry_delay: 0, do_not_retry: false }
     }
 
     /// The same, not to be retried.
-    pub const fn last(self) -> Self {
-        Self { final_: true, ..self }
+    pub const fn without_retry(self) -> Self {
+        Self { do_not_retry: true, ..self }
     }
 
     fn decode(field: u16) -> Self {
         let (kind, delay) = ((field >> 9) as u8 & 0b111, (field >> 12) as u8 & 0b11);
-        Self { kind, code: (field >> 1) as u8, delay, final_: field >> 15 == 1 }
+        Self { kind, code: (field >> 1) as u8, retry_delay: delay, do_not_retry: field >> 15 == 1 }
     }
 
     fn encode(self) -> u16 {
-        let (kind, delay) = (u16::from(self.kind & 0b111) << 9, u16::from(self.delay & 0b11) << 12);
-        u16::from(self.final_) << 15 | delay | kind | u16::from(self.code) << 1
+        let (kind, delay) = (u16::from(self.kind & 0b111) << 9, u16::from(self.retry_delay & 0b11) << 12);
+        u16::from(self.do_not_retry) << 15 | delay | kind | u16::from(self.code) << 1
     }
 }
 
--- a/crates/transport/src/nvme/controller.rs
+++ b/crates/transport/src/nvme/controller.rs
@@ -12,11 +12,11 @@
 use tokio::time::{sleep_until, timeout_at, Instant};
 use tower::Service;
 
-use super::command::{Blocks, Body, Command, Completion, Connect, ConnectData, Sgl, Status};
+use super::command::{BlockRange, Body, Command, Completion, Connect, ConnectData, Sgl, Status};
 use super::identify::{self, CAP, CC, CSTS, IN_CAPSULE, VS};
-use super::pdu::{Fatal, Pdu, MOST_DATA};
+use super::pdu::{FatalError, Pdu, MAX_DATA_BYTES};
 use super::subsystem::{lock, AbortOne, Controller, Subsystem};
-use super::wire::{Broken, Wire};
+use super::wire::{PduStream, StreamError};
 use heathward_core::{Answer, ClientRequest, NodeReply};
 
 /// A host has so long to open a queue, and to take in why its connection ends.
@@ -52,7 +52,7 @@
 }
 
 async fn serve_connection(stream: TcpStream, subsystem: Arc<Subsystem>, mut stopping: watch::Receiver<bool>) {
-    let Ok(wire) = Wire::new(stream) else { return };
+    let Ok(wire) = PduStream::new(stream) else { return };
     let mut queue = Queue {
         subsystem,
         wire,
@@ -65,7 +65,7 @@
         transfers: HashMap::new(),
         aborts: FuturesUnordered::new(),
     };
-    if let Err(Broken::Fatal(fatal)) = queue.run(&mut stopping).await {
+    if let Err(StreamError::Fatal(fatal)) = queue.run(&mut stopping).await {
         // Commands that are open end with their queue; the host is told why.
         queue.subsystem.core.count_malformed_request();
         queue.running.clear();
@@ -84,7 +84,7 @@
 
 /// A write whose data is still to come.
 struct Transfer {
-    blocks: Blocks,
+    blocks: BlockRange,
     data: BytesMut,
     size: usize,
 }
@@ -99,7 +99,7 @@
 
 struct Queue {
     subsystem: Arc<Subsystem>,
-    wire: Wire,
+    wire: PduStream,
     role: Role,
     /// Entries.
     size: u16,
@@ -133,7 +133,7 @@
 
 impl Queue {
     /// Carries the queue to its end.
-    async fn run(&mut self, stopping: &mut watch::Receiver<bool>) -> Result<(), Broken> {
+    async fn run(&mut self, stopping: &mut watch::Receiver<bool>) -> Result<(), StreamError> {
         loop {
             if *stopping.borrow_and_update() && self.done() {
                 return Ok(());
@@ -159,7 +159,7 @@
                 pdu = self.wire.next() => self.take(pdu?).await?,
                 () = sleep_until(by.unwrap_or_else(Instant::now)), if by.is_some() => return Ok(()),
                 () = another_ended(others.as_deref()) => {}
-                changed = stopping.changed() => changed.map_err(|_| Broken::Closed)?,
+                changed = stopping.changed() => changed.map_err(|_| StreamError::Closed)?,
             }
         }
     }
@@ -172,45 +172,45 @@
         }
     }
 
-    async fn take(&mut self, pdu: Pdu) -> Result<(), Broken> {
+    async fn take(&mut self, pdu: Pdu) -> Result<(), StreamError> {
         match (&mut self.role, pdu) {
             (Role::New { initialised, .. }, Pdu::IcReq { pfv, hpda, .. }) if !*initialised => {
                 // Version 1.0 of the format is 0; digests that a host asks for are simply not granted.
                 if pfv != 0 {
-                    return Err(Broken::Fatal(Fatal::parameter(8)));
+                    return Err(StreamError::Fatal(FatalError::parameter(8)));
                 }
                 if hpda > 31 {
-                    return Err(Broken::Fatal(Fatal::header(10)));
+                    return Err(StreamError::Fatal(FatalError::header(10)));
                 }
                 *initialised = true;
                 self.wire.align(hpda);
-                let max_h2c = MOST_DATA as u32;
+                let max_h2c = MAX_DATA_BYTES as u32;
                 Ok(self.wire.send(&[Pdu::IcResp { pfv: 0, cpda: 0, digests: 0, max_h2c }]).await?)
             }
-            (Role::New { initialised: false, .. }, _) => Err(Broken::Fatal(Fatal::SEQUENCE)),
+            (Role::New { initialised: false, .. }, _) => Err(StreamError::Fatal(FatalError::SEQUENCE)),
             (_, Pdu::Capsule { command, data }) => self.command(command, &data).await,
             (_, Pdu::H2cData { cid, ttag, offset, last, data }) => {
                 self.data(cid, ttag, offset, last, &data).await
             }
             // The host ends the connection over an error of ours.
-            (_, Pdu::TermReq { by_host: true, .. }) => Err(Broken::Closed),
-            _ => Err(Broken::Fatal(Fatal::SEQUENCE)),
+            (_, Pdu::TermReq { by_host: true, .. }) => Err(StreamError::Closed),
+            _ => Err(StreamError::Fatal(FatalError::SEQUENCE)),
         }
     }
 
-    async fn complete(&mut self, cid: u16, result: u64, status: Status) -> Result<(), Broken> {
+    async fn complete(&mut self, cid: u16, result: u64, status: Status) -> Result<(), StreamError> {
         let completion = Completion { result, head: self.head, cid, status };
         Ok(self.wire.send(&[Pdu::Response(completion)]).await?)
     }
 
     /// Sends data to the host and completes the command.
-    async fn give(&mut self, cid: u16, data: Bytes) -> Result<(), Broken> {
+    async fn give(&mut self, cid: u16, data: Bytes) -> Result<(), StreamError> {
         let completion = Completion { result: 0, head: self.head, cid, status: Status::SUCCESS };
         let data = Pdu::C2hData { cid, offset: 0, last: true, data };
         Ok(self.wire.send(&[data, Pdu::Response(completion)]).await?)
     }
 
-    async fn command(&mut self, command: Command, data: &Bytes) -> Result<(), Broken> {
+    async fn command(&mut self, command: Command, data: &Bytes) -> Result<(), StreamError> {
         self.head = (self.head + 1) % self.size;
         if let Role::Admin { keep_alive, alive_by, .. } = &mut self.role {
             *alive_by = alive_by.map(|_| Instant::now() + *keep_alive);
@@ -277,7 +277,7 @@
         Ok(u64::from(id))
     }
 
-    async fn admin(&mut self, controller: &Controller, command: &Command) -> Result<(), Broken> {
+    async fn admin(&mut self, controller: &Controller, command: &Command) -> Result<(), StreamError> {
         let (map, cid) = (self.subsystem.map.clone(), command.cid);
         let ended = match command.body {
             Body::PropertyGet { wide, offset } => match (offset, wide) {
@@ -344,7 +344,7 @@
         }
     }
 
-    async fn io(&mut self, command: &Command, data: &Bytes) -> Result<(), Broken> {
+    async fn io(&mut self, command: &Command, data: &Bytes) -> Result<(), StreamError> {
         let cid = command.cid;
         let checked = match command.body {
             Body::Read(blocks) | Body::Write(blocks) => self.subsystem.check(blocks),
@@ -353,18 +353,18 @@
         };
         // Guards memory: a host that keeps to its queue's size never has as many open.
         if self.open.len() >= usize::from(self.size) {
-            return Err(Broken::Fatal(Fatal::SEQUENCE));
+            return Err(StreamError::Fatal(FatalError::SEQUENCE));
         }
         let begun = match (command.body, command.sgl, checked) {
             (_, _, Err(status)) => Err(status),
             (_, sgl, Ok(size)) if sgl.length() as usize != size => match sgl {
-                Sgl::Other(_) => Err(Status::SGL_KIND),
+                Sgl::Other(_) => Err(Status::SGL_TYPE),
                 _ => Err(Status::SGL_LENGTH),
             },
             (Body::Read(blocks), Sgl::Transport { .. }, Ok(size)) => {
                 self.subsystem.call(false, blocks, Bytes::new()).map(|call| self.begin(cid, Some(size), call))
             }
-            (Body::Read(_), ..) => Err(Status::SGL_KIND),
+            (Body::Read(_), ..) => Err(Status::SGL_TYPE),
             (Body::Write(blocks), sgl @ Sgl::InCapsule { .. }, Ok(_)) => in_capsule(sgl, data)
                 .and_then(|data| self.subsystem.call(true, blocks, Bytes::copy_from_slice(data)))
                 .map(|call| self.begin(cid, None, call)),
@@ -393,14 +393,14 @@
         offset: u32,
         last: bool,
         data: &[u8],
-    ) -> Result<(), Broken> {
-        let transfer = self.transfers.get_mut(&cid).ok_or(Broken::Fatal(Fatal::header(8)))?;
+    ) -> Result<(), StreamError> {
+        let transfer = self.transfers.get_mut(&cid).ok_or(StreamError::Fatal(FatalError::header(8)))?;
         if ttag != cid {
-            return Err(Broken::Fatal(Fatal::header(10)));
+            return Err(StreamError::Fatal(FatalError::header(10)));
         }
         let end = transfer.data.len() + data.len();
         if offset as usize != transfer.data.len() || end > transfer.size || last != (end == transfer.size) {
-            return Err(Broken::Fatal(Fatal::RANGE));
+            return Err(StreamError::Fatal(FatalError::RANGE));
         }
         transfer.data.extend_from_slice(data);
         if !last {
@@ -430,7 +430,7 @@
             // A core that has stopped promises nothing.
             let failed = Answer::Failed { possibly_executed: true, deadline_passed: false };
             let answer = match answer.await {
-                Ok(Ok(Answer::Served(reply))) => match reply.collect(MOST_DATA).await {
+                Ok(Ok(Answer::Served(reply))) => match reply.collect(MAX_DATA_BYTES).await {
                     Some(body) => Ok(Answer::Served(NodeReply::Buffered(body))),
                     None => Ok(failed),
                 },
@@ -440,7 +440,7 @@
         }));
     }
 
-    async fn finish(&mut self, Finished { cid, read, answer }: Finished) -> Result<(), Broken> {
+    async fn finish(&mut self, Finished { cid, read, answer }: Finished) -> Result<(), StreamError> {
         self.open.remove(&cid);
         match (read, &answer) {
             (Some(size), Ok(Answer::Served(NodeReply::Buffered(body)))) => {
@@ -456,7 +456,7 @@
         }
     }
 
-    async fn abort(&mut self, cid: u16, reply: oneshot::Sender<bool>) -> Result<(), Broken> {
+    async fn abort(&mut self, cid: u16, reply: oneshot::Sender<bool>) -> Result<(), StreamError> {
         let found = self.open.get(&cid).cloned();
         // The admin queue may be gone meanwhile.
         let _ = reply.send(found.is_some());
@@ -480,7 +480,7 @@
         }
         Sgl::InCapsule { offset: 0, .. } => Err(Status::SGL_LENGTH),
         Sgl::InCapsule { .. } => Err(Status::SGL_OFFSET),
-        Sgl::Transport { .. } | Sgl::Other(_) => Err(Status::SGL_KIND),
+        Sgl::Transport { .. } | Sgl::Other(_) => Err(Status::SGL_TYPE),
     }
 }
 
--- a/crates/transport/src/nvme/identify.rs
+++ b/crates/transport/src/nvme/identify.rs
@@ -2,8 +2,8 @@
 
 use bytes::{Bytes, BytesMut};
 
-use super::map::{Map, Namespace};
-use super::pdu::MOST_DATA;
+use super::map::{Namespace, NvmeMap};
+use super::pdu::MAX_DATA_BYTES;
 use heathward_policy::Micros;
 
 /// Size of every answer to Identify.
@@ -45,14 +45,14 @@
 }
 
 /// The controller.
-pub fn controller(map: &Map, id: u16, delays: [u16; 3]) -> Bytes {
+pub fn controller(map: &NvmeMap, id: u16, delays: [u16; 3]) -> Bytes {
     let mut page = BytesMut::zeroed(PAGE);
     let mut put = |at: usize, value: &[u8]| page[at..at + value.len()].copy_from_slice(value);
     put(4, b"0                   ");
     put(24, b"heathward                               ");
     put(64, format!("{:<8.8}", env!("CARGO_PKG_VERSION")).as_bytes());
     // Data of one command, as a power of two of 4096 bytes.
-    put(77, &[(MOST_DATA / PAGE).ilog2() as u8]);
+    put(77, &[(MAX_DATA_BYTES / PAGE).ilog2() as u8]);
     put(78, &id.to_le_bytes());
     put(80, &VERSION.to_le_bytes());
     // An I/O controller.
@@ -82,7 +82,7 @@
 }
 
 /// A namespace.
-pub fn namespace(map: &Map, of: &Namespace) -> Bytes {
+pub fn namespace(map: &NvmeMap, of: &Namespace) -> Bytes {
     let mut page = BytesMut::zeroed(PAGE);
     let mut put = |at: usize, value: &[u8]| page[at..at + value.len()].copy_from_slice(value);
     for at in [0, 8, 16] {
@@ -99,7 +99,7 @@
 }
 
 /// Numbers of the namespaces above `after`.
-pub fn active(map: &Map, after: u32) -> Bytes {
+pub fn active(map: &NvmeMap, after: u32) -> Bytes {
     let mut page = BytesMut::zeroed(PAGE);
     let above = map.namespaces.iter().filter(|n| n.nsid > after);
     for (n, place) in above.zip(page.chunks_exact_mut(4)) {
--- a/crates/transport/src/nvme/initiator.rs
+++ b/crates/transport/src/nvme/initiator.rs
@@ -11,12 +11,12 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep_until, timeout_at, Instant};
 
-use super::command::{Blocks, Body, Command, Completion, Connect, ConnectData, Sgl, Status};
+use super::command::{BlockRange, Body, Command, Completion, Connect, ConnectData, Sgl, Status};
 use super::identify::{CC, CSTS};
-use super::map::Map;
-use super::pdu::{Pdu, MOST_DATA};
-use super::wire::{Broken, Wire};
-use crate::node::{Connection, Done, Job};
+use super::map::NvmeMap;
+use super::pdu::{Pdu, MAX_DATA_BYTES};
+use super::wire::{PduStream, StreamError};
+use crate::node::{Connection, LinkRequest, LinkResponse};
 use heathward_core::{Attempt, NodeRequest};
 use heathward_policy::AttemptEnd;
 
@@ -32,8 +32,8 @@
 
 /// An association with a target: its admin queue and one I/O queue. Both close when dropped.
 pub struct NvmeConnection {
-    admin: Wire,
-    io: Wire,
+    admin: PduStream,
+    io: PduStream,
     /// Data in a capsule, and in one H2CData, at most.
     in_capsule: usize,
     max_h2c: usize,
@@ -59,7 +59,7 @@
 }
 
 impl NvmeConnection {
-    async fn open(address: SocketAddr, subsystem: &str) -> Result<Self, Broken> {
+    async fn open(address: SocketAddr, subsystem: &str) -> Result<Self, StreamError> {
         let host = format!("nqn.2014-08.org.nvmexpress:uuid:heathward-{}", std::process::id());
         let names =
             |controller| ConnectData { controller, subsystem: subsystem.to_owned(), host: host.clone() };
@@ -73,19 +73,25 @@
         }
         let identify = Body::Identify { nsid: 0, cns: 1 };
         let (_, page) = ask(&mut admin, identify, Sgl::Transport { length: PAGE }, Bytes::new()).await?;
-        let size = page.get(CAPSULE_SIZE..CAPSULE_SIZE + 4).ok_or(Broken::Closed)?;
+        let size = page.get(CAPSULE_SIZE..CAPSULE_SIZE + 4).ok_or(StreamError::Closed)?;
         let size = u32::from_le_bytes([size[0], size[1], size[2], size[3]]) as usize;
         let queues = Body::SetFeatures { feature: 0x07, value: 0 };
         ask(&mut admin, queues, Sgl::Transport { length: 0 }, Bytes::new()).await?;
         let (mut io, max_h2c) = queue(address).await?;
         connect(&mut io, 1, names(id)).await?;
-        let in_capsule = size.saturating_mul(16).saturating_sub(64).min(MOST_DATA);
+        let in_capsule = size.saturating_mul(16).saturating_sub(64).min(MAX_DATA_BYTES);
         Ok(Self { admin, io, in_capsule, max_h2c, cid: 0 })
     }
 
     /// One read or write, from its first byte to its completion. Once its client has left, no more of it is
     /// written; what is written whole goes on.
-    async fn exchange(&mut self, attempt: &Attempt, blocks: Blocks, data: Bytes, size: usize) -> Exchange {
+    async fn exchange(
+        &mut self,
+        attempt: &Attempt,
+        blocks: BlockRange,
+        data: Bytes,
+        size: usize,
+    ) -> Exchange {
         let Attempt { cancel, .. } = attempt;
         let write = attempt.node_request.is_write;
         self.cid = self.cid.wrapping_add(1);
@@ -106,11 +112,11 @@
             let broke = BrokeOff { whole, spoilt: true };
             let next = tokio::select! {
                 biased;
-                () = cancel.cancelled(), if !whole => Err(Broken::Closed),
+                () = cancel.cancelled(), if !whole => Err(StreamError::Closed),
                 next = self.io.next() => next,
             };
             match next {
-                Err(Broken::Closed) => return Err(BrokeOff { whole, spoilt: false }),
+                Err(StreamError::Closed) => return Err(BrokeOff { whole, spoilt: false }),
                 Ok(Pdu::Response(completion)) if completion.cid == cid => {
                     return Ok((completion.status, page.freeze()));
                 }
@@ -153,19 +159,19 @@
 type Exchange = Result<(Status, Bytes), BrokeOff>;
 
 /// Opens a connection that can become a queue; gives back how much data one PDU to it may carry.
-async fn queue(address: SocketAddr) -> Result<(Wire, usize), Broken> {
-    let mut wire = Wire::new(TcpStream::connect(address).await?)?;
+async fn queue(address: SocketAddr) -> Result<(PduStream, usize), StreamError> {
+    let mut wire = PduStream::new(TcpStream::connect(address).await?)?;
     wire.send(&[Pdu::IcReq { pfv: 0, hpda: 0, digests: 0, max_r2t: 0 }]).await?;
     match wire.next().await? {
         Pdu::IcResp { pfv: 0, cpda, digests: 0, max_h2c } if cpda <= 31 && max_h2c >= 4096 => {
             wire.align(cpda);
-            Ok((wire, (max_h2c as usize).min(MOST_DATA)))
+            Ok((wire, (max_h2c as usize).min(MAX_DATA_BYTES)))
         }
-        _ => Err(Broken::Closed),
+        _ => Err(StreamError::Closed),
     }
 }
 
-async fn connect(wire: &mut Wire, queue: u16, names: ConnectData) -> Result<Completion, Broken> {
+async fn connect(wire: &mut PduStream, queue: u16, names: ConnectData) -> Result<Completion, StreamError> {
     let body = Body::Connect(Connect { format: 0, queue, size: QUEUE_SIZE, keep_alive: 0 });
     let data = names.encode();
     let sgl = Sgl::InCapsule { offset: 0, length: data.len() as u32 };
@@ -173,7 +179,12 @@
 }
 
 /// One command on an otherwise quiet queue, which must succeed.
-async fn ask(wire: &mut Wire, body: Body, sgl: Sgl, data: Bytes) -> Result<(Completion, BytesMut), Broken> {
+async fn ask(
+    wire: &mut PduStream,
+    body: Body,
+    sgl: Sgl,
+    data: Bytes,
+) -> Result<(Completion, BytesMut), StreamError> {
     wire.send(&[Pdu::Capsule { command: Command::new(0, sgl, body), data }]).await?;
     let mut page = BytesMut::new();
     loop {
@@ -184,7 +195,7 @@
             Pdu::Response(completion) if completion.status == Status::SUCCESS => {
                 return Ok((completion, page));
             }
-            _ => return Err(Broken::Closed),
+            _ => return Err(StreamError::Closed),
         }
     }
 }
@@ -194,17 +205,17 @@
 pub struct NvmeLink {
     address: SocketAddr,
     subsystem: Arc<str>,
-    map: Arc<Map>,
+    map: Arc<NvmeMap>,
 }
 
 impl NvmeLink {
     /// The way to the subsystem at that address.
-    pub fn new(address: SocketAddr, subsystem: &str, map: Arc<Map>) -> Self {
+    pub fn new(address: SocketAddr, subsystem: &str, map: Arc<NvmeMap>) -> Self {
         Self { address, subsystem: subsystem.into(), map }
     }
 
     /// The blocks of a work, and how many bytes they hold.
-    fn blocks(&self, work: &NodeRequest) -> Option<(Blocks, usize)> {
+    fn blocks(&self, work: &NodeRequest) -> Option<(BlockRange, usize)> {
         let block = self.map.block as usize;
         let size = match (work.is_write, work.read_length) {
             (true, _) => work.body.len(),
@@ -212,15 +223,17 @@
             (false, None) => (work.units.saturating_mul(self.map.unit_blocks)) as usize * block,
         };
         let count = size.div_ceil(block);
-        let blocks = self.map.blocks(work.volume, work.key, u32::try_from(count).ok()?)?;
-        (count * block <= MOST_DATA).then_some((blocks, count * block))
+        let blocks = self.map.block_range(work.volume, work.key, u32::try_from(count).ok()?)?;
+        (count * block <= MAX_DATA_BYTES).then_some((blocks, count * block))
     }
 
     /// One attempt. As over HTTP, what is given up on is closed before the end is told.
-    async fn run(self, job: Job<NvmeConnection>) -> Done<NvmeConnection> {
-        let Job { attempt, mut idle, connect_by } = job;
+    async fn run(self, job: LinkRequest<NvmeConnection>) -> LinkResponse<NvmeConnection> {
+        let LinkRequest { attempt, idle_connection: mut idle, dial_deadline } = job;
         let (work, until) = (&attempt.node_request, attempt.deadline);
-        let Some((blocks, size)) = self.blocks(work) else { return Done::lost(AttemptEnd::NotSent) };
+        let Some((blocks, size)) = self.blocks(work) else {
+            return LinkResponse::closed(AttemptEnd::NotSent);
+        };
         let mut data = BytesMut::from(&*work.body);
         if work.is_write {
             data.resize(size, 0);
@@ -232,16 +245,16 @@
                 Some(connection) => connection,
                 None => {
                     let opened = NvmeConnection::open(self.address, &self.subsystem);
-                    let opened = timeout_at(connect_by.min(attempt.connect_deadline), opened);
+                    let opened = timeout_at(dial_deadline.min(attempt.connect_deadline), opened);
                     let opened = tokio::select! {
                         biased;
                         // Whoever has left waits for no connection, and holds none.
-                        () = attempt.cancel.cancelled() => return Done::lost(AttemptEnd::NotSent),
+                        () = attempt.cancel.cancelled() => return LinkResponse::closed(AttemptEnd::NotSent),
                         opened = opened => opened,
                     };
                     match opened {
                         Ok(Ok(connection)) => connection,
-                        _ => return Done::lost(AttemptEnd::NotConnected),
+                        _ => return LinkResponse::closed(AttemptEnd::NotConnected),
                     }
                 }
             };
@@ -249,22 +262,22 @@
                 continue;
             }
             if !attempt.may_start() {
-                return Done::back(AttemptEnd::NotSent, Bytes::new(), connection);
+                return LinkResponse::reusable(AttemptEnd::NotSent, Bytes::new(), connection);
             }
             let exchange = connection.exchange(&attempt, blocks, data.clone(), size);
             return match timeout_at(until, exchange).await {
-                Ok(Ok((status, body))) => Done::back(end_of(status), body, connection),
+                Ok(Ok((status, body))) => LinkResponse::reusable(end_of(status), body, connection),
                 // Its client has left, and the target has not had the command whole.
                 Ok(Err(BrokeOff { whole: false, .. })) if attempt.cancel.is_cancelled() => {
-                    Done::lost(AttemptEnd::NotSent)
+                    LinkResponse::closed(AttemptEnd::NotSent)
                 }
                 // The target has not had the command whole: on an old queue it is still the same attempt.
                 Ok(Err(BrokeOff { whole: false, .. })) if reused => continue,
-                Ok(Err(BrokeOff { whole: false, .. })) => Done::lost(AttemptEnd::NotConnected),
+                Ok(Err(BrokeOff { whole: false, .. })) => LinkResponse::closed(AttemptEnd::NotConnected),
                 // As over HTTP: it may have run, and the target did not go down.
-                Ok(Err(BrokeOff { spoilt: true, .. })) => Done::lost(AttemptEnd::Error),
-                Ok(Err(BrokeOff { .. })) => Done::lost(AttemptEnd::Reset),
-                Err(_) => Done::lost(AttemptEnd::TimedOut),
+                Ok(Err(BrokeOff { spoilt: true, .. })) => LinkResponse::closed(AttemptEnd::Error),
+                Ok(Err(BrokeOff { .. })) => LinkResponse::closed(AttemptEnd::Reset),
+                Err(_) => LinkResponse::closed(AttemptEnd::TimedOut),
             };
         }
     }
@@ -272,7 +285,7 @@
 
 /// Only a namespace that is not ready has surely run nothing and will later; all else may have run.
 fn end_of(status: Status) -> AttemptEnd {
-    let plain = Status { delay: 0, final_: false, ..status };
+    let plain = Status { retry_delay: 0, do_not_retry: false, ..status };
     match plain {
         Status::SUCCESS => AttemptEnd::Served,
         Status::NOT_READY => AttemptEnd::Rejected,
@@ -280,8 +293,8 @@
     }
 }
 
-impl tower::Service<Job<NvmeConnection>> for NvmeLink {
-    type Response = Done<NvmeConnection>;
+impl tower::Service<LinkRequest<NvmeConnection>> for NvmeLink {
+    type Response = LinkResponse<NvmeConnection>;
     type Error = Infallible;
     type Future = BoxFuture<'static, Result<Self::Response, Infallible>>;
 
@@ -289,7 +302,7 @@
         Poll::Ready(Ok(()))
     }
 
-    fn call(&mut self, job: Job<NvmeConnection>) -> Self::Future {
+    fn call(&mut self, job: LinkRequest<NvmeConnection>) -> Self::Future {
         let link = self.clone();
         Box::pin(async move { Ok(link.run(job).await) })
     }
--- a/crates/transport/src/nvme/map.rs
+++ b/crates/transport/src/nvme/map.rs
@@ -4,8 +4,8 @@
 
 use miniserde::{json, Deserialize};
 
-use super::command::Blocks;
-use super::pdu::MOST_DATA;
+use super::command::BlockRange;
+use super::pdu::MAX_DATA_BYTES;
 use heathward_policy::settings::{ConfigError, Deployment};
 use heathward_policy::{ClassId, KeyId, PlanId, ShardId, VolumeId};
 
@@ -74,7 +74,7 @@
 
 /// What the file says, checked against the settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Map {
+pub struct NvmeMap {
     /// Where hosts connect.
     pub listen: SocketAddr,
     /// The front's own subsystem.
@@ -97,7 +97,7 @@
     pub targets: Vec<Target>,
 }
 
-impl Map {
+impl NvmeMap {
     /// Decodes the file.
     ///
     /// # Errors
@@ -126,7 +126,7 @@
         fits(block.is_power_of_two() && (512..=4096).contains(&block), "block", block.into())?;
         fits(file.queues > 0, "queues", file.queues.into())?;
         fits((2..=1024).contains(&file.depth), "depth", file.depth.into())?;
-        let units = (MOST_DATA as u32 / block).div_ceil(file.unit_blocks.max(1));
+        let units = (MAX_DATA_BYTES as u32 / block).div_ceil(file.unit_blocks.max(1));
         let most = deployment.settings.max_units;
         fits(file.unit_blocks > 0 && units <= most, "unit_blocks", file.unit_blocks.into())?;
         let mut namespaces = Vec::new();
@@ -185,11 +185,11 @@
 
     /// The blocks of a piece of data: it begins at the block that its key names. `None` for a volume that is
     /// no namespace, or one past its end.
-    pub fn blocks(&self, volume: VolumeId, key: KeyId, count: u32) -> Option<Blocks> {
+    pub fn block_range(&self, volume: VolumeId, key: KeyId, count: u32) -> Option<BlockRange> {
         let namespace = self.namespaces.iter().find(|n| n.volume == volume)?;
         let end = key.0.checked_add(u64::from(count))?;
         let sound = count > 0 && end <= namespace.blocks;
-        sound.then_some(Blocks { nsid: namespace.nsid, first: key.0, count })
+        sound.then_some(BlockRange { nsid: namespace.nsid, first: key.0, count })
     }
 }
 
--- a/crates/transport/src/nvme/mod.rs
+++ b/crates/transport/src/nvme/mod.rs
@@ -14,10 +14,10 @@
 mod subsystem;
 mod wire;
 
-pub use command::{Blocks, Body, Command, Completion, Connect, ConnectData, Sgl, Status, CONNECT_DATA};
+pub use command::{BlockRange, Body, Command, Completion, Connect, ConnectData, Sgl, Status, CONNECT_DATA};
 pub use controller::serve;
 pub use initiator::{NvmeConnection, NvmeLink};
-pub use map::{Map, Namespace, Target};
-pub use pdu::{Fatal, Pdu, MOST_DATA};
+pub use map::{Namespace, NvmeMap, Target};
+pub use pdu::{FatalError, Pdu, MAX_DATA_BYTES};
 pub use subsystem::Subsystem;
-pub use wire::{Broken, Wire};
+pub use wire::{PduStream, StreamError};
--- a/crates/transport/src/nvme/pdu.rs
+++ b/crates/transport/src/nvme/pdu.rs
@@ -5,7 +5,7 @@
 use super::command::{Command, Completion};
 
 /// Data in one PDU, and in one command, at most: what a storage node takes as a body.
-pub const MOST_DATA: usize = 64 * 1024;
+pub const MAX_DATA_BYTES: usize = 64 * 1024;
 /// Length of the header that all PDUs begin with.
 const COMMON: usize = 8;
 /// Header lengths: connection set-up, command capsule, everything that moves data or ends a connection.
@@ -51,7 +51,7 @@
         /// The host does; else the controller.
         by_host: bool,
         /// Why.
-        fatal: Fatal,
+        fatal: FatalError,
         /// The head of the PDU at fault.
         echo: Bytes,
     },
@@ -103,14 +103,14 @@
 
 /// A fatal transport error: its status code, and for header errors the offset of the field at fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Fatal {
+pub struct FatalError {
     /// Fatal error status.
     pub status: u16,
     /// Fatal error information.
     pub info: u32,
 }
 
-impl Fatal {
+impl FatalError {
     /// A field of a PDU's header makes no sense.
     pub const fn header(offset: u32) -> Self {
         Self { status: 1, info: offset }
@@ -133,7 +133,7 @@
     /// # Errors
     /// What a host has to be told before its connection ends: a header, a parameter or a length that is not
     /// valid.
-    pub fn decode(buffer: &mut BytesMut) -> Result<Option<Self>, Fatal> {
+    pub fn decode(buffer: &mut BytesMut) -> Result<Option<Self>, FatalError> {
         let [kind, flags, hlen, pdo, p0, p1, p2, p3, ..] = buffer[..] else { return Ok(None) };
         let (plen, pdo) = (u32::from_le_bytes([p0, p1, p2, p3]) as usize, usize::from(pdo));
         // Header length, and whether data may follow.
@@ -144,22 +144,22 @@
             0x05 => (RESPONSE, false),
             0x06 | 0x07 => (DATA, true),
             0x09 => (DATA, false),
-            _ => return Err(Fatal::header(0)),
+            _ => return Err(FatalError::header(0)),
         };
         if flags & DIGESTS != 0 && kind >= 0x04 {
-            return Err(Fatal::header(1));
+            return Err(FatalError::header(1));
         }
         if usize::from(hlen) != head {
-            return Err(Fatal::header(2));
+            return Err(FatalError::header(2));
         }
-        let most = if carries { head.max(MOST_OFFSET) + MOST_DATA } else { head };
+        let most = if carries { head.max(MOST_OFFSET) + MAX_DATA_BYTES } else { head };
         if plen < head || plen > most {
-            return Err(Fatal::header(4));
+            return Err(FatalError::header(4));
         }
         // A termination's data follows its header at once; it names no offset.
         let start = if plen == head || kind < 0x04 { head } else { pdo };
         if start < head || start > plen || start > head.max(MOST_OFFSET) {
-            return Err(Fatal::header(3));
+            return Err(FatalError::header(3));
         }
         if buffer.len() < plen {
             buffer.reserve(plen - buffer.len());
@@ -179,7 +179,7 @@
                 Self::IcResp { pfv, cpda, digests, max_h2c: rest.get_u32_le() }
             }
             0x02 | 0x03 => {
-                let fatal = Fatal { status: rest.get_u16_le(), info: rest.get_u32_le() };
+                let fatal = FatalError { status: rest.get_u16_le(), info: rest.get_u32_le() };
                 Self::TermReq { by_host: kind == 0x02, fatal, echo: data }
             }
             0x04 => Self::Capsule { command: Command::decode(rest), data },
@@ -189,7 +189,7 @@
                 let (offset, length) = (rest.get_u32_le(), rest.get_u32_le());
                 match kind {
                     0x09 => Self::R2t { cid, ttag, offset, length },
-                    _ if length as usize != data.len() => return Err(Fatal::header(16)),
+                    _ if length as usize != data.len() => return Err(FatalError::header(16)),
                     0x06 => Self::H2cData { cid, ttag, offset, last, data },
                     _ => Self::C2hData { cid, offset, last, data },
                 }
@@ -243,7 +243,7 @@
     }
 
     /// The controller's termination over a broken PDU, of which `buffer` holds the head.
-    pub fn terminate(fatal: Fatal, buffer: &[u8]) -> Self {
+    pub fn terminate(fatal: FatalError, buffer: &[u8]) -> Self {
         let echo = Bytes::copy_from_slice(&buffer[..buffer.len().min(MOST_ECHO)]);
         Self::TermReq { by_host: false, fatal, echo }
     }
--- a/crates/transport/src/nvme/subsystem.rs
+++ b/crates/transport/src/nvme/subsystem.rs
@@ -9,10 +9,10 @@
 use tokio::sync::{mpsc, oneshot, Notify};
 use tokio::time::Instant;
 
-use super::command::{Blocks, Status};
+use super::command::{BlockRange, Status};
 use super::identify;
-use super::map::Map;
-use super::pdu::MOST_DATA;
+use super::map::NvmeMap;
+use super::pdu::MAX_DATA_BYTES;
 use heathward_core::{Answer, ClientRequest, CoreHandle, NodeRequest};
 use heathward_policy::{Idempotency, KeyId};
 
@@ -24,7 +24,7 @@
 
 /// The front's one subsystem, which its queues share.
 pub struct Subsystem {
-    pub(super) map: Arc<Map>,
+    pub(super) map: Arc<NvmeMap>,
     pub(super) core: CoreHandle,
     /// Ids of calls start at a random number, so that a restart repeats none.
     pub(super) calls: Mutex<fastrand::Rng>,
@@ -55,7 +55,7 @@
 
 impl Subsystem {
     /// The subsystem before that core.
-    pub fn new(map: Arc<Map>, core: CoreHandle, seed: u64) -> Arc<Self> {
+    pub fn new(map: Arc<NvmeMap>, core: CoreHandle, seed: u64) -> Arc<Self> {
         let (calls, controllers) = (Mutex::new(fastrand::Rng::with_seed(seed)), Mutex::default());
         Arc::new(Self { map, core, calls, controllers })
     }
@@ -71,7 +71,7 @@
     }
 
     /// The typed request behind a read or a write whose last byte has just come.
-    pub(super) fn call(&self, write: bool, blocks: Blocks, body: Bytes) -> Result<ClientRequest, Status> {
+    pub(super) fn call(&self, write: bool, blocks: BlockRange, body: Bytes) -> Result<ClientRequest, Status> {
         let namespace = self.map.namespace(blocks.nsid).ok_or(Status::INVALID_NAMESPACE)?;
         let class = if write { &self.map.write } else { &self.map.read };
         let deployment = self.core.deployment();
@@ -104,10 +104,10 @@
     }
 
     /// Checks the blocks of a command; gives back the bytes they hold.
-    pub(super) fn check(&self, Blocks { nsid, first, count }: Blocks) -> Result<usize, Status> {
+    pub(super) fn check(&self, BlockRange { nsid, first, count }: BlockRange) -> Result<usize, Status> {
         let namespace = self.map.namespace(nsid).ok_or(Status::INVALID_NAMESPACE)?;
         let size = count as usize * self.map.block as usize;
-        if size > MOST_DATA {
+        if size > MAX_DATA_BYTES {
             return Err(Status::INVALID_FIELD);
         }
         let end = first.checked_add(u64::from(count)).ok_or(Status::LBA_RANGE)?;
@@ -128,11 +128,12 @@
         match answer {
             Err(Aborted) | Ok(Answer::Failed { deadline_passed: true, .. }) => Status::ABORTED,
             Ok(Answer::Served(_)) => Status::SUCCESS,
-            Ok(Answer::Shed { retry_after }) => {
-                Status { delay: identify::delay_for(*retry_after, self.delays()), ..Status::INTERRUPTED }
-            }
+            Ok(Answer::Shed { retry_after }) => Status {
+                retry_delay: identify::delay_for(*retry_after, self.delays()),
+                ..Status::INTERRUPTED
+            },
             Ok(Answer::Duplicate) => Status::CID_CONFLICT,
-            Ok(Answer::Failed { possibly_executed: true, .. }) if write => Status::INTERNAL.last(),
+            Ok(Answer::Failed { possibly_executed: true, .. }) if write => Status::INTERNAL.without_retry(),
             Ok(Answer::Failed { .. }) => Status::INTERNAL,
         }
     }
--- a/crates/transport/src/nvme/wire.rs
+++ b/crates/transport/src/nvme/wire.rs
@@ -9,18 +9,18 @@
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWriteExt, ReadBuf};
 use tokio::net::TcpStream;
 
-use super::pdu::{Fatal, Pdu};
+use super::pdu::{FatalError, Pdu};
 
 /// Why a connection can't go on.
 #[derive(Debug)]
-pub enum Broken {
+pub enum StreamError {
     /// It ended, or the socket failed.
     Closed,
     /// What came makes no sense.
-    Fatal(Fatal),
+    Fatal(FatalError),
 }
 
-impl From<io::Error> for Broken {
+impl From<io::Error> for StreamError {
     fn from(_: io::Error) -> Self {
         Self::Closed
     }
@@ -28,7 +28,7 @@
 
 /// One connection, which is one queue.
 #[derive(Debug)]
-pub struct Wire {
+pub struct PduStream {
     stream: TcpStream,
     input: BytesMut,
     output: BytesMut,
@@ -36,7 +36,7 @@
     align: usize,
 }
 
-impl Wire {
+impl PduStream {
     /// A connection over that stream.
     ///
     /// # Errors
@@ -55,13 +55,13 @@
     ///
     /// # Errors
     /// That the connection has ended or failed, or that what came is no valid PDU.
-    pub async fn next(&mut self) -> Result<Pdu, Broken> {
+    pub async fn next(&mut self) -> Result<Pdu, StreamError> {
         loop {
-            if let Some(pdu) = Pdu::decode(&mut self.input).map_err(Broken::Fatal)? {
+            if let Some(pdu) = Pdu::decode(&mut self.input).map_err(StreamError::Fatal)? {
                 return Ok(pdu);
             }
             if self.stream.read_buf(&mut self.input).await? == 0 {
-                return Err(Broken::Closed);
+                return Err(StreamError::Closed);
             }
         }
     }
@@ -82,7 +82,7 @@
     ///
     /// # Errors
     /// The connection's; the reason may not have reached the other side then.
-    pub async fn terminate(&mut self, fatal: Fatal) -> io::Result<()> {
+    pub async fn terminate(&mut self, fatal: FatalError) -> io::Result<()> {
         let term = Pdu::terminate(fatal, &self.input);
         self.send(&[term]).await?;
         self.stream.shutdown().await?;
--- a/testing/fakes/src/nvme.rs
+++ b/testing/fakes/src/nvme.rs
@@ -7,7 +7,7 @@
 
 use bytes::{Bytes, BytesMut};
 use heathward_transport::nvme::{
-    Blocks, Body, Command, Completion, Connect, ConnectData, Pdu, Sgl, Status, Wire,
+    BlockRange, Body, Command, Completion, Connect, ConnectData, Pdu, PduStream, Sgl, Status,
 };
 use tokio::net::TcpStream;
 use tokio::time::timeout;
@@ -36,7 +36,8 @@
             let (stream, _) = listener.accept().await.expect("a connection");
             let (script, log, disk) = (script.clone(), log.clone(), disk.clone());
             tokio::spawn(async move {
-                target_queue(Wire::new(stream).expect("a connection"), number, &script, &log, &disk).await
+                target_queue(PduStream::new(stream).expect("a connection"), number, &script, &log, &disk)
+                    .await
             });
         }
     });
@@ -45,7 +46,7 @@
 
 /// One queue of it; `None` once it has ended.
 async fn target_queue(
-    mut wire: Wire,
+    mut wire: PduStream,
     number: u32,
     script: &Script,
     log: &Log,
@@ -104,10 +105,10 @@
 }
 
 async fn answer_io(
-    wire: &mut Wire,
+    wire: &mut PduStream,
     does: Does,
     command: Command,
-    Blocks { first, count, .. }: Blocks,
+    BlockRange { first, count, .. }: BlockRange,
     write: bool,
     body: Bytes,
     disk: &Mutex<HashMap<u64, Bytes>>,
@@ -147,17 +148,18 @@
 /// A host: an admin queue and an I/O queue.
 pub struct Host {
     /// The admin queue.
-    pub admin: Wire,
+    pub admin: PduStream,
     /// The I/O queue.
-    pub io: Wire,
+    pub io: PduStream,
 }
 
 /// A connection on which the handshake of the transport is done.
 ///
 /// # Panics
 /// If nobody listens there, or the connection breaks.
-pub async fn wire(address: SocketAddr) -> Wire {
-    let mut wire = Wire::new(TcpStream::connect(address).await.expect("a listener")).expect("a connection");
+pub async fn wire(address: SocketAddr) -> PduStream {
+    let mut wire =
+        PduStream::new(TcpStream::connect(address).await.expect("a listener")).expect("a connection");
     wire.send(&[Pdu::IcReq { pfv: 0, hpda: 0, digests: 0, max_r2t: 0 }])
         .await
         .expect("the connection is open");
@@ -169,7 +171,7 @@
 ///
 /// # Panics
 /// If no valid PDU comes in time.
-pub async fn next_pdu(wire: &mut Wire) -> Pdu {
+pub async fn next_pdu(wire: &mut PduStream) -> Pdu {
     timeout(PATIENCE, wire.next()).await.expect("in time").expect("a sound PDU")
 }
 
@@ -182,7 +184,7 @@
 ///
 /// # Panics
 /// If the connection breaks, or the answer is not one to that command.
-pub async fn ask(wire: &mut Wire, cid: u16, body: Body, sgl: Sgl, data: Bytes) -> (Completion, Vec<u8>) {
+pub async fn ask(wire: &mut PduStream, cid: u16, body: Body, sgl: Sgl, data: Bytes) -> (Completion, Vec<u8>) {
     wire.send(&[capsule(cid, body, sgl, data.clone())]).await.expect("the connection is open");
     finish(wire, cid, data).await
 }
@@ -191,7 +193,7 @@
 ///
 /// # Panics
 /// If the connection breaks, or the answer is not one to that command.
-pub async fn finish(wire: &mut Wire, cid: u16, data: Bytes) -> (Completion, Vec<u8>) {
+pub async fn finish(wire: &mut PduStream, cid: u16, data: Bytes) -> (Completion, Vec<u8>) {
     let mut page = Vec::new();
     loop {
         match next_pdu(wire).await {
@@ -222,7 +224,7 @@
 }
 
 /// Connects to a queue.
-pub async fn join(wire: &mut Wire, queue: u16, controller: u16, keep_alive: u32) -> Completion {
+pub async fn join(wire: &mut PduStream, queue: u16, controller: u16, keep_alive: u32) -> Completion {
     let (body, data) = connect(queue, controller, keep_alive);
     ask(wire, 0, body, Sgl::InCapsule { offset: 0, length: 1024 }, data).await.0
 }
@@ -256,7 +258,7 @@
         let (length, count) = (data.len() as u32, (data.len() / SMALL) as u32);
         let small = data.len() <= 8192;
         let sgl = if small { Sgl::InCapsule { offset: 0, length } } else { Sgl::Transport { length } };
-        let body = Body::Write(Blocks { nsid, first, count });
+        let body = Body::Write(BlockRange { nsid, first, count });
         let data = Bytes::from(data);
         let inside = if small { data.clone() } else { Bytes::new() };
         self.io.send(&[capsule(4, body, sgl, inside)]).await.expect("the connection is open");
@@ -266,6 +268,6 @@
 
 /// A read of that many bytes.
 pub fn read_of(nsid: u32, first: u64, size: usize) -> (Body, Sgl) {
-    let blocks = Blocks { nsid, first, count: (size / SMALL) as u32 };
+    let blocks = BlockRange { nsid, first, count: (size / SMALL) as u32 };
     (Body::Read(blocks), Sgl::Transport { length: size as u32 })
 }
--- a/testing/fakes/src/rig.rs
+++ b/testing/fakes/src/rig.rs
@@ -7,8 +7,8 @@
 use heathward_config::{self as config, Config};
 use heathward_core::{self as core, CoreHandle, CoreMessage, Counters, Endpoint};
 use heathward_transport::http::{self, ConnectionTable, Front};
-use heathward_transport::node::{self, HttpLink, Limits, Pool};
-use heathward_transport::nvme::{Map, NvmeLink};
+use heathward_transport::node::{self, ConnectionPool, HttpLink, PoolLimits};
+use heathward_transport::nvme::{NvmeLink, NvmeMap};
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, watch};
@@ -66,7 +66,7 @@
 }
 
 /// With that list of nodes.
-pub async fn rig(members: &[String], nvme: Option<Arc<Map>>) -> Rig {
+pub async fn rig(members: &[String], nvme: Option<Arc<NvmeMap>>) -> Rig {
     rig_of(&config_text("127.0.0.1:1", "127.0.0.1:1", &members.join(",")), nvme).await
 }
 
@@ -74,12 +74,12 @@
 ///
 /// # Panics
 /// If the configuration is not valid.
-pub async fn rig_of(text: &str, nvme: Option<Arc<Map>>) -> Rig {
+pub async fn rig_of(text: &str, nvme: Option<Arc<NvmeMap>>) -> Rig {
     let Config { seed, cached_endpoints: known, deployment, .. } =
         config::parse_configuration(text).expect("a valid configuration");
     let deployment = Arc::new(deployment);
-    let (_, limits) = watch::channel(Limits::new(&deployment, NODE_SOCKETS, 4));
-    let pool = Pool::new(limits);
+    let (_, limits) = watch::channel(PoolLimits::new(&deployment, NODE_SOCKETS, 4));
+    let pool = ConnectionPool::new(limits);
     let dial = move |member: &Endpoint, core: mpsc::Sender<CoreMessage>| {
         if let Some(map) = &nvme {
             if let Some(target) = map.targets.iter().find(|t| *t.node == *member.id) {
