--- a/crates/transport/src/http/body.rs
+++ b/crates/transport/src/http/body.rs
@@ -1,4 +1,4 @@
-//! What the front gives back: a whole body, or one that passes.
+//! The body of an answer to a client: buffered, or streamed from a node.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 
 /// The body of an answer to a client.
 pub enum AnswerBody {
-    /// Held whole.
+    /// The complete body; `None` if it is empty or was sent.
     Buffered(Option<Bytes>),
     /// On its way from a node, to that client.
     Streamed(StreamedReply, Arc<Client>),
--- a/crates/transport/src/http/connection.rs
+++ b/crates/transport/src/http/connection.rs
@@ -19,17 +19,18 @@
 use super::HEAD_LIMIT;
 use heathward_core::Draining;
 
-/// A pause after a connection could not be accepted, so that a lack of descriptors is no busy loop.
+/// The pause after a failed accept, so that a lack of descriptors does not cause a busy loop.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
-/// The answer to a request that is not complete in time.
+/// The answer to a request that was not received completely in time.
 const TIMEOUT_ANSWER: &[u8] =
     b"HTTP/1.1 408 Request Timeout\r\nconnection: close\r\ncontent-length: 0\r\n\r\n";
-/// How often it is checked for an idle connection whether the table has become crowded.
+/// The interval at which a connection that is idle for long checks whether the table has become crowded.
 const CROWDING_CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// An idle connection is closed this long after the start of a pause, or after its last answer.
+/// While an operator has paused the scheduler, an idle connection is closed this long after the start of the
+/// pause or after its last answer, whichever is later.
 const PAUSED_IDLE_TIMEOUT: Duration = Duration::from_millis(800);
-/// The same once another process takes what comes: there is more time, and a client whose request crosses the
-/// close has to come again.
+/// The same while another process accepts the new connections. It is longer because nothing is urgent then,
+/// and a client whose request crosses the close has to send it again.
 const REPLACED_IDLE_TIMEOUT: Duration = Duration::from_millis(2030);
 /// Input after the last answer is discarded in pieces of this many bytes.
 const DISCARD_BUFFER_BYTES: usize = 64 * 1024;
@@ -50,34 +51,34 @@
                 continue;
             }
         };
-        // With none to spare, the newcomer's connection is closed at once.
+        // If no connection can be evicted for it, the new one is closed at once.
         if let Some(slot) = table.admit(Instant::now()) {
             tokio::spawn(serve_connection(stream, front.clone(), slot, stopping.clone()));
         }
     }
 }
 
-/// What happens to a connection while its requests are served.
+/// An event that ends or changes the serving of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ConnectionEvent {
-    /// It ended by what was read or written on it.
+    /// The HTTP exchange on it has ended, or it failed.
     Ended,
-    /// Its client disconnected while a request of it was worked on.
+    /// The client disconnected while its request was being processed.
     ClientDisconnected,
-    /// Its time in a phase is over.
+    /// The time limit of its phase has passed.
     TimedOut,
-    /// It has to make room for another connection.
+    /// It is evicted in favour of another connection.
     Evicted,
-    /// The program shuts down.
+    /// The program is shutting down.
     ShuttingDown,
-    /// Clients are to be sent away, or no longer.
+    /// The scheduler has begun or stopped draining its clients.
     DrainingChanged,
 }
 
 /// How a connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Close {
-    /// Its client can still read what was written last.
+    /// After the client had time to read what was written last.
     Lingering,
     /// At once.
     Immediate,
@@ -85,9 +86,9 @@
 
 type HttpConnection = http1::Connection<TokioIo<ClientStream>, TowerToHyperService<ConnectionService>>;
 
-/// How long a connection is kept.
+/// The rules for how long a connection is kept open.
 struct Retention {
-    /// It carries no request after the present one.
+    /// The connection carries no request after the current one.
     last_request: bool,
     /// Since when and for how long idle connections are kept, while clients are sent away.
     closing: Option<(Instant, Duration)>,
@@ -96,7 +97,7 @@
 }
 
 impl Retention {
-    /// When a connection in its present phase has had its time.
+    /// Returns when a connection in this phase times out.
     fn deadline(&self, phase: Phase) -> Option<Instant> {
         let until = phase.until()?;
         Some(match (phase, self.closing) {
@@ -145,15 +146,15 @@
     if close == Close::Immediate {
         return;
     }
-    // What was being worked on is dropped with it.
+    // Drops the request that was being processed, if any.
     drop(connection);
     if let Some(mut stream) = stream.into_stream() {
         linger(&mut stream, &client).await;
     }
 }
 
-/// Serves a connection until something happens to it. `stop` is ready once the program shuts down, and `turn`
-/// once clients are to be sent away or no longer.
+/// Serves a connection until the next event. `stop_requested` is ready once the program shuts down, and
+/// `draining_changed` once the scheduler has begun or stopped draining its clients.
 async fn next_event(
     connection: &mut HttpConnection,
     client: &Client,
@@ -166,11 +167,11 @@
     let mut evicted = pin!(client.evicted.notified());
     let (mut stop, mut turn) = (pin!(stop), pin!(turn));
     poll_fn(|cx| {
-        // Before anything more is read: a request that is read from now on would be dropped.
+        // Checked before anything more is read: a request that is read from now on would be dropped.
         if evicted.as_mut().poll(cx).is_ready() {
             return Poll::Ready(ConnectionEvent::Evicted);
         }
-        // A client that breaks off ends its connection; its request is dropped, and the core hears of it.
+        // When a client aborts its connection, the request is dropped, which notifies the core.
         if connection.poll_without_shutdown(cx).is_ready() {
             return Poll::Ready(ConnectionEvent::Ended);
         }
--- a/crates/transport/src/http/connections.rs
+++ b/crates/transport/src/http/connections.rs
@@ -1,4 +1,5 @@
-//! Who is connected: what each connection is at and until when, and who makes way for a newcomer.
+//! The table of client connections: the phase and the deadline of each, and which one is evicted for a new
+//! one.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -8,24 +9,26 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// The time for a request, from its connection or, on one that has carried others, from its first byte. A
-/// client that exceeds it gets its error or the end of its connection within 3 s.
+/// The time in which a request must be received, counted from the accept of its connection or, after an
+/// earlier request, from its first byte. A client that exceeds it gets an error or a closed connection within
+/// 3 s.
 pub const REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
-/// An idle connection is kept for so long while places are scarce.
+/// How long an idle connection is kept while the table is crowded.
 const CROWDED_IDLE_TIMEOUT: Duration = Duration::from_millis(2030);
-/// The same while all find room.
+/// How long an idle connection is kept while the table is not crowded.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Ranks of connections for eviction, the lowest first: one that is being closed anyway,
+/// Rank of a connection that is being closed. The connection with the lowest rank is evicted first, and among
+/// equal ranks the one that has been in its phase for the longest.
 const LINGERING_RANK: u8 = 0;
-/// one that has been idle for long,
+/// Rank of a connection that has been idle for at least [`CROWDED_IDLE_TIMEOUT`].
 const IDLE_RANK: u8 = 1;
-/// one on which nothing has come yet,
+/// Rank of a connection on which nothing was received yet.
 const CONNECTED_RANK: u8 = 2;
-/// one whose request does not come to its end,
+/// Rank of a connection whose request is still being received.
 const SLOW_REQUEST_RANK: u8 = 3;
-/// and one that has not been idle for long.
+/// Rank of a connection that has been idle for less than [`CROWDED_IDLE_TIMEOUT`].
 const RECENTLY_IDLE_RANK: u8 = 4;
-/// A client that reads nothing of a streamed answer for this long has disconnected.
+/// A client that reads nothing of a streamed answer for this long is taken as disconnected.
 const STALLED_CLIENT_TIMEOUT: Duration = Duration::from_secs(15);
 /// The time that a client has to read the last answer on its connection and to close it.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
@@ -50,13 +53,13 @@
     },
     /// A request was received completely and has no answer yet.
     Processing,
-    /// A piece of a streamed body waits for the node to accept it.
+    /// A chunk of a streamed body waits for the node to accept it.
     ForwardingBody,
     /// A streamed answer is being sent; the client last read some of it at that time.
     StreamingAnswer(Instant),
     /// Between requests.
     Idle(Instant),
-    /// The last answer is given; the client reads it.
+    /// The last answer was written; the client has time to read it.
     Lingering(Instant),
 }
 
@@ -82,8 +85,8 @@
         }
     }
 
-    /// The rank of a connection in this phase for eviction, and since when it has been in it; `None` if it is
-    /// not evicted.
+    /// Returns the eviction rank of a connection in this phase, and since when it has been in it; `None` if
+    /// it must not be evicted.
     fn eviction_rank(self, now: Instant) -> Option<(u8, Instant)> {
         let lasting = |since| now.saturating_duration_since(since);
         let (rank, since, after) = match self {
@@ -105,8 +108,8 @@
     }
 }
 
-/// How often a head tells the length of its body. hyper shows one where there are two, by which another
-/// request may be hidden.
+/// Whether a head states the length of its body unambiguously. hyper shows only one of two statements, which
+/// would allow request smuggling.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
     /// Once or not at all.
@@ -117,7 +120,7 @@
     Unknown,
 }
 
-/// The head that is coming, as far as its lengths go.
+/// Scans the head of a request for the headers that state the length of its body.
 #[derive(Clone, Debug, Default)]
 struct Head {
     /// The beginning of the line that is coming, in lower case, and how long it is.
@@ -156,7 +159,7 @@
     }
 }
 
-/// One connection's entry.
+/// The state of one client connection.
 #[derive(Debug)]
 pub struct Client {
     phase: Mutex<Phase>,
@@ -169,7 +172,7 @@
     pub cut: Notify,
 }
 
-/// Nobody panics while holding one of these locks for a look-up.
+/// Locks a mutex. No code panics while it holds one of these locks, so a poisoned one is used as it is.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
@@ -254,8 +257,8 @@
     (cap / 16).max(1)
 }
 
-/// The connections that the front holds. It never stops taking new ones: when it is full, the one that can
-/// best be spared makes way, so that those who hold a connection and say nothing keep nobody out.
+/// The client connections of the front. It never stops accepting: when the table is full, the connection with
+/// the lowest eviction rank is evicted, so that silent clients do not keep others out.
 #[derive(Clone, Debug)]
 pub struct ConnectionTable {
     /// What it holds by itself, by which it is told whether places are scarce, and what it may hold now.
@@ -264,10 +267,10 @@
     slots: Arc<Mutex<Slots>>,
 }
 
-/// A place in the table, free again once dropped.
+/// A connection's entry in the table, removed when dropped.
 #[derive(Debug)]
 pub struct Slot {
-    /// The table.
+    /// The table that holds the entry.
     pub table: ConnectionTable,
     number: u64,
     /// Its entry.
@@ -287,12 +290,13 @@
         self.cap.store(cap, Ordering::Relaxed);
     }
 
-    /// Half of the places are taken.
+    /// Whether at least half of the capacity is in use.
     pub fn crowded(&self) -> bool {
         2 * lock(&self.slots).taken.len() >= self.most.load(Ordering::Relaxed)
     }
 
-    /// A place for a newcomer; `None` if all are taken by those who can't be spared.
+    /// Adds an entry for a new connection, and evicts another one for it if necessary. `None` if the table is
+    /// full and no connection may be evicted.
     pub fn admit(&self, now: Instant) -> Option<Slot> {
         let (mut slots, most) = (lock(&self.slots), self.most.load(Ordering::Relaxed));
         let cap = self.cap.load(Ordering::Relaxed);
--- a/crates/transport/src/http/connections/tests.rs
+++ b/crates/transport/src/http/connections/tests.rs
@@ -2,9 +2,9 @@
 
 use super::*;
 
-/// A flood of newcomers that ask and stay, at random moments. Guards against closing connections outright for
-/// want of places, and against more of them open than there are places, those that are being closed with
-/// them.
+/// Many clients connect at random times, send a request and stay connected. Guards against closing
+/// connections abruptly when the table is full, and against more open and closing connections than their
+/// limits allow.
 #[test]
 fn whoever_makes_way_is_closed_in_order_and_the_limit_holds() {
     for cap in [1, 2, 16, 48, 256] {
--- a/crates/transport/src/http/decode.rs
+++ b/crates/transport/src/http/decode.rs
@@ -1,4 +1,4 @@
-//! A request's head and body to a typed call.
+//! Decodes the head and the body of an HTTP request into a request to the core.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,12 +18,12 @@
 /// No client waits longer; what claims to is cut to it.
 const LONGEST_MS: u64 = 3_600_000;
 
-/// Why a request makes no sense: the part of it that is at fault.
+/// A request that is not valid: the name of the header or of the part that is at fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InvalidRequest(pub &'static str);
 
-/// Decodes a request whose last byte came at `arrived`; or of a body of some length its beginning, and the
-/// rest is coming.
+/// Decodes a request whose last byte arrived at `received_at`. If the body is too long to be buffered, `body`
+/// is its first part, `remaining_body` the length of the complete body, if that is announced, and the rest.
 ///
 /// # Errors
 /// The header or the part of the request line that is missing, repeated or not valid.
@@ -37,7 +37,7 @@
     let text = |name: &'static str| {
         let mut values = head.headers.get_all(name).iter();
         let value = values.next().map(|v| v.to_str().map_err(|_| InvalidRequest(name)));
-        // Of two, a node might go by the other.
+        // A node might use the other of two values.
         values.next().map_or(value.transpose(), |_| Err(InvalidRequest(name)))
     };
     let need = |name: &'static str| text(name)?.filter(|v| !v.is_empty()).ok_or(InvalidRequest(name));
@@ -129,7 +129,7 @@
     Some((units?, shard, hosts?))
 }
 
-/// The value of `Retry-After`: seconds with milliseconds.
+/// Formats a `Retry-After` value: seconds with three decimals, rounded up to milliseconds.
 pub fn format_retry_after(span: Micros) -> String {
     let ms = span.div_ceil(1000);
     format!("{}.{:03}", ms / 1000, ms % 1000)
--- a/crates/transport/src/http/front.rs
+++ b/crates/transport/src/http/front.rs
@@ -1,4 +1,4 @@
-//! The front as a service: a request whose head was received, to the core and back.
+//! The HTTP front as a tower service: passes each request to the core and encodes its answer.
 
 use std::convert::Infallible;
 use std::pin::pin;
@@ -24,14 +24,14 @@
 use super::{decode, format_retry_after, headers, InvalidRequest, LONGEST_BODY};
 use heathward_core::{body_channel, Answer, ClientRequest, CoreHandle, Draining, NodeReply, Upload};
 
-/// The platform's front as a tower service.
+/// The platform's HTTP front.
 #[derive(Clone)]
 pub struct Front {
     core: CoreHandle,
 }
 
 impl Front {
-    /// A front before that core.
+    /// Creates a front that passes requests to `core`.
     pub fn new(core: CoreHandle) -> Self {
         Self { core }
     }
@@ -52,7 +52,7 @@
         if ambiguous_length(&head.headers, framing) {
             return self.refuse(StatusCode::BAD_REQUEST, "transfer-encoding");
         }
-        // Told from its length, before any of it is read.
+        // Decided by the announced length, before any of the body is read.
         let length = body.size_hint().exact();
         if body.size_hint().lower() > LONGEST_BODY {
             return self.refuse(StatusCode::PAYLOAD_TOO_LARGE, "body");
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Answers a health check: 200 while requests can be served here, else 503 and why.
+    /// Answers a health check: 200 if requests can be served here, else 503 and the reason.
     fn health(&self) -> Response<AnswerBody> {
         let (status, paused) = (self.core.status(), self.core.draining().borrow().paused);
         let why = match status.expired_lease_last_contact {
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Answers a request whose body is streamed to a node while it comes.
+    /// Answers a request whose body is streamed to a node while it is being received.
     async fn answer_streamed(
         self,
         head: &Parts,
@@ -142,8 +142,8 @@
     }
 }
 
-/// Whether a request tells the length of its body in two ways, or may do so unseen: its body may hide
-/// another request then.
+/// Whether a request states the length of its body in two ways, or may do so undetected: its body could then
+/// hide another request (request smuggling).
 fn ambiguous_length(headers: &HeaderMap, framing: Framing) -> bool {
     let coded = headers.contains_key(TRANSFER_ENCODING);
     let two = coded && headers.contains_key(CONTENT_LENGTH);
@@ -187,7 +187,7 @@
     response
 }
 
-/// The front as one connection sees it.
+/// The front together with the connection that it serves.
 #[derive(Clone)]
 pub(super) struct ConnectionService {
     front: Front,
--- a/crates/transport/src/http/mod.rs
+++ b/crates/transport/src/http/mod.rs
@@ -1,4 +1,5 @@
-//! The platform's front: HTTP/1.1 to typed calls and back.
+//! The platform's HTTP/1.1 front: decodes clients' requests into requests to the core, and encodes the
+//! answers.
 
 mod body;
 mod connection;
@@ -19,13 +20,13 @@
 /// No head holds more.
 pub const HEAD_LIMIT: usize = 16 * 1024;
 
-/// Names of headers, as clients and storage nodes know them.
+/// Names of the HTTP headers that clients and storage nodes use.
 pub mod headers {
     /// The request's id.
     pub const CALL: &str = "x-call-id";
     /// Its class.
     pub const CLASS: &str = "x-call-class";
-    /// The plan of its volume.
+    /// Plan of the volume.
     pub const PLAN: &str = "x-plan";
     /// How long whoever sent it waits, in milliseconds.
     pub const BUDGET: &str = "x-budget-ms";
--- a/crates/transport/src/http/request_body.rs
+++ b/crates/transport/src/http/request_body.rs
@@ -1,4 +1,4 @@
-//! The body of a request, received at least at the slowest rate that is allowed.
+//! Receives the body of a request and enforces a minimum rate.
 
 use std::future::pending;
 use std::sync::Arc;
@@ -14,7 +14,8 @@
 use super::LONGEST_BODY;
 use heathward_core::{BodySender, Upload, MAX_BUFFERED_BODY_BYTES};
 
-/// The slowest rate at which a body may be received; a client that keeps to the protocol sends 64.
+/// The minimum rate at which a client must send a body; a client that follows the protocol sends 64 bytes per
+/// ms.
 const MIN_BODY_BYTES_PER_MS: u64 = 48;
 
 /// What was read of a body before its request is decoded.
--- a/crates/transport/src/http/stream.rs
+++ b/crates/transport/src/http/stream.rs
@@ -1,5 +1,5 @@
-//! A client's stream: it takes note that bytes have come, and sees its client leave also behind bytes that
-//! nobody has read yet.
+//! A client's TCP stream. It records when bytes arrive, and detects a disconnect even behind bytes that the
+//! HTTP parser has not read yet.
 
 use std::io;
 use std::pin::Pin;
@@ -16,7 +16,7 @@
 /// Bytes that are read at a time while a request is worked on.
 const PIECE: usize = 4096;
 
-/// What came while nobody had asked for it.
+/// Bytes that arrived while the HTTP parser was not reading.
 #[derive(Debug, Default)]
 struct Ahead {
     bytes: BytesMut,
@@ -26,11 +26,11 @@
     overrun: bool,
 }
 
-/// A client's stream; all its clones are one.
+/// A client's stream; all clones share one socket.
 ///
-/// While a request is worked on, whoever decodes requests stops reading once anything stands behind it, and
-/// would not see its client leave. So what comes then is read here, up to the size of a head. "Clients send
-/// one request at a time on a connection": of one that sends more than that, no further request is taken.
+/// While a request is being processed, hyper stops reading once any byte has arrived behind it, and would not
+/// notice that the client disconnects. So this reads ahead, up to the size of a head. "Clients send one
+/// request at a time on a connection": a client that sends more gets no further request served on it.
 #[derive(Clone, Debug)]
 pub(super) struct ClientStream {
     stream: Arc<TcpStream>,
@@ -70,12 +70,12 @@
         Poll::Ready(())
     }
 
-    /// The stream itself, once nobody else uses it.
+    /// Returns the socket if this is the last clone.
     pub(super) fn into_stream(self) -> Option<TcpStream> {
         Arc::into_inner(self.stream)
     }
 
-    /// Writes as much as finds room at once.
+    /// Writes as many bytes as the socket's send buffer accepts, without waiting.
     pub(super) fn try_write(&self, bytes: &[u8]) -> io::Result<usize> {
         self.stream.try_write(bytes)
     }
@@ -123,7 +123,7 @@
         Poll::Ready(Ok(()))
     }
 
-    /// Whoever serves the connection shuts it.
+    /// Does nothing: the task that serves the connection shuts the socket down.
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         Poll::Ready(Ok(()))
     }
