--- a/crates/transport/src/http/body.rs
+++ b/crates/transport/src/http/body.rs
@@ -8,15 +8,15 @@
 use hyper::body::{Body, Frame, SizeHint};
 use tokio::time::Instant;
 
-use super::connections::{Client, Phase};
+use super::connections::{ClientConnection, Phase};
 use heathward_core::{BodyInterrupted, StreamedReply};
 
 /// The body of an answer to a client.
 pub enum AnswerBody {
     /// The complete body; `None` if it is empty or was sent.
     Buffered(Option<Bytes>),
-    /// On its way from a node, to that client.
-    Streamed(StreamedReply, Arc<Client>),
+    /// A body that is still being received from a node, and the connection that it is sent on.
+    Streamed(StreamedReply, Arc<ClientConnection>),
 }
 
 impl Body for AnswerBody {
@@ -29,11 +29,11 @@
     ) -> Poll<Option<Result<Frame<Bytes>, BodyInterrupted>>> {
         match &mut *self {
             Self::Buffered(body) => Poll::Ready(body.take().map(|body| Ok(Frame::data(body)))),
-            Self::Streamed(passing, client) => {
-                let next = ready!(passing.body.poll_next(cx));
-                // The connection has taken what came before.
-                client.enter(Phase::StreamingAnswer(Instant::now()));
-                Poll::Ready(next.map(|piece| piece.map(Frame::data)))
+            Self::Streamed(reply, client) => {
+                let next = ready!(reply.body.poll_next(cx));
+                // The connection polls for the next chunk only after it has accepted the one before.
+                client.set_phase(Phase::StreamingAnswer(Instant::now()));
+                Poll::Ready(next.map(|chunk| chunk.map(Frame::data)))
             }
         }
     }
@@ -45,9 +45,7 @@
     fn size_hint(&self) -> SizeHint {
         match self {
             Self::Buffered(body) => SizeHint::with_exact(body.as_ref().map_or(0, |body| body.len() as u64)),
-            Self::Streamed(passing, _) => {
-                passing.content_length.map(SizeHint::with_exact).unwrap_or_default()
-            }
+            Self::Streamed(reply, _) => reply.content_length.map(SizeHint::with_exact).unwrap_or_default(),
         }
     }
 }
@@ -55,7 +53,7 @@
 impl Drop for AnswerBody {
     fn drop(&mut self) {
         if let Self::Streamed(_, client) = self {
-            client.enter(Phase::Idle(Instant::now()));
+            client.set_phase(Phase::Idle(Instant::now()));
         }
     }
 }
--- a/crates/transport/src/http/connection.rs
+++ b/crates/transport/src/http/connection.rs
@@ -13,10 +13,10 @@
 use tokio::sync::watch;
 use tokio::time::{sleep_until, timeout_at, Instant};
 
-use super::connections::{Client, ConnectionTable, Phase, Slot};
+use super::connections::{ClientConnection, ConnectionTable, Phase, Slot};
 use super::front::{ConnectionService, Front};
 use super::stream::ClientStream;
-use super::HEAD_LIMIT;
+use super::MAX_HEAD_BYTES;
 use heathward_core::Draining;
 
 /// The pause after a failed accept, so that a lack of descriptors does not cause a busy loop.
@@ -90,20 +90,20 @@
 struct Retention {
     /// The connection carries no request after the current one.
     last_request: bool,
-    /// Since when and for how long idle connections are kept, while clients are sent away.
-    closing: Option<(Instant, Duration)>,
-    /// Until then an idle connection is kept.
-    kept_until: Instant,
+    /// While clients are drained: when that began, and for how long idle connections are kept.
+    draining_idle_timeout: Option<(Instant, Duration)>,
+    /// An idle connection is kept at least until then.
+    min_idle_deadline: Instant,
 }
 
 impl Retention {
     /// Returns when a connection in this phase times out.
     fn deadline(&self, phase: Phase) -> Option<Instant> {
-        let until = phase.until()?;
-        Some(match (phase, self.closing) {
-            (Phase::Idle(since), Some((told, span))) => since.max(told) + span,
-            (Phase::Idle(_), None) => until.max(self.kept_until),
-            _ => until,
+        let deadline = phase.deadline()?;
+        Some(match (phase, self.draining_idle_timeout) {
+            (Phase::Idle(since), Some((draining_since, timeout))) => since.max(draining_since) + timeout,
+            (Phase::Idle(_), None) => deadline.max(self.min_idle_deadline),
+            _ => deadline,
         })
     }
 }
@@ -116,31 +116,36 @@
     let last_request = *stopping.borrow_and_update();
     let stream = ClientStream::new(stream, client.clone());
     let mut draining = front.draining();
-    let closing = closes(*draining.borrow_and_update());
+    let draining_idle_timeout = idle_timeout_while_draining(*draining.borrow_and_update());
     let service = TowerToHyperService::new(ConnectionService::new(front, client.clone()));
     let mut builder = http1::Builder::new();
-    builder.keep_alive(!last_request).max_buf_size(HEAD_LIMIT);
+    builder.keep_alive(!last_request).max_buf_size(MAX_HEAD_BYTES);
     let mut connection = builder.serve_connection(TokioIo::new(stream.clone()), service);
-    let mut retention = Retention { last_request, closing, kept_until: Instant::now() };
+    let mut retention = Retention { last_request, draining_idle_timeout, min_idle_deadline: Instant::now() };
     let close = loop {
-        let stop = stopping.changed();
-        let event = next_event(&mut connection, &client, &stream, &retention, stop, draining.changed()).await;
+        let stop_requested = stopping.changed();
+        let event =
+            next_event(&mut connection, &client, &stream, &retention, stop_requested, draining.changed())
+                .await;
         match event {
-            ConnectionEvent::DrainingChanged => retention.closing = closes(*draining.borrow()),
+            ConnectionEvent::DrainingChanged => {
+                retention.draining_idle_timeout = idle_timeout_while_draining(*draining.borrow())
+            }
             ConnectionEvent::ShuttingDown => {
                 retention.last_request = true;
-                // A request that is coming has its answer; between requests the connection is closed.
-                client.end_with_answer();
+                // A request that is being received is still answered; between requests the connection is
+                // closed.
+                client.close_after_answer();
                 if !matches!(client.phase(), Phase::ReceivingRequest(_)) {
                     Pin::new(&mut connection).graceful_shutdown();
                 }
             }
             ConnectionEvent::TimedOut if may_be_kept(&retention, &slot, &client) => {
-                retention.kept_until = Instant::now() + CROWDING_CHECK_INTERVAL;
+                retention.min_idle_deadline = Instant::now() + CROWDING_CHECK_INTERVAL;
             }
             ConnectionEvent::Ended => break Close::Lingering,
             ConnectionEvent::ClientDisconnected => break Close::Immediate,
-            ConnectionEvent::TimedOut | ConnectionEvent::Evicted => break refuse_late(&client, &stream),
+            ConnectionEvent::TimedOut | ConnectionEvent::Evicted => break answer_timeout(&client, &stream),
         }
     };
     if close == Close::Immediate {
@@ -157,15 +162,15 @@
 /// `draining_changed` once the scheduler has begun or stopped draining its clients.
 async fn next_event(
     connection: &mut HttpConnection,
-    client: &Client,
+    client: &ClientConnection,
     stream: &ClientStream,
     retention: &Retention,
-    stop: impl Future,
-    turn: impl Future,
+    stop_requested: impl Future,
+    draining_changed: impl Future,
 ) -> ConnectionEvent {
     let mut timeout = pin!(sleep_until(Instant::now()));
     let mut evicted = pin!(client.evicted.notified());
-    let (mut stop, mut turn) = (pin!(stop), pin!(turn));
+    let (mut stop_requested, mut draining_changed) = (pin!(stop_requested), pin!(draining_changed));
     poll_fn(|cx| {
         // Checked before anything more is read: a request that is read from now on would be dropped.
         if evicted.as_mut().poll(cx).is_ready() {
@@ -175,16 +180,16 @@
         if connection.poll_without_shutdown(cx).is_ready() {
             return Poll::Ready(ConnectionEvent::Ended);
         }
-        let working = matches!(client.phase(), Phase::Processing | Phase::StreamingAnswer(_));
-        if working && stream.poll_gone(cx).is_ready() {
+        let is_processing = matches!(client.phase(), Phase::Processing | Phase::StreamingAnswer(_));
+        if is_processing && stream.poll_disconnected(cx).is_ready() {
             return Poll::Ready(ConnectionEvent::ClientDisconnected);
         }
-        // A connection that nothing has come on yet is not closed: its first request may be on its way.
-        let stoppable = !retention.last_request && !matches!(client.phase(), Phase::Connected(_));
-        if stoppable && stop.as_mut().poll(cx).is_ready() {
+        // A connection on which nothing was received yet is not closed: its first request may be on its way.
+        let can_stop = !retention.last_request && !matches!(client.phase(), Phase::Connected(_));
+        if can_stop && stop_requested.as_mut().poll(cx).is_ready() {
             return Poll::Ready(ConnectionEvent::ShuttingDown);
         }
-        if turn.as_mut().poll(cx).is_ready() {
+        if draining_changed.as_mut().poll(cx).is_ready() {
             return Poll::Ready(ConnectionEvent::DrainingChanged);
         }
         let Some(deadline) = retention.deadline(client.phase()) else { return Poll::Pending };
@@ -196,42 +201,44 @@
     .await
 }
 
-/// Whether an idle connection whose time is over is kept for another while, as places are not scarce.
-fn may_be_kept(retention: &Retention, slot: &Slot, client: &Client) -> bool {
-    retention.closing.is_none() && !slot.table.crowded() && client.phase().kept_until() > Some(Instant::now())
+/// Whether an idle connection that timed out is kept for another interval, as the table is not crowded.
+fn may_be_kept(retention: &Retention, slot: &Slot, client: &ClientConnection) -> bool {
+    retention.draining_idle_timeout.is_none()
+        && !slot.table.crowded()
+        && client.phase().extended_idle_deadline() > Some(Instant::now())
 }
 
-/// Tells a client whose request is still coming that it was too slow.
-fn refuse_late(client: &Client, stream: &ClientStream) -> Close {
-    let asking = matches!(client.phase(), Phase::ReceivingRequest(_) | Phase::ReceivingBody { .. });
-    // A few bytes, of which nothing else has been written: they find room, or the client has left.
-    if asking && stream.try_write(TIMEOUT_ANSWER).is_err() {
+/// Answers a request that is still being received with a timeout; returns how to close the connection.
+fn answer_timeout(client: &ClientConnection, stream: &ClientStream) -> Close {
+    let is_receiving = matches!(client.phase(), Phase::ReceivingRequest(_) | Phase::ReceivingBody { .. });
+    // The send buffer is empty and accepts the few bytes at once, unless the client has disconnected.
+    if is_receiving && stream.try_write(TIMEOUT_ANSWER).is_err() {
         return Close::Immediate;
     }
     Close::Lingering
 }
 
-/// From now on idle connections are closed after so long, if clients are to be sent away.
-fn closes(draining: Draining) -> Option<(Instant, Duration)> {
-    let span = if draining.paused { PAUSED_IDLE_TIMEOUT } else { REPLACED_IDLE_TIMEOUT };
-    draining.closes_connections().then(|| (Instant::now(), span))
+/// Returns the start and the timeout for idle connections if clients are to be drained from now on.
+fn idle_timeout_while_draining(draining: Draining) -> Option<(Instant, Duration)> {
+    let timeout = if draining.paused { PAUSED_IDLE_TIMEOUT } else { REPLACED_IDLE_TIMEOUT };
+    draining.closes_connections().then(|| (Instant::now(), timeout))
 }
 
-/// Closes a connection so that its client can read what it was last told: says that no more comes, and takes
-/// in for a while what is still on its way. A connection closed over unread bytes is reset, which may
-/// overtake the answer; a request that crosses the close is not read, and its client sends it once more.
-async fn linger(stream: &mut TcpStream, client: &Client) {
+/// Closes a connection so that its client can read the last answer: shuts down the write side, and then
+/// discards input for a limited time. A connection that is closed with unread bytes is reset, and the reset
+/// may overtake the answer. A request that crosses the close is discarded, and its client sends it again.
+async fn linger(stream: &mut TcpStream, client: &ClientConnection) {
     let phase = Phase::Lingering(Instant::now());
-    client.enter(phase);
+    client.set_phase(phase);
     if stream.shutdown().await.is_err() {
         return;
     }
-    let mut waste = vec![0; DISCARD_BUFFER_BYTES];
-    let read = async { while stream.read(&mut waste).await.is_ok_and(|size| size > 0) {} };
-    let by = phase.until().unwrap_or_else(Instant::now);
+    let mut discarded = vec![0; DISCARD_BUFFER_BYTES];
+    let read = async { while stream.read(&mut discarded).await.is_ok_and(|size| size > 0) {} };
+    let deadline = phase.deadline().unwrap_or_else(Instant::now);
     tokio::select! {
-        // Whether it has closed by then or not, it had its time.
-        _ = timeout_at(by, read) => {}
-        () = client.cut.notified() => {}
+        // The connection is closed now, whether or not the client has closed its side.
+        _ = timeout_at(deadline, read) => {}
+        () = client.linger_cancelled.notified() => {}
     }
 }
--- a/crates/transport/src/http/connections.rs
+++ b/crates/transport/src/http/connections.rs
@@ -33,9 +33,9 @@
 /// The time that a client has to read the last answer on its connection and to close it.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
 /// A connection is evicted only after this time in its phase: its client may be about to send or close.
-const MIN_QUIET_TIME: Duration = Duration::from_millis(50);
-/// The same for a request that is being received.
-const SLOW_REQUEST_TIME: Duration = Duration::from_millis(700);
+const MIN_EVICTION_AGE: Duration = Duration::from_millis(50);
+/// A connection whose request is being received is evicted only after this time in its phase.
+const MIN_REQUEST_EVICTION_AGE: Duration = Duration::from_millis(700);
 
 /// The phase of a connection, and since when it has been in it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -48,8 +48,8 @@
     ReceivingBody {
         /// When its request began.
         since: Instant,
-        /// When the next piece is due.
-        by: Instant,
+        /// When the next chunk is due.
+        deadline: Instant,
     },
     /// A request was received completely and has no answer yet.
     Processing,
@@ -64,12 +64,13 @@
 }
 
 impl Phase {
-    /// When it ends, an idle one if places are scarce; an answer has its own deadline.
-    pub fn until(self) -> Option<Instant> {
+    /// Returns when a connection in this phase times out, for an idle one in a crowded table. `None` while
+    /// the request is being processed, as its answer has a deadline of its own.
+    pub fn deadline(self) -> Option<Instant> {
         match self {
             Self::Connected(since) | Self::ReceivingRequest(since) => Some(since + REQUEST_TIMEOUT),
-            // Whoever reads the body sees to the time, and answers.
-            Self::ReceivingBody { by, .. } => Some(by + LINGER_TIMEOUT),
+            // `RequestBody` enforces the deadline and answers; this is only a fallback.
+            Self::ReceivingBody { deadline, .. } => Some(deadline + LINGER_TIMEOUT),
             Self::Processing | Self::ForwardingBody => None,
             Self::StreamingAnswer(since) => Some(since + STALLED_CLIENT_TIMEOUT),
             Self::Idle(since) => Some(since + CROWDED_IDLE_TIMEOUT),
@@ -77,8 +78,8 @@
         }
     }
 
-    /// Until when an idle connection is kept while places are not scarce.
-    pub fn kept_until(self) -> Option<Instant> {
+    /// Returns until when an idle connection is kept while the table is not crowded.
+    pub fn extended_idle_deadline(self) -> Option<Instant> {
         match self {
             Self::Idle(since) => Some(since + IDLE_TIMEOUT),
             _ => None,
@@ -88,23 +89,24 @@
     /// Returns the eviction rank of a connection in this phase, and since when it has been in it; `None` if
     /// it must not be evicted.
     fn eviction_rank(self, now: Instant) -> Option<(u8, Instant)> {
-        let lasting = |since| now.saturating_duration_since(since);
-        let (rank, since, after) = match self {
-            Self::Lingering(since) => (LINGERING_RANK, since, MIN_QUIET_TIME),
-            // Its client just opens another; the first request of a silent one may be on its way.
-            Self::Idle(since) if lasting(since) >= CROWDED_IDLE_TIMEOUT => {
+        let time_since = |since| now.saturating_duration_since(since);
+        let (rank, since, min_age) = match self {
+            Self::Lingering(since) => (LINGERING_RANK, since, MIN_EVICTION_AGE),
+            // Ranked below `Connected`: the client of an idle connection can open another one, while the
+            // first request on a new connection may be on its way.
+            Self::Idle(since) if time_since(since) >= CROWDED_IDLE_TIMEOUT => {
                 (IDLE_RANK, since, CROWDED_IDLE_TIMEOUT)
             }
-            Self::Connected(since) => (CONNECTED_RANK, since, MIN_QUIET_TIME),
+            Self::Connected(since) => (CONNECTED_RANK, since, MIN_EVICTION_AGE),
             Self::ReceivingRequest(since) | Self::ReceivingBody { since, .. } => {
-                (SLOW_REQUEST_RANK, since, SLOW_REQUEST_TIME)
+                (SLOW_REQUEST_RANK, since, MIN_REQUEST_EVICTION_AGE)
             }
-            // In a crowd of clients that ask once and stay: a newcomer that is closed on has failed, while
-            // the client of an idle connection asks again on another.
-            Self::Idle(since) => (RECENTLY_IDLE_RANK, since, MIN_QUIET_TIME),
+            // Evicted when many clients send one request and stay connected: a new client whose connection is
+            // closed has failed, while the client of an idle connection can use another one.
+            Self::Idle(since) => (RECENTLY_IDLE_RANK, since, MIN_EVICTION_AGE),
             Self::Processing | Self::ForwardingBody | Self::StreamingAnswer(_) => return None,
         };
-        (lasting(since) >= after).then_some((rank, since))
+        (time_since(since) >= min_age).then_some((rank, since))
     }
 }
 
@@ -112,64 +114,64 @@
 /// would allow request smuggling.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// Once or not at all.
-    One,
-    /// By its length and by a coding.
-    Two,
-    /// It came before its turn.
+    /// At most one of `Content-Length` and `Transfer-Encoding`.
+    Unambiguous,
+    /// Both `Content-Length` and `Transfer-Encoding`.
+    Ambiguous,
+    /// The head arrived while the request before it was being processed, and was not scanned.
     Unknown,
 }
 
 /// Scans the head of a request for the headers that state the length of its body.
 #[derive(Clone, Debug, Default)]
-struct Head {
-    /// The beginning of the line that is coming, in lower case, and how long it is.
+struct HeadScanner {
+    /// The beginning of the current line, in lower case.
     line: [u8; 18],
-    at: usize,
-    begun: bool,
-    length: bool,
-    coding: bool,
-    /// The blank line has come.
-    over: bool,
-    /// It was looked at; what comes is not its own.
-    stale: bool,
+    line_length: usize,
+    has_started: bool,
+    has_content_length: bool,
+    has_transfer_encoding: bool,
+    /// The blank line that ends the head was received.
+    is_complete: bool,
+    /// The result was taken; further bytes are not part of this head.
+    is_taken: bool,
 }
 
-impl Head {
-    fn note(&mut self, bytes: &[u8]) {
+impl HeadScanner {
+    fn scan(&mut self, bytes: &[u8]) {
         for byte in bytes.iter().filter(|byte| **byte != b'\r') {
-            if self.over || self.stale {
+            if self.is_complete || self.is_taken {
                 return;
             }
             if *byte != b'\n' {
-                if let Some(place) = self.line.get_mut(self.at) {
-                    *place = byte.to_ascii_lowercase();
+                if let Some(slot) = self.line.get_mut(self.line_length) {
+                    *slot = byte.to_ascii_lowercase();
                 }
-                self.at += 1;
+                self.line_length += 1;
                 continue;
             }
-            let line = &self.line[..self.at.min(self.line.len())];
-            self.length |= line.starts_with(b"content-length:");
-            self.coding |= line.starts_with(b"transfer-encoding:");
-            // Before the first line, a blank one ends nothing.
-            self.over = self.at == 0 && self.begun;
-            self.begun |= self.at > 0;
-            self.at = 0;
+            let line = &self.line[..self.line_length.min(self.line.len())];
+            self.has_content_length |= line.starts_with(b"content-length:");
+            self.has_transfer_encoding |= line.starts_with(b"transfer-encoding:");
+            // Blank lines before the first line are skipped.
+            self.is_complete = self.line_length == 0 && self.has_started;
+            self.has_started |= self.line_length > 0;
+            self.line_length = 0;
         }
     }
 }
 
 /// The state of one client connection.
 #[derive(Debug)]
-pub struct Client {
+pub struct ClientConnection {
     phase: Mutex<Phase>,
-    head: Mutex<Head>,
-    /// Its next answer is its last.
-    ending: AtomicBool,
-    /// Told when it has to make way: its connection is closed so that what it was told can be read.
+    head: Mutex<HeadScanner>,
+    /// The connection is closed after its next answer.
+    closes_after_answer: AtomicBool,
+    /// Notified when the connection is evicted: it is closed so that the client can read its last answer.
     pub evicted: Notify,
-    /// The same while that is under way: it is closed outright.
-    pub cut: Notify,
+    /// Notified when a connection that is being closed has to end at once.
+    pub linger_cancelled: Notify,
 }
 
 /// Locks a mutex. No code panics while it holds one of these locks, so a poisoned one is used as it is.
@@ -177,47 +179,50 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-impl Client {
-    /// What it is at.
+impl ClientConnection {
+    /// Returns the current phase.
     pub fn phase(&self) -> Phase {
         *lock(&self.phase)
     }
 
-    /// It is at that from now on.
-    pub fn enter(&self, phase: Phase) {
+    /// Sets the phase.
+    pub fn set_phase(&self, phase: Phase) {
         *lock(&self.phase) = phase;
     }
 
-    /// The request that is coming, or worked on, is the last on its connection.
-    pub fn end_with_answer(&self) {
-        self.ending.store(true, Ordering::Relaxed);
+    /// Makes the current request the last one on this connection.
+    pub fn close_after_answer(&self) {
+        self.closes_after_answer.store(true, Ordering::Relaxed);
     }
 
-    /// Its connection ends with the answer at hand.
-    pub fn ends_with_answer(&self) -> bool {
-        self.ending.load(Ordering::Relaxed)
+    /// Whether the connection is closed after its next answer.
+    pub fn closes_after_answer(&self) -> bool {
+        self.closes_after_answer.load(Ordering::Relaxed)
     }
 
-    /// What the head of the request at hand says of its body's length, in all; once for each.
-    pub fn framing(&self) -> Framing {
+    /// Takes the result of the scan of the current request's head; to be called once for each request.
+    pub fn take_framing(&self) -> Framing {
         let mut head = lock(&self.head);
-        let told = match *head {
-            Head { over: true, length: true, coding: true, .. } => Framing::Two,
-            Head { over: true, .. } => Framing::One,
+        let framing = match *head {
+            HeadScanner {
+                is_complete: true, has_content_length: true, has_transfer_encoding: true, ..
+            } => Framing::Ambiguous,
+            HeadScanner { is_complete: true, .. } => Framing::Unambiguous,
             _ => Framing::Unknown,
         };
-        head.over = false;
-        head.stale = true;
-        told
+        head.is_complete = false;
+        head.is_taken = true;
+        framing
     }
 
-    /// Bytes have come. The first request is timed from its connection on.
-    pub fn heard(&self, bytes: &[u8]) {
+    /// Records that bytes were received. The time of the first request counts from the accept of the
+    /// connection.
+    pub fn record_received(&self, bytes: &[u8]) {
         let mut phase = lock(&self.phase);
         if matches!(*phase, Phase::Idle(_)) {
-            *lock(&self.head) = Head::default();
+            *lock(&self.head) = HeadScanner::default();
         }
-        lock(&self.head).note(bytes);
+        lock(&self.head).scan(bytes);
         match *phase {
             Phase::Connected(since) => *phase = Phase::ReceivingRequest(since),
             Phase::Idle(_) => *phase = Phase::ReceivingRequest(Instant::now()),
@@ -230,9 +235,10 @@
         }
     }
 
-    /// A request's head is there; gives back since when it has been coming. Until then it can be spared like
-    /// one whose head is still to come: bodies that never end keep nobody out either.
-    pub fn begin(&self) -> Instant {
+    /// Records that the head of a request was received completely, and returns when the request began. The
+    /// connection can still be evicted like one whose head is being received, so that endless bodies do not
+    /// keep new clients out either.
+    pub fn begin_request(&self) -> Instant {
         let mut phase = lock(&self.phase);
         let since = match *phase {
             Phase::Connected(since) | Phase::ReceivingRequest(since) => since,
@@ -245,25 +251,26 @@
 
 #[derive(Debug, Default)]
 struct Slots {
-    next: u64,
-    taken: BTreeMap<u64, Arc<Client>>,
-    /// Those that had to make way and are being closed, the oldest first.
-    closing: VecDeque<(u64, Arc<Client>)>,
+    next_number: u64,
+    open: BTreeMap<u64, Arc<ClientConnection>>,
+    /// Evicted connections that are being closed, the oldest first.
+    closing: VecDeque<(u64, Arc<ClientConnection>)>,
 }
 
-/// Beside so many places, those for connections that had to make way and are being closed: the oldest of them
-/// is cut for the next.
-pub fn closing_capacity(cap: usize) -> usize {
-    (cap / 16).max(1)
+/// Returns how many evicted connections may be in the course of closing, beside `limit` open ones. Beyond
+/// that, the oldest of them ends at once.
+pub fn closing_capacity(limit: usize) -> usize {
+    (limit / 16).max(1)
 }
 
 /// The client connections of the front. It never stops accepting: when the table is full, the connection with
 /// the lowest eviction rank is evicted, so that silent clients do not keep others out.
 #[derive(Clone, Debug)]
 pub struct ConnectionTable {
-    /// What it holds by itself, by which it is told whether places are scarce, and what it may hold now.
-    most: Arc<AtomicUsize>,
-    cap: Arc<AtomicUsize>,
+    /// The number of connections that the table is meant for, which decides whether it is crowded.
+    capacity: Arc<AtomicUsize>,
+    /// The number of connections that may be open now.
+    limit: Arc<AtomicUsize>,
     slots: Arc<Mutex<Slots>>,
 }
 
@@ -273,76 +280,84 @@
     /// The table that holds the entry.
     pub table: ConnectionTable,
     number: u64,
-    /// Its entry.
-    pub client: Arc<Client>,
+    /// The state of the connection.
+    pub client: Arc<ClientConnection>,
 }
 
 impl ConnectionTable {
-    /// A table of so many places, and [`closing_capacity`] beside them.
-    pub fn new(most: usize) -> Self {
-        let (most, cap) = (Arc::new(AtomicUsize::new(most)), Arc::new(AtomicUsize::new(most)));
-        Self { most, cap, slots: Arc::default() }
+    /// Creates a table of `capacity` connections, beside which [`closing_capacity`] may be in the course of
+    /// closing.
+    pub fn new(capacity: usize) -> Self {
+        let (capacity, limit) = (Arc::new(AtomicUsize::new(capacity)), Arc::new(AtomicUsize::new(capacity)));
+        Self { capacity, limit, slots: Arc::default() }
     }
 
-    /// From now on it is for `most`, and takes no more than `cap` for a while; who is there stays.
-    pub fn resize(&self, most: usize, cap: usize) {
-        self.most.store(most, Ordering::Relaxed);
-        self.cap.store(cap, Ordering::Relaxed);
+    /// Sets the capacity, and the limit of open connections, which may be lower for a while. Connections that
+    /// are open already stay.
+    pub fn resize(&self, capacity: usize, limit: usize) {
+        self.capacity.store(capacity, Ordering::Relaxed);
+        self.limit.store(limit, Ordering::Relaxed);
     }
 
     /// Whether at least half of the capacity is in use.
     pub fn crowded(&self) -> bool {
-        2 * lock(&self.slots).taken.len() >= self.most.load(Ordering::Relaxed)
+        2 * lock(&self.slots).open.len() >= self.capacity.load(Ordering::Relaxed)
     }
 
     /// Adds an entry for a new connection, and evicts another one for it if necessary. `None` if the table is
     /// full and no connection may be evicted.
     pub fn admit(&self, now: Instant) -> Option<Slot> {
-        let (mut slots, most) = (lock(&self.slots), self.most.load(Ordering::Relaxed));
-        let cap = self.cap.load(Ordering::Relaxed);
-        let (closing, taken) = (closing_capacity(cap), slots.taken.len());
-        // Clients may be short of descriptors themselves, of which they hold a third, two thirds of the
-        // places: before it comes to that, the answered go, long idle or not.
-        let ranks: &[u8] = match () {
-            () if taken >= cap => {
+        let (mut slots, capacity) = (lock(&self.slots), self.capacity.load(Ordering::Relaxed));
+        let limit = self.limit.load(Ordering::Relaxed);
+        let (max_closing, open) = (closing_capacity(limit), slots.open.len());
+        // Clients may run short of descriptors themselves: they hold a third of the descriptors, which is two
+        // thirds of the capacity. Before that many are open, idle connections are evicted, however short they
+        // have been idle.
+        let evictable_ranks: &[u8] = match () {
+            () if open >= limit => {
                 &[LINGERING_RANK, IDLE_RANK, CONNECTED_RANK, SLOW_REQUEST_RANK, RECENTLY_IDLE_RANK]
             }
-            () if 8 * taken >= 5 * most => &[LINGERING_RANK, IDLE_RANK, RECENTLY_IDLE_RANK],
-            () if 2 * taken >= most => &[LINGERING_RANK, IDLE_RANK],
+            () if 8 * open >= 5 * capacity => &[LINGERING_RANK, IDLE_RANK, RECENTLY_IDLE_RANK],
+            () if 2 * open >= capacity => &[LINGERING_RANK, IDLE_RANK],
             () => &[],
         };
-        if !ranks.is_empty() {
-            let spared =
-                |(number, client): (&u64, &Arc<Client>)| Some((client.phase().eviction_rank(now)?, *number));
-            let least =
-                slots.taken.iter().filter_map(spared).filter(|((rank, _), _)| ranks.contains(rank)).min();
-            let least =
-                least.and_then(|((rank, _), number)| Some((rank, number, slots.taken.remove(&number)?)));
-            if let Some((rank, number, client)) = least {
+        if !evictable_ranks.is_empty() {
+            let candidate = |(number, client): (&u64, &Arc<ClientConnection>)| {
+                Some((client.phase().eviction_rank(now)?, *number))
+            };
+            let lowest = slots
+                .open
+                .iter()
+                .filter_map(candidate)
+                .filter(|((rank, _), _)| evictable_ranks.contains(rank))
+                .min();
+            let lowest =
+                lowest.and_then(|((rank, _), number)| Some((rank, number, slots.open.remove(&number)?)));
+            if let Some((rank, number, client)) = lowest {
                 if rank == LINGERING_RANK {
-                    // It is being closed already, and had its time.
-                    client.cut.notify_one();
+                    // It is being closed already, and its client had time to read the answer.
+                    client.linger_cancelled.notify_one();
                 } else {
                     client.evicted.notify_one();
                     slots.closing.push_back((number, client));
-                    if slots.closing.len() > closing {
-                        slots.closing.pop_front().inspect(|(_, oldest)| oldest.cut.notify_one());
+                    if slots.closing.len() > max_closing {
+                        slots.closing.pop_front().inspect(|(_, oldest)| oldest.linger_cancelled.notify_one());
                     }
                 }
-            } else if taken >= cap {
+            } else if open >= limit {
                 return None;
             }
         }
-        let number = slots.next;
-        slots.next += 1;
-        let client = Arc::new(Client {
+        let number = slots.next_number;
+        slots.next_number += 1;
+        let client = Arc::new(ClientConnection {
             phase: Mutex::new(Phase::Connected(now)),
             head: Mutex::default(),
-            ending: AtomicBool::new(false),
+            closes_after_answer: AtomicBool::new(false),
             evicted: Notify::new(),
-            cut: Notify::new(),
+            linger_cancelled: Notify::new(),
         });
-        slots.taken.insert(number, client.clone());
+        slots.open.insert(number, client.clone());
         Some(Slot { table: self.clone(), number, client })
     }
 }
@@ -350,7 +365,7 @@
 impl Drop for Slot {
     fn drop(&mut self) {
         let mut slots = lock(&self.table.slots);
-        if slots.taken.remove(&self.number).is_none() {
+        if slots.open.remove(&self.number).is_none() {
             slots.closing.retain(|(number, _)| *number != self.number);
         }
     }
--- a/crates/transport/src/http/decode.rs
+++ b/crates/transport/src/http/decode.rs
@@ -13,10 +13,11 @@
 use heathward_policy::settings::Deployment;
 use heathward_policy::{ClassId, Idempotency, KeyId, Micros, PlanId, ShardId, VolumeId};
 
-/// An answer leaves this long before the client gives up: on a loaded core the way back took up to 2 ms.
-const MARGIN: Duration = Duration::from_millis(3);
-/// No client waits longer; what claims to is cut to it.
-const LONGEST_MS: u64 = 3_600_000;
+/// An answer is sent at least this long before the client gives up: on a loaded core, sending it back took up
+/// to 2 ms.
+const RESPONSE_MARGIN: Duration = Duration::from_millis(3);
+/// The longest time budget of a request, in milliseconds; a longer one is reduced to this.
+const MAX_TIME_BUDGET_MS: u64 = 3_600_000;
 
 /// A request that is not valid: the name of the header or of the part that is at fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -31,87 +32,98 @@
     deployment: &Deployment,
     head: &Parts,
     body: Bytes,
-    rest: Option<(Option<u64>, BodyStream)>,
-    arrived: Instant,
+    remaining_body: Option<(Option<u64>, BodyStream)>,
+    received_at: Instant,
 ) -> Result<ClientRequest, InvalidRequest> {
-    let text = |name: &'static str| {
+    let header = |name: &'static str| {
         let mut values = head.headers.get_all(name).iter();
         let value = values.next().map(|v| v.to_str().map_err(|_| InvalidRequest(name)));
         // A node might use the other of two values.
         values.next().map_or(value.transpose(), |_| Err(InvalidRequest(name)))
     };
-    let need = |name: &'static str| text(name)?.filter(|v| !v.is_empty()).ok_or(InvalidRequest(name));
-    let class_name = need(headers::CLASS)?;
+    let required_header =
+        |name: &'static str| header(name)?.filter(|v| !v.is_empty()).ok_or(InvalidRequest(name));
+    let class_name = required_header(headers::CLASS)?;
     let class =
         deployment.class_names.iter().position(|c| c == class_name).ok_or(InvalidRequest(headers::CLASS))?;
-    let plan = need(headers::PLAN)?;
+    let plan = required_header(headers::PLAN)?;
     let plan = deployment.plan_names.iter().position(|p| p == plan).ok_or(InvalidRequest(headers::PLAN))?;
-    let write = deployment.class_writes[class];
-    if head.method != if write { Method::PUT } else { Method::GET } {
+    let is_write = deployment.class_writes[class];
+    if head.method != if is_write { Method::PUT } else { Method::GET } {
         return Err(InvalidRequest("method"));
     }
-    if !write && !body.is_empty() {
+    if !is_write && !body.is_empty() {
         return Err(InvalidRequest("body"));
     }
     let settings = &deployment.settings;
-    let once = text(headers::ONCE)?;
-    if once.is_none() && settings.classes[class].idempotency == Idempotency::WithKey {
-        return Err(InvalidRequest(headers::ONCE));
+    let idempotency_key = header(headers::IDEMPOTENCY_KEY)?;
+    if idempotency_key.is_none() && settings.classes[class].idempotency == Idempotency::WithKey {
+        return Err(InvalidRequest(headers::IDEMPOTENCY_KEY));
     }
     let path: Vec<&str> = head.uri.path().split('/').collect();
-    let ["", first, volume, key] = path[..] else { return Err(InvalidRequest("path")) };
-    if first != class_name {
+    let ["", path_class, volume, key] = path[..] else { return Err(InvalidRequest("path")) };
+    if path_class != class_name {
         return Err(InvalidRequest("path"));
     }
-    let (volume, key) = (hex(volume)?, hex(key)?);
-    let budget = need(headers::BUDGET)?;
-    let digits = budget.bytes().all(|b| b.is_ascii_digit());
-    let budget: u64 =
-        budget.parse().ok().filter(|ms| digits && *ms > 0).ok_or(InvalidRequest(headers::BUDGET))?;
-    let sound = |(units, _, hosts): &(u32, Option<ShardId>, u32)| {
+    let (volume, key) = (parse_hex_id(volume)?, parse_hex_id(key)?);
+    let budget = required_header(headers::TIME_BUDGET_MS)?;
+    let is_decimal = budget.bytes().all(|b| b.is_ascii_digit());
+    let budget: u64 = budget
+        .parse()
+        .ok()
+        .filter(|ms| is_decimal && *ms > 0)
+        .ok_or(InvalidRequest(headers::TIME_BUDGET_MS))?;
+    let is_in_range = |(units, _, hosts): &(u32, Option<ShardId>, u32)| {
         (1..=settings.max_units).contains(units) && (1..=settings.schedulers).contains(hosts)
     };
-    let (units, shard, hosts) = io(need(headers::IO)?).filter(sound).ok_or(InvalidRequest(headers::IO))?;
-    let call = need(headers::CALL)?;
-    hex(call).map_err(|_| InvalidRequest(headers::CALL))?;
-    let budget = Duration::from_millis(budget.min(LONGEST_MS)).saturating_sub(MARGIN);
-    let rest = rest.map(|(length, pieces)| Upload::new(length, budget, pieces));
-    let passes = rest.is_some();
-    let work = NodeRequest {
-        client_request_id: call.into(),
+    let (units, shard, hosts) = parse_io_header(required_header(headers::IO)?)
+        .filter(is_in_range)
+        .ok_or(InvalidRequest(headers::IO))?;
+    let request_id = required_header(headers::REQUEST_ID)?;
+    parse_hex_id(request_id).map_err(|_| InvalidRequest(headers::REQUEST_ID))?;
+    let budget = Duration::from_millis(budget.min(MAX_TIME_BUDGET_MS)).saturating_sub(RESPONSE_MARGIN);
+    let upload = remaining_body.map(|(length, chunks)| Upload::new(length, budget, chunks));
+    let is_streamed = upload.is_some();
+    let node_request = NodeRequest {
+        client_request_id: request_id.into(),
         class_name: class_name.into(),
-        is_write: write,
+        is_write,
         target: head.uri.path_and_query().ok_or(InvalidRequest("path"))?.as_str().into(),
-        idempotency_key: once.map(Into::into),
+        idempotency_key: idempotency_key.map(Into::into),
         volume: VolumeId(volume),
         key: KeyId(key),
         units,
         read_length: None,
         body,
-        upload: rest,
+        upload,
     };
     Ok(ClientRequest {
         class: ClassId(class as u16),
         plan: PlanId(plan as u16),
         shard,
         schedulers: hosts,
-        is_client_retry: text(headers::AGAIN)?.is_some_and(|v| v == "1"),
-        deadline: if passes { arrived + Duration::from_millis(LONGEST_MS) } else { arrived + budget },
-        node_request: Arc::new(work),
+        is_client_retry: header(headers::CLIENT_RETRY)?.is_some_and(|v| v == "1"),
+        deadline: if is_streamed {
+            received_at + Duration::from_millis(MAX_TIME_BUDGET_MS)
+        } else {
+            received_at + budget
+        },
+        node_request: Arc::new(node_request),
     })
 }
 
-/// The 16 hex digits of a volume or a piece of data.
-fn hex(digits: &str) -> Result<u64, InvalidRequest> {
-    let sound = digits.len() == 16 && digits.bytes().all(|b| b.is_ascii_hexdigit());
-    if !sound {
+/// Parses the id of a volume, an object or a request: 16 hexadecimal digits.
+fn parse_hex_id(digits: &str) -> Result<u64, InvalidRequest> {
+    let is_valid = digits.len() == 16 && digits.bytes().all(|b| b.is_ascii_hexdigit());
+    if !is_valid {
         return Err(InvalidRequest("path"));
     }
     u64::from_str_radix(digits, 16).map_err(|_| InvalidRequest("path"))
 }
 
-/// `units=2,shard=5,hosts=3`; a negative shard stands for none yet.
-fn io(value: &str) -> Option<(u32, Option<ShardId>, u32)> {
+/// Parses `units=2,shard=5,hosts=3` into units, shard and number of schedulers; a negative shard stands for
+/// an object that has no shard yet.
+fn parse_io_header(value: &str) -> Option<(u32, Option<ShardId>, u32)> {
     let (mut units, mut shard, mut hosts) = (None, None, None);
     for pair in value.split(',') {
         let (name, value) = pair.trim().split_once('=')?;
@@ -123,8 +135,8 @@
         }
     }
     let shard = match shard? {
-        none if none < 0 => None,
-        some => Some(ShardId(u32::try_from(some).ok()?)),
+        negative if negative < 0 => None,
+        number => Some(ShardId(u32::try_from(number).ok()?)),
     };
     Some((units?, shard, hosts?))
 }
--- a/crates/transport/src/http/front.rs
+++ b/crates/transport/src/http/front.rs
@@ -19,9 +19,9 @@
 use tower::{Service, ServiceExt};
 
 use super::body::AnswerBody;
-use super::connections::{Client, Framing, Phase};
-use super::request_body::{pass, Buffered, RequestBody};
-use super::{decode, format_retry_after, headers, InvalidRequest, LONGEST_BODY};
+use super::connections::{ClientConnection, Framing, Phase};
+use super::request_body::{forward_body, BufferedBody, RequestBody};
+use super::{decode, format_retry_after, headers, InvalidRequest, MAX_BODY_BYTES};
 use heathward_core::{body_channel, Answer, ClientRequest, CoreHandle, Draining, NodeReply, Upload};
 
 /// The platform's HTTP front.
@@ -41,10 +41,14 @@
         self.core.draining()
     }
 
-    /// Answers a request whose head has come.
-    async fn answer(self, request: Request<Incoming>, client: &Arc<Client>) -> Response<AnswerBody> {
-        let since = client.begin();
-        let framing = client.framing();
+    /// Answers a request whose head was received.
+    async fn answer(
+        self,
+        request: Request<Incoming>,
+        client: &Arc<ClientConnection>,
+    ) -> Response<AnswerBody> {
+        let began_at = client.begin_request();
+        let framing = client.take_framing();
         if request.uri().path() == "/healthz" && request.method() == Method::GET {
             return self.health();
         }
@@ -54,15 +58,15 @@
         }
         // Decided by the announced length, before any of the body is read.
         let length = body.size_hint().exact();
-        if body.size_hint().lower() > LONGEST_BODY {
+        if body.size_hint().lower() > MAX_BODY_BYTES {
             return self.refuse(StatusCode::PAYLOAD_TOO_LARGE, "body");
         }
-        let mut coming = RequestBody::new(body, since, client.clone());
-        match coming.buffer().await {
+        let mut request_body = RequestBody::new(body, began_at, client.clone());
+        match request_body.buffer().await {
             Err(status) => self.refuse(status, "body"),
-            Ok(Buffered::Complete(body)) => self.answer_buffered(&head, body, client).await,
-            Ok(Buffered::Beginning(beginning)) => {
-                self.answer_streamed(&head, beginning, length, coming, client).await
+            Ok(BufferedBody::Complete(body)) => self.answer_buffered(&head, body, client).await,
+            Ok(BufferedBody::Partial(first_part)) => {
+                self.answer_streamed(&head, first_part, length, request_body, client).await
             }
         }
     }
@@ -70,20 +74,25 @@
     /// Answers a health check: 200 if requests can be served here, else 503 and the reason.
     fn health(&self) -> Response<AnswerBody> {
         let (status, paused) = (self.core.status(), self.core.draining().borrow().paused);
-        let why = match status.expired_lease_last_contact {
+        let reason = match status.expired_lease_last_contact {
             _ if paused => "paused by staff".to_owned(),
             Some(since) => format!("nothing heard from discovery for {} ms", since.elapsed().as_millis()),
             None if !status.ready => "no list of storage nodes".to_owned(),
-            None => return plain(StatusCode::OK, ""),
+            None => return text_response(StatusCode::OK, ""),
         };
-        plain(StatusCode::SERVICE_UNAVAILABLE, format!("{why}\n"))
+        text_response(StatusCode::SERVICE_UNAVAILABLE, format!("{reason}\n"))
     }
 
-    /// Answers a request whose body is held as a whole, so that it can be retried.
-    async fn answer_buffered(self, head: &Parts, body: Bytes, client: &Arc<Client>) -> Response<AnswerBody> {
-        client.enter(Phase::Processing);
+    /// Answers a request whose body is buffered completely, so that the request can be retried.
+    async fn answer_buffered(
+        self,
+        head: &Parts,
+        body: Bytes,
+        client: &Arc<ClientConnection>,
+    ) -> Response<AnswerBody> {
+        client.set_phase(Phase::Processing);
         match decode(&self.core.deployment(), head, body, None, Instant::now()) {
-            Ok(call) => encode(self.ask(call).await, client),
+            Ok(request) => encode(self.call_core(request).await, client),
             Err(InvalidRequest(part)) => self.refuse(StatusCode::BAD_REQUEST, part),
         }
     }
@@ -92,44 +101,47 @@
     async fn answer_streamed(
         self,
         head: &Parts,
-        beginning: Bytes,
+        first_part: Bytes,
         length: Option<u64>,
-        coming: RequestBody,
-        client: &Arc<Client>,
+        request_body: RequestBody,
+        client: &Arc<ClientConnection>,
     ) -> Response<AnswerBody> {
-        let (feed, pieces) = body_channel();
-        let rest = Some((length, pieces));
-        let call = match decode(&self.core.deployment(), head, beginning, rest, Instant::now()) {
-            Ok(call) => call,
+        let (sender, chunks) = body_channel();
+        let remaining_body = Some((length, chunks));
+        let request = match decode(&self.core.deployment(), head, first_part, remaining_body, Instant::now())
+        {
+            Ok(request) => request,
             Err(InvalidRequest(part)) => return self.refuse(StatusCode::BAD_REQUEST, part),
         };
-        let upload = call.node_request.upload.clone();
-        // A connection may take its time, and a node no more than the client would wait at the end.
-        let connect = Duration::from_micros(self.core.deployment().connect_timeout);
-        let within = connect + upload.as_ref().map_or(Duration::ZERO, Upload::time_budget);
-        let passing = pass(coming, feed, upload.as_ref(), within);
-        let mut asked = pin!(self.clone().ask(call));
+        let upload = request.node_request.upload.clone();
+        // A chunk may wait for the connection to the node and then for as long as the client waits after the
+        // last byte.
+        let connect_timeout = Duration::from_micros(self.core.deployment().connect_timeout);
+        let chunk_timeout = connect_timeout + upload.as_ref().map_or(Duration::ZERO, Upload::time_budget);
+        let forwarding = forward_body(request_body, sender, upload.as_ref(), chunk_timeout);
+        let mut calling = pin!(self.clone().call_core(request));
         let answer = tokio::select! {
             biased;
-            answer = &mut asked => {
-                // Its client may send on for a while: it is told, and then its connection ends.
+            answer = &mut calling => {
+                // The client may still be sending the body: it gets the answer, and then its connection is
+                // closed.
                 let mut answer = encode(answer, client);
                 answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
                 return answer;
             }
-            passed = passing => match passed {
-                // Whoever breaks off is not asked for any more.
+            forwarded = forwarding => match forwarded {
+                // The client broke off or is too slow: the request is cancelled.
                 Err(status) => return self.refuse(status, "body"),
-                Ok(()) => asked.await,
+                Ok(()) => calling.await,
             },
         };
         encode(answer, client)
     }
 
-    async fn ask(mut self, call: ClientRequest) -> Answer {
+    async fn call_core(mut self, request: ClientRequest) -> Answer {
         let answer = match self.core.ready().await {
-            Ok(core) => core.call(call).await,
-            Err(gone) => Err(gone),
+            Ok(core) => core.call(request).await,
+            Err(stopped) => Err(stopped),
         };
         answer.unwrap_or(Answer::Failed { possibly_executed: true, deadline_passed: false })
     }
@@ -138,50 +150,52 @@
     /// either.
     fn refuse(&self, status: StatusCode, part: &'static str) -> Response<AnswerBody> {
         self.core.count_malformed_request();
-        closing(status, part)
+        closing_response(status, part)
     }
 }
 
 /// Whether a request states the length of its body in two ways, or may do so undetected: its body could then
 /// hide another request (request smuggling).
 fn ambiguous_length(headers: &HeaderMap, framing: Framing) -> bool {
-    let coded = headers.contains_key(TRANSFER_ENCODING);
-    let two = coded && headers.contains_key(CONTENT_LENGTH);
-    two || (coded && framing != Framing::One)
+    let has_transfer_encoding = headers.contains_key(TRANSFER_ENCODING);
+    let has_both = has_transfer_encoding && headers.contains_key(CONTENT_LENGTH);
+    has_both || (has_transfer_encoding && framing != Framing::Unambiguous)
 }
 
-/// The last answer on its connection.
-fn closing(status: StatusCode, part: &'static str) -> Response<AnswerBody> {
-    let mut response = plain(status, part);
+/// Builds the last answer on its connection.
+fn closing_response(status: StatusCode, part: &'static str) -> Response<AnswerBody> {
+    let mut response = text_response(status, part);
     response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     response
 }
 
-fn encode(answer: Answer, client: &Arc<Client>) -> Response<AnswerBody> {
+fn encode(answer: Answer, client: &Arc<ClientConnection>) -> Response<AnswerBody> {
     match answer {
-        Answer::Served(NodeReply::Buffered(body)) => Response::new(whole(body)),
-        Answer::Served(NodeReply::Streamed(passing)) => {
-            Response::new(AnswerBody::Streamed(passing, client.clone()))
+        Answer::Served(NodeReply::Buffered(body)) => Response::new(buffered_body(body)),
+        Answer::Served(NodeReply::Streamed(reply)) => {
+            Response::new(AnswerBody::Streamed(reply, client.clone()))
         }
-        Answer::Shed { retry_after: advice } => {
-            let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "refused");
-            if let Some(value) = advice.and_then(|span| format_retry_after(span).parse().ok()) {
+        Answer::Shed { retry_after: delay } => {
+            let mut response = text_response(StatusCode::SERVICE_UNAVAILABLE, "refused");
+            if let Some(value) = delay.and_then(|micros| format_retry_after(micros).parse().ok()) {
                 response.headers_mut().insert(RETRY_AFTER, value);
             }
             response
         }
-        Answer::Duplicate => closing(StatusCode::BAD_REQUEST, headers::CALL),
-        Answer::Failed { deadline_passed: true, .. } => plain(StatusCode::GATEWAY_TIMEOUT, "too late"),
-        Answer::Failed { deadline_passed: false, .. } => plain(StatusCode::BAD_GATEWAY, "failed"),
+        Answer::Duplicate => closing_response(StatusCode::BAD_REQUEST, headers::REQUEST_ID),
+        Answer::Failed { deadline_passed: true, .. } => {
+            text_response(StatusCode::GATEWAY_TIMEOUT, "too late")
+        }
+        Answer::Failed { deadline_passed: false, .. } => text_response(StatusCode::BAD_GATEWAY, "failed"),
     }
 }
 
-fn whole(body: Bytes) -> AnswerBody {
+fn buffered_body(body: Bytes) -> AnswerBody {
     AnswerBody::Buffered((!body.is_empty()).then_some(body))
 }
 
-fn plain(status: StatusCode, text: impl Into<Bytes>) -> Response<AnswerBody> {
-    let mut response = Response::new(whole(text.into()));
+fn text_response(status: StatusCode, text: impl Into<Bytes>) -> Response<AnswerBody> {
+    let mut response = Response::new(buffered_body(text.into()));
     *response.status_mut() = status;
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("text/plain"));
     response
@@ -191,12 +205,12 @@
 #[derive(Clone)]
 pub(super) struct ConnectionService {
     front: Front,
-    client: Arc<Client>,
+    client: Arc<ClientConnection>,
 }
 
 impl ConnectionService {
-    /// The service on the connection of that client.
-    pub(super) fn new(front: Front, client: Arc<Client>) -> Self {
+    /// Creates the service for one connection.
+    pub(super) fn new(front: Front, client: Arc<ClientConnection>) -> Self {
         Self { front, client }
     }
 }
@@ -215,13 +229,13 @@
         Box::pin(async move {
             let draining = front.core.draining();
             let mut answer = front.answer(request, &client).await;
-            // Its client asks elsewhere from now on.
-            if draining.borrow().closes_connections() || client.ends_with_answer() {
+            // The client is to use another connection or scheduler from now on.
+            if draining.borrow().closes_connections() || client.closes_after_answer() {
                 answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
             }
-            let passes = matches!(answer.body(), AnswerBody::Streamed(..));
+            let is_streamed = matches!(answer.body(), AnswerBody::Streamed(..));
             let now = Instant::now();
-            client.enter(if passes { Phase::StreamingAnswer(now) } else { Phase::Idle(now) });
+            client.set_phase(if is_streamed { Phase::StreamingAnswer(now) } else { Phase::Idle(now) });
             Ok(answer)
         })
     }
--- a/crates/transport/src/http/mod.rs
+++ b/crates/transport/src/http/mod.rs
@@ -14,28 +14,28 @@
 pub use decode::{decode, format_retry_after, InvalidRequest};
 pub use front::Front;
 
-/// No body holds more.
-pub const LONGEST_BODY: u64 = 32 << 20;
+/// The longest body of a request or of a reply, in bytes.
+pub const MAX_BODY_BYTES: u64 = 32 << 20;
 
-/// No head holds more.
-pub const HEAD_LIMIT: usize = 16 * 1024;
+/// The longest head of a message, in bytes.
+pub const MAX_HEAD_BYTES: usize = 16 * 1024;
 
 /// Names of the HTTP headers that clients and storage nodes use.
 pub mod headers {
-    /// The request's id.
-    pub const CALL: &str = "x-call-id";
-    /// Its class.
+    /// Id of the request.
+    pub const REQUEST_ID: &str = "x-call-id";
+    /// Class of the request.
     pub const CLASS: &str = "x-call-class";
     /// Plan of the volume.
     pub const PLAN: &str = "x-plan";
-    /// How long whoever sent it waits, in milliseconds.
-    pub const BUDGET: &str = "x-budget-ms";
-    /// Size, shard and hosts.
+    /// Time for which the sender of the request waits for its answer, in milliseconds.
+    pub const TIME_BUDGET_MS: &str = "x-budget-ms";
+    /// Size in units, shard, and number of schedulers that the volume uses.
     pub const IO: &str = "x-io";
-    /// Marks a client's further try.
-    pub const AGAIN: &str = "x-again";
-    /// The key by which a repeat is known.
-    pub const ONCE: &str = "idempotency-key";
-    /// A node turned the request away unseen.
+    /// `1` for a retry by the client.
+    pub const CLIENT_RETRY: &str = "x-again";
+    /// Key by which a repeated request is recognized.
+    pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
+    /// `1` in the reply of a node that rejected the request without executing it.
     pub const REJECTED: &str = "x-rejected";
 }
--- a/crates/transport/src/http/request_body.rs
+++ b/crates/transport/src/http/request_body.rs
@@ -10,67 +10,75 @@
 use hyper::StatusCode;
 use tokio::time::{timeout_at, Instant};
 
-use super::connections::{Client, Phase, REQUEST_TIMEOUT};
-use super::LONGEST_BODY;
+use super::connections::{ClientConnection, Phase, REQUEST_TIMEOUT};
+use super::MAX_BODY_BYTES;
 use heathward_core::{BodySender, Upload, MAX_BUFFERED_BODY_BYTES};
 
 /// The minimum rate at which a client must send a body; a client that follows the protocol sends 64 bytes per
 /// ms.
 const MIN_BODY_BYTES_PER_MS: u64 = 48;
 
-/// What was read of a body before its request is decoded.
-pub(super) enum Buffered {
-    /// All of it.
+/// The part of a body that was received before its request is decoded.
+pub(super) enum BufferedBody {
+    /// The complete body.
     Complete(Bytes),
-    /// More than is held of one body; the rest is still to come.
-    Beginning(Bytes),
+    /// The first part of a body that is too long to be buffered; the rest is still to be received.
+    Partial(Bytes),
 }
 
 /// The body of a request that is being received.
 pub(super) struct RequestBody {
     body: Incoming,
-    /// When its request began, less the time for which a node did not accept it.
-    since: Instant,
-    size: u64,
-    client: Arc<Client>,
+    /// When the request began, moved later by the time for which chunks waited for the node.
+    began_at: Instant,
+    received_bytes: u64,
+    client: Arc<ClientConnection>,
 }
 
 impl RequestBody {
-    /// The body of a request that began at `since`.
-    pub(super) fn new(body: Incoming, since: Instant, client: Arc<Client>) -> Self {
-        Self { body, since, size: 0, client }
+    /// The body of a request that began at `began_at`.
+    pub(super) fn new(body: Incoming, began_at: Instant, client: Arc<ClientConnection>) -> Self {
+        Self { body, began_at, received_bytes: 0, client }
     }
 
-    /// Reads on until the body is complete or too long to be held as a whole.
-    pub(super) async fn buffer(&mut self) -> Result<Buffered, StatusCode> {
-        let mut held = BytesMut::new();
-        while let Some(piece) = self.next().await? {
-            held.extend_from_slice(&piece);
-            if held.len() > MAX_BUFFERED_BODY_BYTES {
-                return Ok(Buffered::Beginning(held.freeze()));
+    /// Reads until the body is complete or too long to be buffered.
+    ///
+    /// # Errors
+    /// The status of the answer to a body that is late, broken or too long.
+    pub(super) async fn buffer(&mut self) -> Result<BufferedBody, StatusCode> {
+        let mut buffered = BytesMut::new();
+        while let Some(chunk) = self.next_chunk().await? {
+            buffered.extend_from_slice(&chunk);
+            if buffered.len() > MAX_BUFFERED_BODY_BYTES {
+                return Ok(BufferedBody::Partial(buffered.freeze()));
             }
         }
-        Ok(Buffered::Complete(held.freeze()))
+        Ok(BufferedBody::Complete(buffered.freeze()))
     }
 
-    /// The next piece, or why there will be none: each comes as early as a client of the slowest sort has it
-    /// sent, counted from the first.
-    async fn next(&mut self) -> Result<Option<Bytes>, StatusCode> {
+    /// Receives the next chunk; `None` at the end of the body. Each chunk is due when a client that sends at
+    /// the minimum rate from the beginning of the request has sent the bytes before it.
+    ///
+    /// # Errors
+    /// The status of the answer to a chunk that is late or broken, or a body that is too long.
+    async fn next_chunk(&mut self) -> Result<Option<Bytes>, StatusCode> {
         loop {
-            let by = self.since + REQUEST_TIMEOUT + Duration::from_millis(self.size / MIN_BODY_BYTES_PER_MS);
-            self.client.enter(Phase::ReceivingBody { since: self.since, by });
-            match timeout_at(by, self.body.frame()).await {
+            let deadline = self.began_at
+                + REQUEST_TIMEOUT
+                + Duration::from_millis(self.received_bytes / MIN_BODY_BYTES_PER_MS);
+            self.client.set_phase(Phase::ReceivingBody { since: self.began_at, deadline });
+            match timeout_at(deadline, self.body.frame()).await {
                 Err(_) => return Err(StatusCode::REQUEST_TIMEOUT),
                 Ok(Some(Err(_))) => return Err(StatusCode::BAD_REQUEST),
                 Ok(None) => return Ok(None),
                 Ok(Some(Ok(frame))) => {
-                    // Trailers say nothing here.
-                    let Ok(piece) = frame.into_data() else { continue };
-                    self.size += piece.len() as u64;
-                    return if self.size > LONGEST_BODY {
+                    // Trailers are ignored.
+                    let Ok(chunk) = frame.into_data() else { continue };
+                    self.received_bytes += chunk.len() as u64;
+                    return if self.received_bytes > MAX_BODY_BYTES {
                         Err(StatusCode::PAYLOAD_TOO_LARGE)
                     } else {
-                        Ok(Some(piece))
+                        Ok(Some(chunk))
                     };
                 }
             }
@@ -78,26 +86,29 @@
     }
 }
 
-/// Passes on what is still to come of a body, each piece within that time. What the node does not take then
-/// is not its client's fault.
-pub(super) async fn pass(
-    mut coming: RequestBody,
-    feed: BodySender,
+/// Forwards the rest of a body, as it is received, to the node. If the node does not accept a chunk within
+/// `chunk_timeout`, the upload is abandoned and this never returns: the delay is not the client's fault.
+///
+/// # Errors
+/// The status of the answer to a client whose body is late, broken or too long.
+pub(super) async fn forward_body(
+    mut request_body: RequestBody,
+    sender: BodySender,
     upload: Option<&Upload>,
-    within: Duration,
+    chunk_timeout: Duration,
 ) -> Result<(), StatusCode> {
-    while let Some(piece) = coming.next().await? {
-        coming.client.enter(Phase::ForwardingBody);
-        let handed = Instant::now();
-        if !timeout_at(handed + within, feed.send(piece)).await.unwrap_or(false) {
-            // The answer tells why nobody takes it.
+    while let Some(chunk) = request_body.next_chunk().await? {
+        request_body.client.set_phase(Phase::ForwardingBody);
+        let handed_over_at = Instant::now();
+        if !timeout_at(handed_over_at + chunk_timeout, sender.send(chunk)).await.unwrap_or(false) {
+            // The request's answer reports why its body was not accepted.
             upload.into_iter().for_each(Upload::abandon);
             return pending().await;
         }
-        coming.since += handed.elapsed();
+        request_body.began_at += handed_over_at.elapsed();
     }
-    coming.client.enter(Phase::Processing);
+    request_body.client.set_phase(Phase::Processing);
     upload.into_iter().for_each(Upload::mark_complete);
-    feed.finish().await;
+    sender.finish().await;
     Ok(())
 }
--- a/crates/transport/src/http/stream.rs
+++ b/crates/transport/src/http/stream.rs
@@ -10,19 +10,19 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-use super::connections::Client;
-use super::HEAD_LIMIT;
+use super::connections::ClientConnection;
+use super::MAX_HEAD_BYTES;
 
-/// Bytes that are read at a time while a request is worked on.
-const PIECE: usize = 4096;
+/// The most bytes that are read at a time while a request is being processed.
+const READ_AHEAD_CHUNK_BYTES: usize = 4096;
 
 /// Bytes that arrived while the HTTP parser was not reading.
 #[derive(Debug, Default)]
-struct Ahead {
+struct ReadAhead {
     bytes: BytesMut,
     /// The client has closed, or the connection is reset.
-    gone: bool,
-    /// More came than is held: it was thrown away.
+    disconnected: bool,
+    /// More arrived than is buffered; all of it was discarded.
     overrun: bool,
 }
 
@@ -34,37 +34,37 @@
 #[derive(Clone, Debug)]
 pub(super) struct ClientStream {
     stream: Arc<TcpStream>,
-    client: Arc<Client>,
-    ahead: Arc<Mutex<Ahead>>,
+    client: Arc<ClientConnection>,
+    read_ahead: Arc<Mutex<ReadAhead>>,
 }
 
 impl ClientStream {
-    pub(super) fn new(stream: TcpStream, client: Arc<Client>) -> Self {
-        Self { stream: Arc::new(stream), client, ahead: Arc::default() }
+    pub(super) fn new(stream: TcpStream, client: Arc<ClientConnection>) -> Self {
+        Self { stream: Arc::new(stream), client, read_ahead: Arc::default() }
     }
 
-    fn ahead(&self) -> MutexGuard<'_, Ahead> {
-        self.ahead.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock_read_ahead(&self) -> MutexGuard<'_, ReadAhead> {
+        self.read_ahead.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Ready once the client has left. To be asked while a request is worked on.
-    pub(super) fn poll_gone(&self, cx: &mut Context<'_>) -> Poll<()> {
-        let mut ahead = self.ahead();
-        while !ahead.gone {
-            let mut piece = [0; PIECE];
+    /// Returns ready once the client has disconnected. To be polled while a request is being processed.
+    pub(super) fn poll_disconnected(&self, cx: &mut Context<'_>) -> Poll<()> {
+        let mut read_ahead = self.lock_read_ahead();
+        while !read_ahead.disconnected {
+            let mut chunk = [0; READ_AHEAD_CHUNK_BYTES];
             let read = match ready!(self.stream.poll_read_ready(cx)) {
-                Ok(()) => self.stream.try_read(&mut piece),
+                Ok(()) => self.stream.try_read(&mut chunk),
                 Err(error) => Err(error),
             };
             match read {
-                Ok(0) => ahead.gone = true,
-                Ok(size) if ahead.overrun || ahead.bytes.len() + size > HEAD_LIMIT => {
-                    (ahead.overrun, ahead.bytes) = (true, BytesMut::new());
-                    self.client.end_with_answer();
+                Ok(0) => read_ahead.disconnected = true,
+                Ok(size) if read_ahead.overrun || read_ahead.bytes.len() + size > MAX_HEAD_BYTES => {
+                    (read_ahead.overrun, read_ahead.bytes) = (true, BytesMut::new());
+                    self.client.close_after_answer();
                 }
-                Ok(size) => ahead.bytes.extend_from_slice(&piece[..size]),
+                Ok(size) => read_ahead.bytes.extend_from_slice(&chunk[..size]),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
-                Err(_) => ahead.gone = true,
+                Err(_) => read_ahead.disconnected = true,
             }
         }
         Poll::Ready(())
@@ -83,14 +83,14 @@
 
 impl AsyncRead for ClientStream {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
-        let mut ahead = self.ahead();
-        let before = buf.filled().len();
-        let size = ahead.bytes.len().min(buf.remaining());
-        buf.put_slice(&ahead.bytes[..size]);
-        ahead.bytes.advance(size);
-        while buf.filled().len() == before && !ahead.gone {
-            if ahead.overrun {
-                // The connection ends with the answer at hand, which has to come yet.
+        let mut read_ahead = self.lock_read_ahead();
+        let filled_before = buf.filled().len();
+        let size = read_ahead.bytes.len().min(buf.remaining());
+        buf.put_slice(&read_ahead.bytes[..size]);
+        read_ahead.bytes.advance(size);
+        while buf.filled().len() == filled_before && !read_ahead.disconnected {
+            if read_ahead.overrun {
+                // The connection ends with the answer to the current request, which is still due.
                 return Poll::Pending;
             }
             ready!(self.stream.poll_read_ready(cx))?;
@@ -101,8 +101,8 @@
                 Err(error) => return Poll::Ready(Err(error)),
             }
         }
-        if buf.filled().len() > before {
-            self.client.heard(&buf.filled()[before..]);
+        if buf.filled().len() > filled_before {
+            self.client.record_received(&buf.filled()[filled_before..]);
         }
         Poll::Ready(Ok(()))
     }
@@ -114,7 +114,7 @@
             ready!(self.stream.poll_write_ready(cx))?;
             match self.stream.try_write(buf) {
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
-                wrote => return Poll::Ready(wrote),
+                result => return Poll::Ready(result),
             }
         }
     }
--- a/crates/transport/src/node/http.rs
+++ b/crates/transport/src/node/http.rs
@@ -20,7 +20,7 @@
 use tokio::time::{sleep_until, timeout_at, Instant};
 
 use super::{Connection, LinkRequest, LinkResponse, TrackedStream, WriteProgress};
-use crate::http::{headers, HEAD_LIMIT, LONGEST_BODY};
+use crate::http::{headers, MAX_BODY_BYTES, MAX_HEAD_BYTES};
 use heathward_core::{
     body_channel, Attempt, BodyInterrupted, BodySender, BodyStream, NodeReply, NodeRequest, StreamedReply,
     Upload, MAX_BUFFERED_BODY_BYTES,
@@ -109,7 +109,7 @@
         let written = Arc::new(WriteProgress::default());
         let io = TokioIo::new(TrackedStream::new(stream, written.clone()));
         let mut builder = http1::Builder::new();
-        builder.max_buf_size(HEAD_LIMIT);
+        builder.max_buf_size(MAX_HEAD_BYTES);
         let (sender, driver) = builder.handshake(io).await.ok()?;
         Some(Self { sender, driver: Box::pin(driver), written, over: false })
     }
@@ -141,7 +141,7 @@
         let (head, mut body) = self.drive(sending).await.ok()?.into_parts();
         let lengths =
             [CONTENT_LENGTH, TRANSFER_ENCODING].iter().filter(|h| head.headers.contains_key(*h)).count();
-        if lengths > 1 || body.size_hint().lower() > LONGEST_BODY {
+        if lengths > 1 || body.size_hint().lower() > MAX_BODY_BYTES {
             return None;
         }
         let rejected = head.headers.get(headers::REJECTED).is_some_and(|v| v == "1");
@@ -178,7 +178,7 @@
         while let Some(frame) = timeout_at(Instant::now() + STALL, self.drive(body.frame())).await.ok()? {
             let Ok(piece) = frame.ok()?.into_data() else { continue };
             passed += piece.len() as u64;
-            if passed > LONGEST_BODY || !feed.send(piece).await {
+            if passed > MAX_BODY_BYTES || !feed.send(piece).await {
                 return None;
             }
         }
@@ -342,10 +342,10 @@
     let method = if *write { Method::PUT } else { Method::GET };
     let mut request = Request::builder().method(method).uri(&**target);
     request = request.header(HOST, address.to_string());
-    request = request.header(headers::CALL, &**call).header(headers::CLASS, &**class);
-    request = request.header(headers::BUDGET, left.max(1).to_string());
+    request = request.header(headers::REQUEST_ID, &**call).header(headers::CLASS, &**class);
+    request = request.header(headers::TIME_BUDGET_MS, left.max(1).to_string());
     if let Some(once) = once {
-        request = request.header(headers::ONCE, &**once);
+        request = request.header(headers::IDEMPOTENCY_KEY, &**once);
     }
     if let Some(length) = length.filter(|_| *write || !body.is_empty()) {
         request = request.header(CONTENT_LENGTH, length);
