--- a/crates/transport/src/node/http.rs
+++ b/crates/transport/src/node/http.rs
@@ -1,4 +1,4 @@
-//! A storage node that speaks the platform's HTTP.
+//! Connections to storage nodes that speak HTTP/1.1.
 
 use std::convert::Infallible;
 use std::future::{pending, poll_fn, Future};
@@ -81,7 +81,7 @@
     Long(Option<u64>, Bytes, Incoming),
 }
 
-/// One connection to such a node; it carries one attempt at a time and is closed when dropped.
+/// A connection to an HTTP node; it carries one attempt at a time and is closed when dropped.
 pub struct HttpConnection {
     sender: http1::SendRequest<Sending>,
     driver: Pin<Box<Driver>>,
@@ -124,7 +124,7 @@
         .await
     }
 
-    /// False once it can't carry another request.
+    /// Waits until the connection can carry a request; false if it can't any more.
     async fn ready(&mut self) -> bool {
         poll_fn(|cx| {
             self.over = self.over || self.driver.as_mut().poll(cx).is_ready();
@@ -193,14 +193,14 @@
     }
 }
 
-/// Carries attempts to one node; a tower service.
+/// The link to one HTTP node: a tower service that carries out one attempt on one connection.
 #[derive(Clone, Debug)]
 pub struct HttpLink {
     address: SocketAddr,
 }
 
 impl HttpLink {
-    /// The way to the node at that address.
+    /// Creates a link to the node at `address`.
     pub fn new(address: SocketAddr) -> Self {
         Self { address }
     }
@@ -239,13 +239,13 @@
         let reached = timeout_at(dial_deadline.min(attempt.connect_deadline), reach(address, idle.take()));
         let reached = tokio::select! {
             biased;
-            // Whoever has left waits for no connection, and holds none.
+            // A cancelled attempt stops waiting for a connection and holds none.
             () = attempt.cancel.cancelled() => return LinkResponse::closed(AttemptEnd::NotSent),
             reached = reached => reached,
         };
         let mut connection = match reached {
             Ok(Some(connection)) => connection,
-            // One that has grown stale takes nothing of a request.
+            // Nothing of the request was written to a connection that became unusable while idle.
             Ok(None) if reused => continue,
             _ => return LinkResponse::closed(AttemptEnd::NotConnected),
         };
@@ -266,7 +266,7 @@
         };
         let unwanted = async {
             attempt.cancel.cancelled().await;
-            // What has been written whole goes on to its answer: the node is at work on it.
+            // Once the request is written completely, the attempt goes on to its reply: the node executes it.
             if written.is_complete() {
                 pending::<()>().await;
             }
@@ -298,17 +298,17 @@
                     forwarding: Some(Box::pin(rest)),
                 };
             }
-            // It was not to go any more.
+            // The request must not be sent any more.
             Ok(_) if written.is_withheld() => return LinkResponse::closed(AttemptEnd::NotSent),
             // Guards against taking a connection that had grown stale for a node that is down: the node has
             // not had the request, so that this is still the same attempt.
             Ok(_) if reused && !written.is_complete() && repeatable(&attempt) => {}
             Ok(_) if !written.is_complete() => return LinkResponse::closed(AttemptEnd::NotConnected),
             Ok(_) if written.is_broken() => return LinkResponse::closed(AttemptEnd::Reset),
-            // The node is there and has said something that makes no sense. Guards against taking it for one
-            // that went down and is cold now: it may have run the request, and that is all.
+            // The node is up but its reply is not valid. Guards against treating the node as restarted and
+            // cold: all that is known is that it may have executed the request.
             Ok(_) => return LinkResponse::closed(AttemptEnd::Error),
-            // A node that has stopped taking a long body has not had it.
+            // The node has stopped reading a long body, so it has not received the complete request.
             Err(()) if attempt.node_request.upload.is_some() && !written.is_complete() => {
                 return LinkResponse::closed(AttemptEnd::NotConnected);
             }
--- a/crates/transport/src/node/mod.rs
+++ b/crates/transport/src/node/mod.rs
@@ -1,4 +1,4 @@
-//! An actor for each storage node: its mailbox takes attempts, it owns the connections.
+//! Connections to storage nodes. An actor for each node receives attempts and owns the idle connections.
 
 mod http;
 mod pool;
@@ -38,42 +38,44 @@
 
 /// A connection to a node that can carry another attempt.
 pub trait Connection: Send + 'static {
-    /// Descriptors that one holds.
+    /// Number of file descriptors that one connection holds.
     const SOCKETS: usize;
 
-    /// Ready once the far side has closed it, or it can't be used any more.
+    /// Returns ready once the node has closed the connection, or it can't carry another attempt.
     fn poll_closed(&mut self, cx: &mut Context<'_>) -> Poll<()>;
 }
 
-/// What a link is asked: try this, on that connection or a new one.
+/// A request to a link: one attempt, on an idle connection or a new one.
 pub struct LinkRequest<C> {
     /// The attempt.
     pub attempt: Attempt,
-    /// An idle connection.
+    /// The idle connection to use; `None` to open a new one.
     pub idle_connection: Option<C>,
-    /// A new connection that is not made by then never is.
+    /// A new connection must be established by then.
     pub dial_deadline: Instant,
 }
 
-/// How it went. A connection that is not given back is closed by now.
+/// The result of an attempt. A connection that is not returned in it is closed already, unless
+/// [`Self::forwarding`] holds it.
 pub struct LinkResponse<C> {
     /// How the attempt ended.
     pub end: AttemptEnd,
-    /// What came with [`AttemptEnd::Served`].
+    /// The reply of the node, with [`AttemptEnd::Served`].
     pub body: NodeReply,
-    /// The connection, if it can carry another.
+    /// The connection, if it can carry another attempt.
     pub idle_connection: Option<C>,
-    /// What passes the rest of an answer on, and gives the connection back then.
+    /// Forwards the rest of a streamed reply, and then returns the connection if it can carry another
+    /// attempt.
     pub forwarding: Option<BoxFuture<'static, Option<C>>>,
 }
 
 impl<C> LinkResponse<C> {
-    /// An attempt that brought nothing back and whose connection is closed.
+    /// An attempt without a reply, whose connection is closed or was never established.
     pub fn closed(end: AttemptEnd) -> Self {
         Self { end, body: NodeReply::Buffered(Bytes::new()), idle_connection: None, forwarding: None }
     }
 
-    /// One that is over, on a connection that can carry another.
+    /// An attempt whose connection can carry another one.
     pub fn reusable(end: AttemptEnd, body: Bytes, connection: C) -> Self {
         Self { end, body: NodeReply::Buffered(body), idle_connection: Some(connection), forwarding: None }
     }
@@ -117,7 +119,8 @@
     }
 }
 
-/// Starts a node's actor over a link: a tower service that carries one attempt on one connection.
+/// Starts the actor of a node and returns its mailbox. The link is a tower service that carries out one
+/// attempt on one connection.
 pub fn spawn<L, C>(link: L, pool: ConnectionPool, core: mpsc::Sender<CoreMessage>) -> mpsc::Sender<Attempt>
 where
     L: tower::Service<LinkRequest<C>, Response = LinkResponse<C>, Error = std::convert::Infallible>
@@ -132,9 +135,9 @@
     mailbox
 }
 
-/// What has come to its end on a connection.
+/// Work on a connection that has finished.
 enum Finished<C> {
-    /// An attempt.
+    /// An attempt, its result, and the permit of its connection if there was one.
     Attempt(Box<Attempt>, LinkResponse<C>, Option<Permit>),
     /// The rest of an answer.
     Rest(Option<C>, Permit),
--- a/crates/transport/src/node/pool.rs
+++ b/crates/transport/src/node/pool.rs
@@ -1,5 +1,5 @@
-//! The descriptors that connections to all nodes share. With more nodes than descriptors, what stands idle at
-//! one node makes way for what another one needs.
+//! The file descriptors that connections to all nodes share. With more nodes than descriptors, idle
+//! connections to one node are evicted for a new connection to another.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
@@ -10,7 +10,8 @@
 
 use super::PoolLimits;
 
-/// What all nodes' actors share: the limits as they are now, the descriptors in use, and what stands idle.
+/// The connection pool that the actors of all nodes share: the current limits, the descriptors in use, and
+/// the idle connections.
 #[derive(Clone, Debug)]
 pub struct ConnectionPool {
     limits: watch::Receiver<PoolLimits>,
@@ -22,7 +23,7 @@
 /// Since when a connection is idle, and a number that no other has.
 type Place = (Instant, u64);
 
-/// What an idle connection stands on, until it is taken away, and whom to tell then.
+/// The permit of an idle connection, until it is taken or evicted, and the actor to notify of an eviction.
 #[derive(Debug)]
 struct Slot {
     permit: Mutex<Option<Permit>>,
@@ -36,12 +37,12 @@
 }
 
 impl ConnectionPool {
-    /// A pool with none open.
+    /// Creates a pool without connections.
     pub fn new(limits: watch::Receiver<PoolLimits>) -> Self {
         Self { limits, open: Arc::default(), next: Arc::default(), idle: Arc::default() }
     }
 
-    /// The limits now.
+    /// Returns the current limits.
     pub(super) fn limits(&self) -> PoolLimits {
         *self.limits.borrow()
     }
@@ -74,7 +75,7 @@
     }
 }
 
-/// What a connection holds of the pool, for as long as it is open.
+/// The descriptors that a connection holds of the pool; released when dropped.
 #[derive(Debug)]
 pub(super) struct Permit {
     sockets: usize,
@@ -87,7 +88,7 @@
     }
 }
 
-/// An idle connection's place in the pool, given up when dropped.
+/// An idle connection's entry in the pool, removed when dropped.
 #[derive(Debug)]
 pub(super) struct Parked {
     pool: ConnectionPool,
@@ -101,7 +102,7 @@
         self.slot.lock().is_some()
     }
 
-    /// The connection is used again, if it still stands.
+    /// Takes the permit to use the connection again; `None` if it was evicted.
     pub(super) fn take(self) -> Option<Permit> {
         self.slot.lock().take()
     }
--- a/crates/transport/src/node/pool/tests.rs
+++ b/crates/transport/src/node/pool/tests.rs
@@ -9,7 +9,7 @@
     ConnectionPool::new(watch::channel(limits).1)
 }
 
-/// Connections of one and of two descriptors, in use and idle.
+/// Connections with one or two descriptors each, some in use and some idle, and a request for another one.
 #[rstest]
 #[case::room(3, &[], &[1], 1, true)]
 #[case::one_makes_way(3, &[1], &[1, 1], 1, true)]
--- a/crates/transport/src/node/wire.rs
+++ b/crates/transport/src/node/wire.rs
@@ -1,4 +1,5 @@
-//! A socket that knows whether a request has been written to its last byte, and begins none that must not go.
+//! A TCP stream that tracks whether a request was written completely, and does not begin a request that must
+//! not be sent any more.
 
 use std::io;
 use std::pin::Pin;
@@ -17,8 +18,8 @@
 /// Stands for a body's length where none is told.
 const UNTOLD: usize = usize::MAX;
 
-/// How far the request that a connection carries has been written. Whether an attempt can have run hangs on
-/// this alone, so it counts bytes that the socket has taken, not what was meant to be sent.
+/// How far the current request has been written to its connection. This alone decides whether a node can have
+/// executed an attempt, so it counts the bytes that the socket has accepted, not those that were to be sent.
 #[derive(Debug, Default)]
 pub struct WriteProgress {
     /// How much of the blank line that ends a head has been seen.
@@ -32,7 +33,7 @@
     /// It has carried an attempt before this one, and what has come since belongs to none.
     used: AtomicBool,
     stale: AtomicBool,
-    /// The attempt at hand, or the last one.
+    /// The current attempt, or the last one.
     attempt: Mutex<Option<Attempt>>,
     broken: AtomicBool,
 }
@@ -54,28 +55,29 @@
         self.last.store(false, Ordering::Relaxed);
     }
 
-    /// All of a body has been handed to the connection: what is written from now on may hold the last of it.
+    /// Records that the complete body was handed to the connection: its last byte may be written from now on.
     pub fn mark_body_end(&self) {
         self.last.store(true, Ordering::Relaxed);
     }
 
-    /// The last byte of the request has reached the socket.
+    /// Whether the socket has accepted the last byte of the request.
     pub fn is_complete(&self) -> bool {
         self.whole.load(Ordering::Relaxed)
     }
 
-    /// The far side has closed the connection, or it is reset.
+    /// Whether the node has closed the connection, or it was reset.
     pub fn is_broken(&self) -> bool {
         self.broken.load(Ordering::Relaxed)
     }
 
-    /// A byte of it was due that was not to go any more: its last one has not been and will not be written.
+    /// Whether a byte of the request was held back because the attempt must not be sent any more: its last
+    /// byte was not written and never will be.
     pub fn is_withheld(&self) -> bool {
         self.withheld.load(Ordering::Relaxed)
     }
 
-    /// Its first byte was due on a connection that the far side had ended, or on which something had come
-    /// that nobody asked for: nothing of it has been or will be written there.
+    /// Whether the connection was unusable when the first byte of the request was due: the node had closed
+    /// it, or unexpected bytes had arrived. Nothing of the request was or will be written to it.
     pub fn is_stale(&self) -> bool {
         self.stale.load(Ordering::Relaxed)
     }
@@ -100,7 +102,7 @@
         !withheld && !stale
     }
 
-    /// Takes note of bytes that the socket has taken.
+    /// Records bytes that the socket has accepted.
     pub fn record(&self, bytes: &[u8]) {
         self.begun.store(true, Ordering::Relaxed);
         let (mut ending, mut rest) = (self.ending.load(Ordering::Relaxed), bytes);
@@ -134,7 +136,7 @@
     unread.is_err_and(|error| error == rustix::io::Errno::AGAIN)
 }
 
-/// A stream whose written bytes are noted.
+/// A TCP stream that records its writes in a [`WriteProgress`].
 #[derive(Debug)]
 pub struct TrackedStream {
     stream: TcpStream,
@@ -142,7 +144,7 @@
 }
 
 impl TrackedStream {
-    /// Notes what this stream takes.
+    /// Records what `stream` accepts in `written`.
     pub fn new(stream: TcpStream, written: Arc<WriteProgress>) -> Self {
         Self { stream, written }
     }
