--- a/crates/transport/src/node/http.rs
+++ b/crates/transport/src/node/http.rs
@@ -27,16 +27,17 @@
 };
 use heathward_policy::AttemptEnd;
 
-type Driver = http1::Connection<TokioIo<TrackedStream>, Sending>;
+type Driver = http1::Connection<TokioIo<TrackedStream>, OutgoingBody>;
 
-/// A request's body on its way to a node.
-struct Sending {
-    held: Option<Bytes>,
-    /// The rest, its length where that is told, and whom to tell that it has ended.
-    rest: Option<(BodyStream, Option<u64>, Arc<WriteProgress>)>,
+/// The body of a request that is sent to a node.
+struct OutgoingBody {
+    buffered: Option<Bytes>,
+    /// The rest of the body, the length of the complete body if it is known, and where to record that it has
+    /// ended.
+    streamed: Option<(BodyStream, Option<u64>, Arc<WriteProgress>)>,
 }
 
-impl Body for Sending {
+impl Body for OutgoingBody {
     type Data = Bytes;
     type Error = BodyInterrupted;
 
@@ -44,57 +45,58 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyInterrupted>>> {
-        if let Some(held) = self.held.take() {
-            return Poll::Ready(Some(Ok(Frame::data(held))));
+        if let Some(buffered) = self.buffered.take() {
+            return Poll::Ready(Some(Ok(Frame::data(buffered))));
         }
-        let Some((pieces, _, written)) = &mut self.rest else { return Poll::Ready(None) };
-        let next = ready!(pieces.poll_next(cx));
+        let Some((chunks, _, written)) = &mut self.streamed else { return Poll::Ready(None) };
+        let next = ready!(chunks.poll_next(cx));
         if next.is_none() {
             written.mark_body_end();
         }
-        Poll::Ready(next.map(|piece| piece.map(Frame::data)))
+        Poll::Ready(next.map(|chunk| chunk.map(Frame::data)))
     }
 
     fn is_end_stream(&self) -> bool {
-        self.held.is_none() && self.rest.is_none()
+        self.buffered.is_none() && self.streamed.is_none()
     }
 
     fn size_hint(&self) -> SizeHint {
-        match &self.rest {
-            None => SizeHint::with_exact(self.held.as_ref().map_or(0, |held| held.len() as u64)),
+        match &self.streamed {
+            None => SizeHint::with_exact(self.buffered.as_ref().map_or(0, |buffered| buffered.len() as u64)),
             Some((_, length, _)) => length.map(SizeHint::with_exact).unwrap_or_default(),
         }
     }
 }
 
-/// The next piece of an answer follows within this time. Guards against waiting for one that stopped short
-/// for as long as for a node that is slow, and against taking the node for slow.
-const REST: Duration = Duration::from_millis(50);
-/// The same where the answer is on its way to the client.
-const STALL: Duration = Duration::from_secs(3);
+/// The most time between two chunks of a reply that is buffered. Guards against waiting for a truncated reply
+/// until the deadline of the attempt, and against treating its node as slow.
+const BUFFERED_CHUNK_TIMEOUT: Duration = Duration::from_millis(50);
+/// The most time between two chunks of a reply that is streamed to the client.
+const STREAMED_CHUNK_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// An answer as it came.
-enum Came {
-    /// Whole.
-    Whole(AttemptEnd, Bytes),
-    /// Served, and longer than what is held: its length where it is told, what has come, and what is to come.
-    Long(Option<u64>, Bytes, Incoming),
+/// A reply of a node.
+enum Reply {
+    /// A complete reply.
+    Complete(AttemptEnd, Bytes),
+    /// A served reply that is too long to be buffered: its length if it was announced, the first part, and
+    /// the rest.
+    Partial(Option<u64>, Bytes, Incoming),
 }
 
 /// A connection to an HTTP node; it carries one attempt at a time and is closed when dropped.
 pub struct HttpConnection {
-    sender: http1::SendRequest<Sending>,
+    sender: http1::SendRequest<OutgoingBody>,
     driver: Pin<Box<Driver>>,
     written: Arc<WriteProgress>,
-    over: bool,
+    ended: bool,
 }
 
 impl Connection for HttpConnection {
     const SOCKETS: usize = 1;
 
     fn poll_closed(&mut self, cx: &mut Context<'_>) -> Poll<()> {
-        self.over = self.over || self.driver.as_mut().poll(cx).is_ready();
-        if self.over {
+        self.ended = self.ended || self.driver.as_mut().poll(cx).is_ready();
+        if self.ended {
             Poll::Ready(())
         } else {
             Poll::Pending
@@ -111,15 +113,15 @@
         let mut builder = http1::Builder::new();
         builder.max_buf_size(MAX_HEAD_BYTES);
         let (sender, driver) = builder.handshake(io).await.ok()?;
-        Some(Self { sender, driver: Box::pin(driver), written, over: false })
+        Some(Self { sender, driver: Box::pin(driver), written, ended: false })
     }
 
-    /// Runs the connection for as long as `work` on it takes.
-    async fn drive<F: Future>(&mut self, work: F) -> F::Output {
-        let mut work = Box::pin(work);
+    /// Drives the connection until `operation` on it is done.
+    async fn drive<F: Future>(&mut self, operation: F) -> F::Output {
+        let mut operation = Box::pin(operation);
         poll_fn(|cx| {
-            self.over = self.over || self.driver.as_mut().poll(cx).is_ready();
-            work.as_mut().poll(cx)
+            self.ended = self.ended || self.driver.as_mut().poll(cx).is_ready();
+            operation.as_mut().poll(cx)
         })
         .await
     }
@@ -127,16 +129,17 @@
     /// Waits until the connection can carry a request; false if it can't any more.
     async fn ready(&mut self) -> bool {
         poll_fn(|cx| {
-            self.over = self.over || self.driver.as_mut().poll(cx).is_ready();
+            self.ended = self.ended || self.driver.as_mut().poll(cx).is_ready();
             self.sender.poll_ready(cx)
         })
         .await
-        .is_ok_and(|()| !self.over)
+        .is_ok_and(|()| !self.ended)
     }
 
-    /// Sends a request and takes its answer; `None` where there is none to be made out. This is the one check
-    /// on answers: a head that can be read, one length, no longer than any body, and as many bytes.
-    async fn exchange(&mut self, request: Request<Sending>) -> Option<Came> {
+    /// Sends a request and receives its reply; `None` if there is no valid reply. This is the only validation
+    /// of replies: the head must be readable and state at most one length, the body must not be too long, and
+    /// it must have the stated length.
+    async fn exchange(&mut self, request: Request<OutgoingBody>) -> Option<Reply> {
         let sending = self.sender.send_request(request);
         let (head, mut body) = self.drive(sending).await.ok()?.into_parts();
         let lengths =
@@ -151,44 +154,52 @@
             _ => AttemptEnd::Error,
         };
         let length = body.size_hint().exact();
-        let mut held = BytesMut::new();
+        let mut buffered = BytesMut::new();
         loop {
             if end == AttemptEnd::Served
-                && length.map_or(held.len(), |l| l as usize) > MAX_BUFFERED_BODY_BYTES
+                && length.map_or(buffered.len(), |l| l as usize) > MAX_BUFFERED_BODY_BYTES
             {
-                return Some(Came::Long(length, held.freeze(), body));
+                return Some(Reply::Partial(length, buffered.freeze(), body));
             }
-            match timeout_at(Instant::now() + REST, self.drive(body.frame())).await.ok()? {
-                Some(frame) => held.extend_from_slice(frame.ok()?.data_ref().unwrap_or(&Bytes::new())),
-                None => return Some(Came::Whole(end, held.freeze())),
+            match timeout_at(Instant::now() + BUFFERED_CHUNK_TIMEOUT, self.drive(body.frame())).await.ok()? {
+                Some(frame) => buffered.extend_from_slice(frame.ok()?.data_ref().unwrap_or(&Bytes::new())),
+                None => return Some(Reply::Complete(end, buffered.freeze())),
             }
-            if end != AttemptEnd::Served && held.len() > MAX_BUFFERED_BODY_BYTES {
+            if end != AttemptEnd::Served && buffered.len() > MAX_BUFFERED_BODY_BYTES {
                 return None;
             }
         }
     }
 
-    /// Passes the rest of an answer on, for as long as it moves; gives the connection back if it can carry
-    /// another attempt.
-    async fn pass(mut self, held: Bytes, mut body: Incoming, feed: BodySender) -> Option<Self> {
-        let mut passed = held.len() as u64;
-        if !held.is_empty() && !feed.send(held).await {
+    /// Forwards a reply that is being received, and returns the connection if it can carry another attempt.
+    /// Gives up once no chunk arrives in time or the receiver is gone.
+    async fn forward_reply(
+        mut self,
+        first_part: Bytes,
+        mut body: Incoming,
+        sender: BodySender,
+    ) -> Option<Self> {
+        let mut forwarded_bytes = first_part.len() as u64;
+        if !first_part.is_empty() && !sender.send(first_part).await {
             return None;
         }
-        while let Some(frame) = timeout_at(Instant::now() + STALL, self.drive(body.frame())).await.ok()? {
-            let Ok(piece) = frame.ok()?.into_data() else { continue };
-            passed += piece.len() as u64;
-            if passed > MAX_BODY_BYTES || !feed.send(piece).await {
+        while let Some(frame) =
+            timeout_at(Instant::now() + STREAMED_CHUNK_TIMEOUT, self.drive(body.frame())).await.ok()?
+        {
+            let Ok(chunk) = frame.ok()?.into_data() else { continue };
+            forwarded_bytes += chunk.len() as u64;
+            if forwarded_bytes > MAX_BODY_BYTES || !sender.send(chunk).await {
                 return None;
             }
         }
-        let sound = self.sound().await;
-        feed.finish().await;
-        sound.then_some(self)
+        let is_reusable = self.is_reusable().await;
+        sender.finish().await;
+        is_reusable.then_some(self)
     }
 
-    /// False once it can't carry another request, or where more has come than its last answer.
-    async fn sound(&mut self) -> bool {
+    /// Whether the connection can carry another request: false if it has ended, or if bytes were received
+    /// after the last reply.
+    async fn is_reusable(&mut self) -> bool {
         poll_fn(|cx| Poll::Ready(self.poll_closed(cx).is_pending())).await && !self.sender.is_closed()
     }
 }
@@ -215,35 +226,45 @@
         Poll::Ready(Ok(()))
     }
 
-    fn call(&mut self, job: LinkRequest<HttpConnection>) -> Self::Future {
+    fn call(&mut self, request: LinkRequest<HttpConnection>) -> Self::Future {
         let address = self.address;
-        Box::pin(async move { Ok(run(address, job).await) })
+        Box::pin(async move { Ok(run_attempt(address, request).await) })
     }
 }
 
-/// A connection that can carry a request: the idle one, where it still can, or a new one.
-async fn reach(address: SocketAddr, idle: Option<HttpConnection>) -> Option<HttpConnection> {
-    let mut connection = match idle {
+/// Returns a connection that can carry a request: the idle one, or a new one if there is none. `None` if the
+/// idle one can't be used any more or the node can't be reached.
+async fn obtain_connection(
+    address: SocketAddr,
+    idle_connection: Option<HttpConnection>,
+) -> Option<HttpConnection> {
+    let mut connection = match idle_connection {
         Some(connection) => connection,
         None => HttpConnection::open(address).await?,
     };
     connection.ready().await.then_some(connection)
 }
 
-/// One attempt. Whatever it is given up on is dropped, and so closed, before the end is told: no other
-/// attempt of the request may start while a connection of this one is open.
-async fn run(address: SocketAddr, job: LinkRequest<HttpConnection>) -> LinkResponse<HttpConnection> {
-    let LinkRequest { attempt, idle_connection: mut idle, dial_deadline } = job;
+/// Runs one attempt. If the attempt is given up, its connection is dropped, and so closed, before this
+/// returns: no other attempt of the request may start while a connection of this one is open.
+async fn run_attempt(
+    address: SocketAddr,
+    link_request: LinkRequest<HttpConnection>,
+) -> LinkResponse<HttpConnection> {
+    let LinkRequest { attempt, mut idle_connection, dial_deadline } = link_request;
     loop {
-        let reused = idle.is_some();
-        let reached = timeout_at(dial_deadline.min(attempt.connect_deadline), reach(address, idle.take()));
-        let reached = tokio::select! {
+        let reused = idle_connection.is_some();
+        let connecting = timeout_at(
+            dial_deadline.min(attempt.connect_deadline),
+            obtain_connection(address, idle_connection.take()),
+        );
+        let connected = tokio::select! {
             biased;
             // A cancelled attempt stops waiting for a connection and holds none.
             () = attempt.cancel.cancelled() => return LinkResponse::closed(AttemptEnd::NotSent),
-            reached = reached => reached,
+            connected = connecting => connected,
         };
-        let mut connection = match reached {
+        let mut connection = match connected {
             Ok(Some(connection)) => connection,
             // Nothing of the request was written to a connection that became unusable while idle.
             Ok(None) if reused => continue,
@@ -257,52 +278,53 @@
         };
         let written = connection.written.clone();
         written.begin(length, attempt.clone());
-        let tried = connection.exchange(request);
+        let exchange = connection.exchange(request);
         let expired = async {
             match &attempt.node_request.upload {
                 Some(upload) => upload.expired().await,
                 None => sleep_until(attempt.deadline).await,
             }
         };
-        let unwanted = async {
+        let cancelled = async {
             attempt.cancel.cancelled().await;
             // Once the request is written completely, the attempt goes on to its reply: the node executes it.
             if written.is_complete() {
                 pending::<()>().await;
             }
         };
-        let tried = tokio::select! {
+        let result = tokio::select! {
             biased;
-            tried = tried => Ok(tried),
-            () = unwanted => return LinkResponse::closed(AttemptEnd::NotSent),
+            reply = exchange => Ok(reply),
+            () = cancelled => return LinkResponse::closed(AttemptEnd::NotSent),
             () = expired => Err(()),
         };
-        match tried {
-            Ok(Some(Came::Whole(end, body))) => {
-                let idle = if connection.sound().await { Some(connection) } else { None };
+        match result {
+            Ok(Some(Reply::Complete(end, body))) => {
+                let idle_connection = if connection.is_reusable().await { Some(connection) } else { None };
                 return LinkResponse {
                     end,
                     body: NodeReply::Buffered(body),
-                    idle_connection: idle,
+                    idle_connection,
                     forwarding: None,
                 };
             }
-            Ok(Some(Came::Long(length, held, body))) => {
-                let (feed, pieces) = body_channel();
-                let rest = connection.pass(held, body, feed);
-                let body = NodeReply::Streamed(StreamedReply::new(length, pieces));
+            Ok(Some(Reply::Partial(length, first_part, body))) => {
+                let (sender, chunks) = body_channel();
+                let forwarding = connection.forward_reply(first_part, body, sender);
+                let body = NodeReply::Streamed(StreamedReply::new(length, chunks));
                 return LinkResponse {
                     end: AttemptEnd::Served,
                     body,
                     idle_connection: None,
-                    forwarding: Some(Box::pin(rest)),
+                    forwarding: Some(Box::pin(forwarding)),
                 };
             }
             // The request must not be sent any more.
             Ok(_) if written.is_withheld() => return LinkResponse::closed(AttemptEnd::NotSent),
-            // Guards against taking a connection that had grown stale for a node that is down: the node has
-            // not had the request, so that this is still the same attempt.
-            Ok(_) if reused && !written.is_complete() && repeatable(&attempt) => {}
+            // Guards against mistaking a connection that became unusable while idle for a node that is down:
+            // the node has not received the complete request, so the same attempt goes on with another
+            // connection.
+            Ok(_) if reused && !written.is_complete() && is_resendable(&attempt) => {}
             Ok(_) if !written.is_complete() => return LinkResponse::closed(AttemptEnd::NotConnected),
             Ok(_) if written.is_broken() => return LinkResponse::closed(AttemptEnd::Reset),
             // The node is up but its reply is not valid. Guards against treating the node as restarted and
@@ -317,42 +339,40 @@
     }
 }
 
-/// Nothing of it has been taken that can't be sent again.
-fn repeatable(attempt: &Attempt) -> bool {
+/// Whether the request can be sent again: no part of a streamed body has been sent.
+fn is_resendable(attempt: &Attempt) -> bool {
     attempt.node_request.upload.as_ref().is_none_or(Upload::is_unsent)
 }
 
-type Encoded = Result<Request<Sending>, hyper::http::Error>;
+type EncodedRequest = Result<Request<OutgoingBody>, hyper::http::Error>;
 
-/// The request, and the length of its body where that is told.
-fn encode(attempt: &Attempt, address: SocketAddr, written: &Arc<WriteProgress>) -> (Encoded, Option<usize>) {
+/// Encodes the request of an attempt; returns it with the length of its body, if that is known.
+fn encode(
+    attempt: &Attempt,
+    address: SocketAddr,
+    written: &Arc<WriteProgress>,
+) -> (EncodedRequest, Option<usize>) {
     let NodeRequest {
-        client_request_id: call,
-        class_name: class,
-        is_write: write,
-        target,
-        idempotency_key: once,
-        body,
-        upload: rest,
-        ..
+        client_request_id, class_name, is_write, target, idempotency_key, body, upload, ..
     } = &*attempt.node_request;
-    let left = attempt.deadline.saturating_duration_since(Instant::now());
-    let left = rest.as_ref().map_or(left, Upload::time_budget).as_millis();
-    let length = rest.as_ref().map_or(Some(body.len()), |upload| upload.content_length().map(|l| l as usize));
-    let method = if *write { Method::PUT } else { Method::GET };
+    let time_left = attempt.deadline.saturating_duration_since(Instant::now());
+    let time_left_ms = upload.as_ref().map_or(time_left, Upload::time_budget).as_millis();
+    let length =
+        upload.as_ref().map_or(Some(body.len()), |upload| upload.content_length().map(|l| l as usize));
+    let method = if *is_write { Method::PUT } else { Method::GET };
     let mut request = Request::builder().method(method).uri(&**target);
     request = request.header(HOST, address.to_string());
-    request = request.header(headers::REQUEST_ID, &**call).header(headers::CLASS, &**class);
-    request = request.header(headers::TIME_BUDGET_MS, left.max(1).to_string());
-    if let Some(once) = once {
-        request = request.header(headers::IDEMPOTENCY_KEY, &**once);
+    request = request.header(headers::REQUEST_ID, &**client_request_id).header(headers::CLASS, &**class_name);
+    request = request.header(headers::TIME_BUDGET_MS, time_left_ms.max(1).to_string());
+    if let Some(key) = idempotency_key {
+        request = request.header(headers::IDEMPOTENCY_KEY, &**key);
     }
-    if let Some(length) = length.filter(|_| *write || !body.is_empty()) {
+    if let Some(length) = length.filter(|_| *is_write || !body.is_empty()) {
         request = request.header(CONTENT_LENGTH, length);
     }
-    let pieces = rest
+    let streamed = upload
         .as_ref()
         .and_then(|upload| Some((upload.take_body()?, upload.content_length(), written.clone())));
-    let sending = Sending { held: (!body.is_empty()).then(|| body.clone()), rest: pieces };
-    (request.body(sending), length)
+    let outgoing_body = OutgoingBody { buffered: (!body.is_empty()).then(|| body.clone()), streamed };
+    (request.body(outgoing_body), length)
 }
--- a/crates/transport/src/node/mod.rs
+++ b/crates/transport/src/node/mod.rs
@@ -20,21 +20,22 @@
 use heathward_policy::settings::Deployment;
 use heathward_policy::AttemptEnd;
 
-use pool::{Parked, Permit};
+use pool::{IdleEntry, Permit};
 
 pub use http::HttpLink;
 pub use pool::ConnectionPool;
 pub use wire::{TrackedStream, WriteProgress};
 
-/// Attempts that wait for a node's actor at most; it takes them at once, so that this is never reached.
-const MAILBOX: usize = 1024;
-/// Idle connections are dropped this long before the far machine would, so that none breaks under a request.
-const IDLE_LEAD: Duration = Duration::from_millis(2500);
+/// The most attempts that wait for a node's actor. It takes them at once, so this is never reached.
+const MAX_QUEUED_ATTEMPTS: usize = 1024;
+/// Idle connections are closed this long before the node would close them, so that none breaks while it
+/// carries a request.
+const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_millis(2500);
 
-/// "A second answer may come some milliseconds later" (STANDING.md). So long a connection rests after an
-/// answer before it carries another attempt: in use again by then, it would have that answer taken for the
-/// next one.
-const SECOND_ANSWER: Duration = Duration::from_millis(5);
+/// How long a connection pauses after an answer before it carries another attempt. "A second answer may come
+/// some milliseconds later" (STANDING.md): on a connection already in use again, it would be taken for the
+/// answer to the next request.
+const REUSE_DELAY: Duration = Duration::from_millis(5);
 
 /// A connection to a node that can carry another attempt.
 pub trait Connection: Send + 'static {
@@ -84,38 +85,43 @@
 /// The limits of connections to nodes.
 #[derive(Clone, Copy, Debug)]
 pub struct PoolLimits {
-    /// A connection that takes longer to make never will be.
-    connect: Duration,
-    /// Idle connections are kept that long.
-    idle: Duration,
-    /// Descriptors of connections to all nodes together, so that clients always find descriptors.
-    open: usize,
-    /// Idle ones for each node.
-    most_idle: usize,
+    /// The most time to establish a connection.
+    connect_timeout: Duration,
+    /// How long an idle connection is kept.
+    idle_timeout: Duration,
+    /// File descriptors of the connections to all nodes together, limited so that some remain for clients.
+    max_descriptors: usize,
+    /// Idle connections to each node.
+    max_idle_per_node: usize,
 }
 
 impl PoolLimits {
-    /// Those of a deployment: `open` descriptors in all, `most_idle` idle connections for each node.
-    pub fn new(deployment: &Deployment, open: usize, most_idle: usize) -> Self {
-        let idle = Duration::from_micros(deployment.idle_timeout);
-        let idle = idle.saturating_sub(IDLE_LEAD.min(idle / 2));
-        Self { connect: Duration::from_micros(deployment.connect_timeout.max(1)), idle, open, most_idle }
+    /// Returns the limits for a deployment: `max_descriptors` in all, and `max_idle_per_node` idle
+    /// connections to each node.
+    pub fn new(deployment: &Deployment, max_descriptors: usize, max_idle_per_node: usize) -> Self {
+        let idle_timeout = Duration::from_micros(deployment.idle_timeout);
+        let idle_timeout = idle_timeout.saturating_sub(IDLE_TIMEOUT_MARGIN.min(idle_timeout / 2));
+        Self {
+            connect_timeout: Duration::from_micros(deployment.connect_timeout.max(1)),
+            idle_timeout,
+            max_descriptors,
+            max_idle_per_node,
+        }
     }
 }
 
-/// An idle connection, its place in the pool, and when it is dropped.
-struct Idle<C> {
-    link: C,
-    place: Parked,
-    /// Since when.
-    since: Instant,
-    until: Instant,
+/// An idle connection, its entry in the pool, and when it is closed.
+struct IdleConnection<C> {
+    connection: C,
+    pool_entry: IdleEntry,
+    idle_since: Instant,
+    idle_until: Instant,
 }
 
-impl<C> Idle<C> {
-    /// It is used again, if it has not had to make way.
+impl<C> IdleConnection<C> {
+    /// Returns the connection for another attempt, unless the pool has evicted it.
     fn take(self) -> Option<(C, Permit)> {
-        Some((self.link, self.place.take()?))
+        Some((self.connection, self.pool_entry.take()?))
     }
 }
 
@@ -129,9 +135,9 @@
     L::Future: Send + 'static,
     C: Connection,
 {
-    let (mailbox, attempts) = mpsc::channel(MAILBOX);
-    let (idle, running, evicted) = (VecDeque::new(), FuturesUnordered::new(), Arc::default());
-    tokio::spawn(Actor { link, pool, core, idle, running, evicted }.run(attempts));
+    let (mailbox, attempts) = mpsc::channel(MAX_QUEUED_ATTEMPTS);
+    let (idle, in_flight, evicted) = (VecDeque::new(), FuturesUnordered::new(), Arc::default());
+    tokio::spawn(Actor { link, pool, core, idle, in_flight, evicted }.run(attempts));
     mailbox
 }
 
@@ -139,18 +145,19 @@
 enum Finished<C> {
     /// An attempt, its result, and the permit of its connection if there was one.
     Attempt(Box<Attempt>, LinkResponse<C>, Option<Permit>),
-    /// The rest of an answer.
-    Rest(Option<C>, Permit),
+    /// The forwarding of a streamed reply; the connection, if it can carry another attempt, and its permit.
+    Forwarding(Option<C>, Permit),
 }
 
 struct Actor<L, C> {
     link: L,
     pool: ConnectionPool,
     core: mpsc::Sender<CoreMessage>,
-    /// The newest last.
-    idle: VecDeque<Idle<C>>,
-    running: FuturesUnordered<BoxFuture<'static, Finished<C>>>,
-    /// Told when an idle connection has to make way.
+    /// Idle connections, the one that has been idle for the shortest time last.
+    idle: VecDeque<IdleConnection<C>>,
+    /// Attempts, and replies that are being forwarded.
+    in_flight: FuturesUnordered<BoxFuture<'static, Finished<C>>>,
+    /// Notified when the pool evicts an idle connection of this node.
     evicted: Arc<Notify>,
 }
 
@@ -161,101 +168,112 @@
     C: Connection,
 {
     async fn run(mut self, mut attempts: mpsc::Receiver<Attempt>) {
-        let mut listed = true;
-        while listed || !self.running.is_empty() {
-            let oldest = self.idle.front().map(|idle| idle.until);
+        // The node is in the endpoint list for as long as the mailbox has a sender.
+        let mut is_listed = true;
+        while is_listed || !self.in_flight.is_empty() {
+            let expiry = self.idle.front().map(|idle| idle.idle_until);
             tokio::select! {
                 biased;
-                Some(finished) = self.running.next(), if !self.running.is_empty() => {
-                    self.finish(finished, listed).await;
+                Some(finished) = self.in_flight.next(), if !self.in_flight.is_empty() => {
+                    self.finish(finished, is_listed).await;
                 }
-                attempt = attempts.recv(), if listed => match attempt {
+                attempt = attempts.recv(), if is_listed => match attempt {
                     Some(attempt) => self.begin(attempt),
                     None => {
-                        listed = false;
+                        is_listed = false;
                         self.idle.clear();
                     }
                 },
-                () = tokio::time::sleep_until(oldest.unwrap_or_else(Instant::now)), if oldest.is_some() => {
+                () = tokio::time::sleep_until(expiry.unwrap_or_else(Instant::now)), if expiry.is_some() => {
                     self.idle.pop_front();
                 }
-                () = self.evicted.notified() => self.idle.retain(|idle| idle.place.stands()),
-                () = drop_closed(&mut self.idle) => {}
+                () = self.evicted.notified() => self.idle.retain(|idle| idle.pool_entry.is_valid()),
+                () = remove_closed(&mut self.idle) => {}
             }
         }
     }
 
     fn begin(&mut self, attempt: Attempt) {
-        let (idle, permit) = match self.rested(Instant::now()) {
-            Some((link, permit)) => (Some(link), Some(permit)),
-            None => (None, self.pool.permit(C::SOCKETS)),
+        let (idle_connection, permit) = match self.take_reusable(Instant::now()) {
+            Some((connection, permit)) => (Some(connection), Some(permit)),
+            None => (None, self.pool.acquire(C::SOCKETS)),
         };
         if permit.is_none() {
-            // No descriptor for it: it never ran, and that says nothing about the node.
-            let done = LinkResponse::closed(AttemptEnd::NotSent);
+            // There is no free descriptor: the attempt was never sent, which says nothing about the node.
+            let response = LinkResponse::closed(AttemptEnd::NotSent);
             let attempt = Box::new(attempt);
-            return self.running.push(Box::pin(async move { Finished::Attempt(attempt, done, None) }));
+            return self.in_flight.push(Box::pin(async move { Finished::Attempt(attempt, response, None) }));
         }
-        let fresh = idle.is_none();
-        let trying = self.link.call(LinkRequest {
+        let is_new = idle_connection.is_none();
+        let calling = self.link.call(LinkRequest {
             attempt: attempt.clone(),
-            idle_connection: idle,
-            dial_deadline: Instant::now() + self.pool.limits().connect,
+            idle_connection,
+            dial_deadline: Instant::now() + self.pool.limits().connect_timeout,
         });
-        self.running.push(Box::pin(async move {
-            if fresh {
-                // What has to make way for it elsewhere is closed first.
+        self.in_flight.push(Box::pin(async move {
+            if is_new {
+                // Lets the actors of other nodes close the connections that were evicted for this one.
                 tokio::task::yield_now().await;
             }
-            let Ok(done) = trying.await;
-            Finished::Attempt(Box::new(attempt), done, permit)
+            let Ok(response) = calling.await;
+            Finished::Attempt(Box::new(attempt), response, permit)
         }));
     }
 
-    /// Of the idle connections that have rested the one that was used last, so that the others grow old.
-    fn rested(&mut self, now: Instant) -> Option<(C, Permit)> {
-        while let Some(at) = self.idle.iter().rposition(|idle| idle.since + SECOND_ANSWER <= now) {
-            if let Some(standing) = self.idle.remove(at).and_then(Idle::take) {
-                return Some(standing);
+    /// Takes the most recently used of the idle connections that have paused for [`REUSE_DELAY`], so that the
+    /// others reach their idle timeout.
+    fn take_reusable(&mut self, now: Instant) -> Option<(C, Permit)> {
+        while let Some(index) = self.idle.iter().rposition(|idle| idle.idle_since + REUSE_DELAY <= now) {
+            if let Some(reusable) = self.idle.remove(index).and_then(IdleConnection::take) {
+                return Some(reusable);
             }
         }
         None
     }
 
-    async fn finish(&mut self, finished: Finished<C>, listed: bool) {
-        let (attempt, done, permit) = match finished {
-            Finished::Rest(link, permit) => return self.keep(link, permit, listed),
-            Finished::Attempt(attempt, done, permit) => (attempt, done, permit),
+    async fn finish(&mut self, finished: Finished<C>, is_listed: bool) {
+        let (attempt, response, permit) = match finished {
+            Finished::Forwarding(connection, permit) => return self.keep_idle(connection, permit, is_listed),
+            Finished::Attempt(attempt, response, permit) => (attempt, response, permit),
         };
         if let Some(permit) = permit {
-            match done.forwarding {
-                Some(rest) => self.running.push(Box::pin(async move { Finished::Rest(rest.await, permit) })),
-                None => self.keep(done.idle_connection, permit, listed),
+            match response.forwarding {
+                Some(forwarding) => {
+                    self.in_flight
+                        .push(Box::pin(async move { Finished::Forwarding(forwarding.await, permit) }));
+                }
+                None => self.keep_idle(response.idle_connection, permit, is_listed),
             }
         }
-        report_attempt_end(&self.core, &attempt, done.end, done.body).await;
+        report_attempt_end(&self.core, &attempt, response.end, response.body).await;
     }
 
-    /// Keeps a connection for another attempt.
-    fn keep(&mut self, link: Option<C>, permit: Permit, listed: bool) {
-        if let (Some(link), true) = (link, listed) {
-            let PoolLimits { idle, most_idle, .. } = self.pool.limits();
-            let place = self.pool.park(permit, &self.evicted);
-            let since = Instant::now();
-            self.idle.push_back(Idle { link, place, since, until: since + idle });
-            if self.idle.len() > most_idle {
+    /// Keeps a connection for another attempt, if the node is still in the endpoint list. Beyond the limit,
+    /// the connection that has been idle the longest is closed.
+    fn keep_idle(&mut self, connection: Option<C>, permit: Permit, is_listed: bool) {
+        if let (Some(connection), true) = (connection, is_listed) {
+            let PoolLimits { idle_timeout, max_idle_per_node, .. } = self.pool.limits();
+            let pool_entry = self.pool.add_idle(permit, &self.evicted);
+            let idle_since = Instant::now();
+            self.idle.push_back(IdleConnection {
+                connection,
+                pool_entry,
+                idle_since,
+                idle_until: idle_since + idle_timeout,
+            });
+            if self.idle.len() > max_idle_per_node {
                 self.idle.pop_front();
             }
         }
     }
 }
 
-/// Drops an idle connection once the far side has closed it, and then returns.
-async fn drop_closed<C: Connection>(idle: &mut VecDeque<Idle<C>>) {
+/// Waits until at least one idle connection is closed by the node, and removes all such connections.
+async fn remove_closed<C: Connection>(idle: &mut VecDeque<IdleConnection<C>>) {
     poll_fn(|cx| {
-        let before = idle.len();
-        idle.retain_mut(|idle| idle.link.poll_closed(cx).is_pending());
-        if idle.len() < before {
+        let count_before = idle.len();
+        idle.retain_mut(|idle| idle.connection.poll_closed(cx).is_pending());
+        if idle.len() < count_before {
             Poll::Ready(())
         } else {
             Poll::Pending
--- a/crates/transport/src/node/pool.rs
+++ b/crates/transport/src/node/pool.rs
@@ -15,22 +15,22 @@
 #[derive(Clone, Debug)]
 pub struct ConnectionPool {
     limits: watch::Receiver<PoolLimits>,
-    open: Arc<AtomicUsize>,
-    next: Arc<AtomicU64>,
-    idle: Arc<Mutex<BTreeMap<Place, Arc<Slot>>>>,
+    open_descriptors: Arc<AtomicUsize>,
+    next_sequence: Arc<AtomicU64>,
+    idle: Arc<Mutex<BTreeMap<IdleKey, Arc<IdleSlot>>>>,
 }
 
-/// Since when a connection is idle, and a number that no other has.
-type Place = (Instant, u64);
+/// When a connection became idle, and a unique sequence number.
+type IdleKey = (Instant, u64);
 
 /// The permit of an idle connection, until it is taken or evicted, and the actor to notify of an eviction.
 #[derive(Debug)]
-struct Slot {
+struct IdleSlot {
     permit: Mutex<Option<Permit>>,
     owner: Arc<Notify>,
 }
 
-impl Slot {
+impl IdleSlot {
     fn lock(&self) -> MutexGuard<'_, Option<Permit>> {
         self.permit.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -39,7 +39,7 @@
 impl ConnectionPool {
     /// Creates a pool without connections.
     pub fn new(limits: watch::Receiver<PoolLimits>) -> Self {
-        Self { limits, open: Arc::default(), next: Arc::default(), idle: Arc::default() }
+        Self { limits, open_descriptors: Arc::default(), next_sequence: Arc::default(), idle: Arc::default() }
     }
 
     /// Returns the current limits.
@@ -47,14 +47,14 @@
         *self.limits.borrow()
     }
 
-    /// Room for a connection of so many descriptors. The connections that have been idle the longest, at any
-    /// node, make way for it; `None` where all that are open are in use.
-    pub(super) fn permit(&self, sockets: usize) -> Option<Permit> {
+    /// Returns a permit for a connection of `descriptors` file descriptors. The connections that have been
+    /// idle the longest, to any node, are evicted for it; `None` if evicting all of them does not suffice.
+    pub(super) fn acquire(&self, descriptors: usize) -> Option<Permit> {
         loop {
-            let open = self.open.load(Ordering::Relaxed) + sockets;
-            if open <= self.limits().open {
-                self.open.store(open, Ordering::Relaxed);
-                return Some(Permit { sockets, open: self.open.clone() });
+            let open_descriptors = self.open_descriptors.load(Ordering::Relaxed) + descriptors;
+            if open_descriptors <= self.limits().max_descriptors {
+                self.open_descriptors.store(open_descriptors, Ordering::Relaxed);
+                return Some(Permit { descriptors, open_descriptors: self.open_descriptors.clone() });
             }
             let (_, slot) = self.lock().pop_first()?;
             drop(slot.lock().take());
@@ -62,15 +62,15 @@
         }
     }
 
-    /// A connection on that permit stands idle from now on; `owner` is told when it has to make way.
-    pub(super) fn park(&self, permit: Permit, owner: &Arc<Notify>) -> Parked {
-        let place = (Instant::now(), self.next.fetch_add(1, Ordering::Relaxed));
-        let slot = Arc::new(Slot { permit: Mutex::new(Some(permit)), owner: owner.clone() });
-        self.lock().insert(place, slot.clone());
-        Parked { pool: self.clone(), place, slot }
+    /// Records that the connection of a permit is idle from now on; `owner` is notified when it is evicted.
+    pub(super) fn add_idle(&self, permit: Permit, owner: &Arc<Notify>) -> IdleEntry {
+        let key = (Instant::now(), self.next_sequence.fetch_add(1, Ordering::Relaxed));
+        let slot = Arc::new(IdleSlot { permit: Mutex::new(Some(permit)), owner: owner.clone() });
+        self.lock().insert(key, slot.clone());
+        IdleEntry { pool: self.clone(), key, slot }
     }
 
-    fn lock(&self) -> MutexGuard<'_, BTreeMap<Place, Arc<Slot>>> {
+    fn lock(&self) -> MutexGuard<'_, BTreeMap<IdleKey, Arc<IdleSlot>>> {
         self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
@@ -78,27 +78,27 @@
 /// The descriptors that a connection holds of the pool; released when dropped.
 #[derive(Debug)]
 pub(super) struct Permit {
-    sockets: usize,
-    open: Arc<AtomicUsize>,
+    descriptors: usize,
+    open_descriptors: Arc<AtomicUsize>,
 }
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        self.open.fetch_sub(self.sockets, Ordering::Relaxed);
+        self.open_descriptors.fetch_sub(self.descriptors, Ordering::Relaxed);
     }
 }
 
 /// An idle connection's entry in the pool, removed when dropped.
 #[derive(Debug)]
-pub(super) struct Parked {
+pub(super) struct IdleEntry {
     pool: ConnectionPool,
-    place: Place,
-    slot: Arc<Slot>,
+    key: IdleKey,
+    slot: Arc<IdleSlot>,
 }
 
-impl Parked {
-    /// It has not had to make way.
-    pub(super) fn stands(&self) -> bool {
+impl IdleEntry {
+    /// Whether the connection has not been evicted.
+    pub(super) fn is_valid(&self) -> bool {
         self.slot.lock().is_some()
     }
 
@@ -108,9 +108,9 @@
     }
 }
 
-impl Drop for Parked {
+impl Drop for IdleEntry {
     fn drop(&mut self) {
-        self.pool.lock().remove(&self.place);
+        self.pool.lock().remove(&self.key);
     }
 }
 
--- a/crates/transport/src/node/pool/tests.rs
+++ b/crates/transport/src/node/pool/tests.rs
@@ -4,43 +4,53 @@
 
 use super::*;
 
-fn pool(open: usize) -> ConnectionPool {
-    let limits = PoolLimits { connect: Duration::ZERO, idle: Duration::ZERO, open, most_idle: 2 };
+fn pool(max_descriptors: usize) -> ConnectionPool {
+    let limits = PoolLimits {
+        connect_timeout: Duration::ZERO,
+        idle_timeout: Duration::ZERO,
+        max_descriptors,
+        max_idle_per_node: 2,
+    };
     ConnectionPool::new(watch::channel(limits).1)
 }
 
 /// Connections with one or two descriptors each, some in use and some idle, and a request for another one.
 #[rstest]
-#[case::room(3, &[], &[1], 1, true)]
-#[case::one_makes_way(3, &[1], &[1, 1], 1, true)]
-#[case::as_many_as_it_takes(3, &[1], &[1, 1], 2, true)]
+#[case::free_descriptors(3, &[], &[1], 1, true)]
+#[case::one_is_evicted(3, &[1], &[1, 1], 1, true)]
+#[case::as_many_as_needed_are_evicted(3, &[1], &[1, 1], 2, true)]
 #[case::all_in_use(3, &[1, 2], &[], 1, false)]
 #[case::too_few_idle(3, &[2], &[1], 2, false)]
-fn what_is_idle_makes_way_and_the_limit_holds(
-    #[case] open: usize,
-    #[case] used: &[usize],
+fn idle_connections_are_evicted_and_the_limit_holds(
+    #[case] max_descriptors: usize,
+    #[case] in_use: &[usize],
     #[case] idle: &[usize],
-    #[case] wanted: usize,
-    #[case] given: bool,
+    #[case] requested: usize,
+    #[case] granted: bool,
 ) {
-    let (pool, owner) = (pool(open), Arc::default());
-    let _used: Vec<_> = used.iter().map(|sockets| pool.permit(*sockets).unwrap()).collect();
-    let idle: Vec<_> = idle.iter().map(|n| pool.park(pool.permit(*n).unwrap(), &owner)).collect();
-    let permit = pool.permit(wanted);
-    assert_eq!(permit.is_some(), given);
-    assert!(pool.open.load(Ordering::Relaxed) <= open);
-    // The longest idle go first.
-    let standing: Vec<_> = idle.iter().map(Parked::stands).collect();
-    assert!(standing.is_sorted(), "{standing:?}");
-    drop((idle, permit, _used));
-    assert_eq!((pool.open.load(Ordering::Relaxed), pool.lock().len()), (0, 0), "all is given back");
+    let (pool, owner) = (pool(max_descriptors), Arc::default());
+    let _in_use: Vec<_> = in_use.iter().map(|descriptors| pool.acquire(*descriptors).unwrap()).collect();
+    let idle: Vec<_> =
+        idle.iter().map(|descriptors| pool.add_idle(pool.acquire(*descriptors).unwrap(), &owner)).collect();
+    let permit = pool.acquire(requested);
+    assert_eq!(permit.is_some(), granted);
+    assert!(pool.open_descriptors.load(Ordering::Relaxed) <= max_descriptors);
+    // The connections that have been idle the longest are evicted first.
+    let valid: Vec<_> = idle.iter().map(IdleEntry::is_valid).collect();
+    assert!(valid.is_sorted(), "{valid:?}");
+    drop((idle, permit, _in_use));
+    assert_eq!(
+        (pool.open_descriptors.load(Ordering::Relaxed), pool.lock().len()),
+        (0, 0),
+        "all descriptors are released"
+    );
 }
 
 #[tokio::test]
-async fn whoever_owns_what_makes_way_is_told_and_finds_it_gone() {
+async fn the_owner_of_an_evicted_connection_is_notified_and_cannot_take_it() {
     let (pool, owner) = (pool(1), Arc::new(Notify::new()));
-    let parked = pool.park(pool.permit(1).unwrap(), &owner);
-    let _permit = pool.permit(1).unwrap();
+    let entry = pool.add_idle(pool.acquire(1).unwrap(), &owner);
+    let _permit = pool.acquire(1).unwrap();
     owner.notified().await;
-    assert!(!parked.stands() && parked.take().is_none());
+    assert!(!entry.is_valid() && entry.take().is_none());
 }
--- a/crates/transport/src/node/wire.rs
+++ b/crates/transport/src/node/wire.rs
@@ -13,25 +13,26 @@
 
 use heathward_core::Attempt;
 
-/// The blank line that ends a head, and the chunk that ends a body.
-const END: &[u8] = b"\r\n\r\n";
-/// Stands for a body's length where none is told.
-const UNTOLD: usize = usize::MAX;
+/// The bytes at the end of a head, and at the end of a chunked body.
+const TERMINATOR: &[u8] = b"\r\n\r\n";
+/// In place of the length of a chunked body, which is not known in advance.
+const UNKNOWN_LENGTH: usize = usize::MAX;
 
 /// How far the current request has been written to its connection. This alone decides whether a node can have
 /// executed an attempt, so it counts the bytes that the socket has accepted, not those that were to be sent.
 #[derive(Debug, Default)]
 pub struct WriteProgress {
-    /// How much of the blank line that ends a head has been seen.
-    ending: AtomicUsize,
-    /// Bytes of the body still to come.
-    body: AtomicUsize,
-    last: AtomicBool,
-    whole: AtomicBool,
-    begun: AtomicBool,
+    /// How many bytes of the [`TERMINATOR`] of the head were written.
+    terminator_matched: AtomicUsize,
+    /// Bytes of the body that are still to be written, or [`UNKNOWN_LENGTH`].
+    remaining_body: AtomicUsize,
+    /// The complete body was handed to the connection.
+    body_ended: AtomicBool,
+    complete: AtomicBool,
+    started: AtomicBool,
     withheld: AtomicBool,
-    /// It has carried an attempt before this one, and what has come since belongs to none.
-    used: AtomicBool,
+    /// The connection has carried an attempt before this one; bytes received since then belong to no request.
+    reused: AtomicBool,
     stale: AtomicBool,
     /// The current attempt, or the last one.
     attempt: Mutex<Option<Attempt>>,
@@ -39,30 +40,30 @@
 }
 
 impl WriteProgress {
-    /// An attempt begins whose body holds so many bytes, where that is told; else it goes in chunks.
-    /// Once it [may not begin](Attempt::may_start), its first byte is not written any more; once it is
-    /// cancelled, no byte is.
-    pub fn begin(&self, body: impl Into<Option<usize>>, attempt: Attempt) {
-        let body = body.into().unwrap_or(UNTOLD);
-        let before = self.lock().replace(attempt);
+    /// Begins an attempt with a body of `content_length` bytes, or a chunked body if that is `None`. The
+    /// first byte is not written once the attempt [may not start](Attempt::may_start) any more; no further
+    /// byte is written once it is cancelled.
+    pub fn begin(&self, content_length: impl Into<Option<usize>>, attempt: Attempt) {
+        let remaining_body = content_length.into().unwrap_or(UNKNOWN_LENGTH);
+        let previous = self.lock().replace(attempt);
         self.stale.store(false, Ordering::Relaxed);
-        self.begun.store(false, Ordering::Relaxed);
+        self.started.store(false, Ordering::Relaxed);
         self.withheld.store(false, Ordering::Relaxed);
-        self.used.store(before.is_some(), Ordering::Relaxed);
-        self.ending.store(0, Ordering::Relaxed);
-        self.body.store(body, Ordering::Relaxed);
-        self.whole.store(false, Ordering::Relaxed);
-        self.last.store(false, Ordering::Relaxed);
+        self.reused.store(previous.is_some(), Ordering::Relaxed);
+        self.terminator_matched.store(0, Ordering::Relaxed);
+        self.remaining_body.store(remaining_body, Ordering::Relaxed);
+        self.complete.store(false, Ordering::Relaxed);
+        self.body_ended.store(false, Ordering::Relaxed);
     }
 
     /// Records that the complete body was handed to the connection: its last byte may be written from now on.
     pub fn mark_body_end(&self) {
-        self.last.store(true, Ordering::Relaxed);
+        self.body_ended.store(true, Ordering::Relaxed);
     }
 
     /// Whether the socket has accepted the last byte of the request.
     pub fn is_complete(&self) -> bool {
-        self.whole.load(Ordering::Relaxed)
+        self.complete.load(Ordering::Relaxed)
     }
 
     /// Whether the node has closed the connection, or it was reset.
@@ -86,17 +87,18 @@
         self.attempt.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether bytes may be written now. What has begun goes on to its end, but for a client that has left.
-    fn may_go(&self, stream: &TcpStream) -> bool {
+    /// Whether bytes may be written now. A request that was started is written to its end, unless its client
+    /// has disconnected.
+    fn may_write(&self, stream: &TcpStream) -> bool {
         if self.is_withheld() || self.is_stale() {
             return false;
         }
-        let begun = self.begun.load(Ordering::Relaxed);
-        let withheld = self.lock().as_ref().is_some_and(|attempt| match begun {
+        let started = self.started.load(Ordering::Relaxed);
+        let withheld = self.lock().as_ref().is_some_and(|attempt| match started {
             false => !attempt.may_start(),
             true => !self.is_complete() && attempt.cancel.is_cancelled(),
         });
-        let stale = !begun && self.used.load(Ordering::Relaxed) && !quiet(stream);
+        let stale = !started && self.reused.load(Ordering::Relaxed) && !has_no_input(stream);
         self.withheld.store(withheld, Ordering::Relaxed);
         self.stale.store(stale, Ordering::Relaxed);
         !withheld && !stale
@@ -104,23 +106,24 @@
 
     /// Records bytes that the socket has accepted.
     pub fn record(&self, bytes: &[u8]) {
-        self.begun.store(true, Ordering::Relaxed);
-        let (mut ending, mut rest) = (self.ending.load(Ordering::Relaxed), bytes);
-        while let Some((&byte, after)) = rest.split_first().filter(|_| ending < END.len()) {
-            ending = if byte == END[ending] { ending + 1 } else { usize::from(byte == END[0]) };
+        self.started.store(true, Ordering::Relaxed);
+        let (mut matched, mut rest) = (self.terminator_matched.load(Ordering::Relaxed), bytes);
+        while let Some((&byte, after)) = rest.split_first().filter(|_| matched < TERMINATOR.len()) {
+            matched =
+                if byte == TERMINATOR[matched] { matched + 1 } else { usize::from(byte == TERMINATOR[0]) };
             rest = after;
         }
-        self.ending.store(ending, Ordering::Relaxed);
-        if ending == END.len() {
-            let mut left = self.body.load(Ordering::Relaxed);
-            if left == UNTOLD {
-                let over = self.last.load(Ordering::Relaxed) && rest.ends_with(END);
-                left = if over { 0 } else { left };
+        self.terminator_matched.store(matched, Ordering::Relaxed);
+        if matched == TERMINATOR.len() {
+            let mut remaining = self.remaining_body.load(Ordering::Relaxed);
+            if remaining == UNKNOWN_LENGTH {
+                let is_end = self.body_ended.load(Ordering::Relaxed) && rest.ends_with(TERMINATOR);
+                remaining = if is_end { 0 } else { remaining };
             } else {
-                left = left.saturating_sub(rest.len());
+                remaining = remaining.saturating_sub(rest.len());
             }
-            self.body.store(left, Ordering::Relaxed);
-            if left == 0 && !self.whole.swap(true, Ordering::Relaxed) {
+            self.remaining_body.store(remaining, Ordering::Relaxed);
+            if remaining == 0 && !self.complete.swap(true, Ordering::Relaxed) {
                 if let Some(attempt) = &*self.lock() {
                     attempt.mark_written();
                 }
@@ -129,9 +132,10 @@
     }
 }
 
-/// Nothing has come that is unread, and the far side has not closed. Asks the system: what has come in this
-/// very moment is not known to the runtime yet, and would be taken for the next answer.
-fn quiet(stream: &TcpStream) -> bool {
+/// Whether there are no unread bytes and the node has not closed the connection. This asks the operating
+/// system: the runtime does not know yet of bytes that have just arrived, which would be taken for the next
+/// answer.
+fn has_no_input(stream: &TcpStream) -> bool {
     let unread = recv(stream, &mut [0], RecvFlags::PEEK | RecvFlags::DONTWAIT);
     unread.is_err_and(|error| error == rustix::io::Errno::AGAIN)
 }
@@ -156,9 +160,9 @@
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let before = buf.filled().len();
+        let filled_before = buf.filled().len();
         let read = ready!(Pin::new(&mut self.stream).poll_read(cx, buf));
-        if read.is_err() || buf.filled().len() == before {
+        if read.is_err() || buf.filled().len() == filled_before {
             self.written.broken.store(true, Ordering::Relaxed);
         }
         Poll::Ready(read)
@@ -167,17 +171,17 @@
 
 impl AsyncWrite for TrackedStream {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        // The one place from which a request's first byte goes out: whatever it has waited for, here it is
-        // looked whether it still may.
-        if !self.written.may_go(&self.stream) {
+        // The first byte of every request is written here, so this check comes after all that a request may
+        // have to wait for.
+        if !self.written.may_write(&self.stream) {
             return Poll::Ready(Err(io::ErrorKind::PermissionDenied.into()));
         }
-        let wrote = ready!(Pin::new(&mut self.stream).poll_write(cx, buf));
-        match &wrote {
+        let result = ready!(Pin::new(&mut self.stream).poll_write(cx, buf));
+        match &result {
             Ok(size) => self.written.record(&buf[..*size]),
             Err(_) => self.written.broken.store(true, Ordering::Relaxed),
         }
-        Poll::Ready(wrote)
+        Poll::Ready(result)
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
