--- a/crates/transport/src/nvme/command.rs
+++ b/crates/transport/src/nvme/command.rs
@@ -1,4 +1,4 @@
-//! Commands and completions: 64 and 16 bytes to typed values and back.
+//! The codec of commands, which are 64 bytes long, and completions, which are 16 bytes long.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 
@@ -9,27 +9,27 @@
 /// The flags of a command that is not fused and names its data by SGL, as this transport requires.
 const FLAGS: u8 = 0x40;
 
-/// Where a command's data is.
+/// The SGL descriptor of a command: where its data is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sgl {
-    /// In the capsule, at this offset.
+    /// The data is in the capsule.
     InCapsule {
-        /// Offset behind the command.
+        /// Offset from the end of the command, in bytes.
         offset: u64,
-        /// Length.
+        /// Length of the data, in bytes.
         length: u32,
     },
-    /// It moves in data PDUs.
+    /// The data is transferred in data PDUs.
     Transport {
-        /// Length.
+        /// Length of the data, in bytes.
         length: u32,
     },
-    /// Some other descriptor.
+    /// A descriptor of another type, which is not supported.
     Other(u8),
 }
 
 impl Sgl {
-    /// How much data the descriptor names.
+    /// Returns the length of the described data, in bytes; 0 for a type that is not supported.
     pub fn length(self) -> u32 {
         match self {
             Self::InCapsule { length, .. } | Self::Transport { length } => length,
@@ -38,101 +38,102 @@
     }
 }
 
-/// What a Connect command's own fields say.
+/// The fields that are specific to a Connect command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Connect {
-    /// Format of the record.
+    /// Format of the command; 0 is the only one.
     pub format: u16,
-    /// The queue; 0 is the admin queue.
+    /// Id of the queue; 0 is the admin queue.
     pub queue: u16,
-    /// Entries of the queue, from 0.
+    /// Number of entries of the queue, minus 1.
     pub size: u16,
     /// Keep-alive time in milliseconds; 0 for none.
     pub keep_alive: u32,
 }
 
-/// A command's part that depends on its opcode.
+/// The part of a command that depends on its opcode.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Body {
     /// Opens a queue.
     Connect(Connect),
     /// Reads a controller property.
     PropertyGet {
-        /// 8 bytes wide, not 4.
+        /// The property is 8 bytes wide, not 4.
         wide: bool,
-        /// Which.
+        /// Offset of the property.
         offset: u32,
     },
     /// Writes a controller property.
     PropertySet {
-        /// 8 bytes wide, not 4.
+        /// The property is 8 bytes wide, not 4.
         wide: bool,
-        /// Which.
+        /// Offset of the property.
         offset: u32,
-        /// The value.
+        /// The value to write.
         value: u64,
     },
-    /// Asks what a controller or namespace is.
+    /// Reads the properties of a controller or a namespace, or a list of namespaces.
     Identify {
-        /// The namespace, where one is meant.
+        /// Id of the namespace, if the request concerns one.
         nsid: u32,
-        /// What is asked.
+        /// The data structure to return (controller or namespace structure).
         cns: u8,
     },
     /// Sets a feature.
     SetFeatures {
-        /// Which.
+        /// Id of the feature.
         feature: u8,
-        /// Its first dword.
+        /// Its value (command dword 11).
         value: u32,
     },
-    /// The host is alive.
+    /// Restarts the keep-alive timer.
     KeepAlive,
-    /// Ends a command.
+    /// Aborts a command.
     Abort {
-        /// Its queue.
+        /// Id of the queue that the command was sent to.
         queue: u16,
-        /// Its id.
+        /// Id of the command.
         cid: u16,
     },
     /// Reads blocks.
     Read(BlockRange),
     /// Writes blocks.
     Write(BlockRange),
-    /// Another fabrics command.
+    /// A fabrics command that is not supported, by its type.
     OtherFabrics(u8),
-    /// Another opcode.
+    /// A command that is not supported, by its opcode.
     Other(u8),
 }
 
-/// The blocks that a command is about.
+/// A range of blocks of a namespace.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BlockRange {
-    /// The namespace.
+    /// Id of the namespace.
     pub nsid: u32,
-    /// The first.
+    /// Number of the first block.
     pub first: u64,
-    /// How many.
+    /// Number of blocks.
     pub count: u32,
 }
 
 /// A command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Command {
-    /// Its id.
+    /// Id of the command, unique among the open commands of its queue.
     pub cid: u16,
     /// Fused operation and kind of data pointer are as this transport requires.
     pub sound: bool,
     /// Where its data is.
     pub sgl: Sgl,
-    /// The rest. The same opcode means other things on the admin queue: see [`Command::decode`].
+    /// The fields that depend on the opcode. Admin queues and I/O queues have separate opcodes: see
+    /// [`Command::decode`].
     pub body: Body,
-    /// The opcode as it came.
+    /// The opcode as received.
     pub opcode: u8,
 }
 
 impl Command {
-    /// A command to send.
+    /// Creates a command to send.
     pub fn new(cid: u16, sgl: Sgl, body: Body) -> Self {
         let opcode = match body {
             Body::Write(_) => 0x01,
@@ -147,8 +148,11 @@
         Self { cid, sound: true, sgl, body, opcode }
     }
 
-    /// Decodes 64 bytes. None of the opcodes of this subset means two things; which of them a queue takes is
-    /// the queue's to say.
+    /// Decodes 64 bytes. No opcode of this subset is used for both an admin and an I/O command, so the type
+    /// of the queue is not needed here; the queue rejects opcodes that it does not support.
+    ///
+    /// # Panics
+    /// If `bytes` is shorter.
     pub fn decode(bytes: &[u8]) -> Self {
         let word = |at: usize| u16::from_le_bytes([bytes[at], bytes[at + 1]]);
         let dword = |at: usize| u32::from(word(at)) | u32::from(word(at + 2)) << 16;
@@ -182,7 +186,7 @@
         Self { cid: word(2), sound: bytes[1] == FLAGS, sgl, body, opcode }
     }
 
-    /// Appends 64 bytes.
+    /// Appends the 64 bytes of the command.
     pub fn encode(&self, out: &mut BytesMut) {
         let mut bytes = [0; COMMAND];
         let mut put = |at: usize, value: &[u8]| bytes[at..at + value.len()].copy_from_slice(value);
@@ -240,47 +244,48 @@
     }
 }
 
-/// How a command ended: status code type, status code, which retry delay holds, and "do not retry".
+/// The status of a completed command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Status {
     /// Status code type.
     pub kind: u8,
     /// Status code.
     pub code: u8,
-    /// Command retry delay: 0 for none, else which of the three that Identify tells.
+    /// Command retry delay: 0 for none, else the index, from 1, of one of the three delays that the
+    /// controller announces in Identify.
     pub retry_delay: u8,
-    /// Do not retry.
+    /// The host must not retry the command.
     pub do_not_retry: bool,
 }
 
 impl Status {
-    /// Done.
+    /// The command succeeded.
     pub const SUCCESS: Self = Self::generic(0x00);
     /// The opcode is not supported.
     pub const INVALID_OPCODE: Self = Self::generic(0x01).without_retry();
-    /// A field makes no sense.
+    /// A field of the command is not valid.
     pub const INVALID_FIELD: Self = Self::generic(0x02).without_retry();
-    /// The id belongs to another open command.
+    /// The command id is in use by another open command.
     pub const CID_CONFLICT: Self = Self::generic(0x03);
-    /// Something failed inside.
+    /// An internal error.
     pub const INTERNAL: Self = Self::generic(0x06);
-    /// It was aborted.
+    /// The command was aborted on request.
     pub const ABORTED: Self = Self::generic(0x07);
-    /// No such namespace.
+    /// The namespace does not exist.
     pub const INVALID_NAMESPACE: Self = Self::generic(0x0b).without_retry();
-    /// Out of turn.
+    /// A command that is not allowed at this point.
     pub const SEQUENCE: Self = Self::generic(0x0c).without_retry();
-    /// The data's length is not that of the command.
+    /// The length of the data does not match the command.
     pub const SGL_LENGTH: Self = Self::generic(0x0f).without_retry();
-    /// A kind of data pointer that is not supported.
+    /// The type of the SGL descriptor is not supported.
     pub const SGL_TYPE: Self = Self::generic(0x11).without_retry();
-    /// The data's offset makes no sense.
+    /// The offset of the data in the capsule is not valid.
     pub const SGL_OFFSET: Self = Self::generic(0x16).without_retry();
-    /// It was interrupted and may be sent again.
+    /// The command was interrupted; the host may retry it.
     pub const INTERRUPTED: Self = Self::generic(0x21);
-    /// Blocks past the end.
+    /// The blocks are beyond the end of the namespace.
     pub const LBA_RANGE: Self = Self::generic(0x80).without_retry();
-    /// The namespace can't be used yet.
+    /// The namespace is not ready yet.
     pub const NOT_READY: Self = Self::generic(0x82);
     /// Too many aborts at a time.
     pub const ABORT_LIMIT: Self = Self { kind: 1, ..Self::generic(0x03) };
@@ -295,7 +300,7 @@
         Self { kind: 0, code, retry_delay: 0, do_not_retry: false }
     }
 
-    /// The same, not to be retried.
+    /// Returns this status with "do not retry" set.
     pub const fn without_retry(self) -> Self {
         Self { do_not_retry: true, ..self }
     }
@@ -311,16 +316,16 @@
     }
 }
 
-/// A completion.
+/// The completion of a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Completion {
-    /// What the command gives back.
+    /// The result of the command; its meaning depends on the command.
     pub result: u64,
-    /// How far the controller has read the queue.
+    /// Submission queue head: how far the controller has read the queue.
     pub head: u16,
-    /// The command.
+    /// Id of the command.
     pub cid: u16,
-    /// How it ended.
+    /// Status of the command.
     pub status: Status,
 }
 
@@ -330,31 +335,34 @@
         let (result, head, _queue) = (bytes.get_u64_le(), bytes.get_u16_le(), bytes.get_u16_le());
         Self { result, head, cid: bytes.get_u16_le(), status: Status::decode(bytes.get_u16_le()) }
     }
+    ///
+    /// # Panics
+    /// If `bytes` is shorter.
 
-    /// Appends 16 bytes.
+    /// Appends the 16 bytes of the completion.
     pub fn encode(&self, out: &mut BytesMut) {
         out.put_u64_le(self.result);
         out.put_u16_le(self.head);
-        // Reserved on this transport: a connection is one queue.
+        // The queue id is reserved on this transport, as each connection is one queue.
         out.put_u16_le(0);
         out.put_u16_le(self.cid);
         out.put_u16_le(self.status.encode());
     }
 }
 
-/// Names that come with a Connect command.
+/// The data of a Connect command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConnectData {
-    /// The controller, or `0xffff` for any.
+    /// Id of the controller, or `0xffff` for any.
     pub controller: u16,
-    /// The subsystem's name.
+    /// NQN of the subsystem.
     pub subsystem: String,
-    /// The host's name.
+    /// NQN of the host.
     pub host: String,
 }
 
 impl ConnectData {
-    /// Decodes the data of a Connect; `None` if it is cut short.
+    /// Decodes the data; `None` if it is too short or a name has no end.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         let name = |from: usize| {
             let field = bytes.get(from..from + 256)?;
@@ -366,7 +374,7 @@
         Some(Self { controller, subsystem: name(256)?, host: name(512)? })
     }
 
-    /// Encodes it.
+    /// Encodes the data; names are cut to 255 bytes.
     pub fn encode(&self) -> Bytes {
         let mut bytes = BytesMut::zeroed(CONNECT_DATA);
         bytes[16..18].copy_from_slice(&self.controller.to_le_bytes());
--- a/crates/transport/src/nvme/controller.rs
+++ b/crates/transport/src/nvme/controller.rs
@@ -1,4 +1,4 @@
-//! The front that NVMe hosts connect to: a connection is a queue, a queue is an actor.
+//! The front that NVMe hosts connect to. Each connection is one queue, and each queue is served by an actor.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -28,8 +28,8 @@
 /// Any controller will do, says a host.
 const ANY: u16 = 0xffff;
 
-/// Accepts connections, at most `most` at a time, until the task is dropped. Once `stopping` turns true,
-/// queues close as soon as nothing is open on them.
+/// Accepts connections, at most `max_connections` at a time, until the task is dropped. Once `stopping` turns
+/// true, queues are closed as soon as no command is open on them.
 pub async fn serve(
     listener: TcpListener,
     subsystem: Arc<Subsystem>,
@@ -66,13 +66,14 @@
         aborts: FuturesUnordered::new(),
     };
     if let Err(StreamError::Fatal(fatal)) = queue.run(&mut stopping).await {
-        // Commands that are open end with their queue; the host is told why.
+        // Open commands are cancelled with their queue; the host receives the error.
         queue.subsystem.core.count_malformed_request();
         queue.running.clear();
         let _ = timeout_at(Instant::now() + HANDSHAKE, queue.wire.terminate(fatal)).await;
     }
 }
 
+/// The role of a queue.
 enum Role {
     /// Until it has connected, which must be by then.
     New { initialised: bool, by: Instant },
@@ -82,14 +83,14 @@
     Io { controller: Arc<Controller>, queue: u16 },
 }
 
-/// A write whose data is still to come.
+/// A write whose data is still being received.
 struct Transfer {
     blocks: BlockRange,
     data: BytesMut,
     size: usize,
 }
 
-/// A read or a write that the core has answered, or that was aborted.
+/// A read or a write that was answered by the core or aborted.
 struct Finished {
     cid: u16,
     /// For a read, the bytes that it asks for.
@@ -97,12 +98,14 @@
     answer: Result<Answer, Aborted>,
 }
 
+/// The actor of a queue.
 struct Queue {
     subsystem: Arc<Subsystem>,
     wire: PduStream,
     role: Role,
-    /// Entries.
+    /// Number of entries.
     size: u16,
+    /// Submission queue head: index of the next entry to read.
     head: u16,
     /// Aborts from the admin queue; ends with the controller.
     mailbox: Option<mpsc::Receiver<AbortOne>>,
@@ -111,7 +114,7 @@
     running: FuturesUnordered<BoxFuture<'static, Finished>>,
     /// By command, which also names the transfer.
     transfers: HashMap<u16, Transfer>,
-    /// Aborts that other queues are carrying out.
+    /// Abort commands that I/O queues are carrying out: the id of each, and whether its command was aborted.
     aborts: FuturesUnordered<BoxFuture<'static, (u16, bool)>>,
 }
 
@@ -132,7 +135,10 @@
 }
 
 impl Queue {
-    /// Carries the queue to its end.
+    /// Serves the queue until it ends.
+    ///
+    /// # Errors
+    /// The connection has failed, or the host sent something that is not valid.
     async fn run(&mut self, stopping: &mut watch::Receiver<bool>) -> Result<(), StreamError> {
         loop {
             if *stopping.borrow_and_update() && self.done() {
@@ -153,7 +159,7 @@
                 }
                 abort = receive(&mut self.mailbox) => match abort {
                     Some((cid, reply)) => self.abort(cid, reply).await?,
-                    // The controller is gone, or reset.
+                    // The controller has ended or was disabled.
                     None => return Ok(()),
                 },
                 pdu = self.wire.next() => self.take(pdu?).await?,
@@ -175,7 +181,7 @@
     async fn take(&mut self, pdu: Pdu) -> Result<(), StreamError> {
         match (&mut self.role, pdu) {
             (Role::New { initialised, .. }, Pdu::IcReq { pfv, hpda, .. }) if !*initialised => {
-                // Version 1.0 of the format is 0; digests that a host asks for are simply not granted.
+                // 0 stands for version 1.0 of the format. Digests that a host requests are not granted.
                 if pfv != 0 {
                     return Err(StreamError::Fatal(FatalError::parameter(8)));
                 }
@@ -192,7 +198,7 @@
             (_, Pdu::H2cData { cid, ttag, offset, last, data }) => {
                 self.data(cid, ttag, offset, last, &data).await
             }
-            // The host ends the connection over an error of ours.
+            // The host terminates the connection because of an error on this side.
             (_, Pdu::TermReq { by_host: true, .. }) => Err(StreamError::Closed),
             _ => Err(StreamError::Fatal(FatalError::SEQUENCE)),
         }
@@ -202,6 +208,7 @@
         let completion = Completion { result, head: self.head, cid, status };
         Ok(self.wire.send(&[Pdu::Response(completion)]).await?)
     }
+    /// Sends the completion of a command.
 
     /// Sends data to the host and completes the command.
     async fn give(&mut self, cid: u16, data: Bytes) -> Result<(), StreamError> {
@@ -236,7 +243,10 @@
         }
     }
 
-    /// The one command that a new queue takes; gives back the controller's id.
+    /// Handles a Connect command, the only one that a new queue accepts; returns the controller id.
+    ///
+    /// # Errors
+    /// The status of a command that is not a valid Connect.
     fn connect(&mut self, command: &Command, data: &Bytes) -> Result<u64, Status> {
         let Body::Connect(Connect { format, queue, size, keep_alive }) = command.body else {
             return Err(Status::SEQUENCE);
@@ -310,7 +320,7 @@
                     Err(status) => Err(status),
                 }
             }
-            // Queues to send and to complete, from 0: they come in pairs here.
+            // The requested numbers of submission and completion queues, minus 1; they exist in pairs here.
             Body::SetFeatures { feature: 0x07, value }
                 if value & 0xffff != 0xffff && value >> 16 != 0xffff =>
             {
@@ -351,7 +361,7 @@
             Body::Connect(_) => Err(Status::SEQUENCE),
             _ => Err(Status::INVALID_OPCODE),
         };
-        // Guards memory: a host that keeps to its queue's size never has as many open.
+        // Limits memory: a host that respects the size of its queue never has this many commands open.
         if self.open.len() >= usize::from(self.size) {
             return Err(StreamError::Fatal(FatalError::SEQUENCE));
         }
@@ -408,7 +418,7 @@
         }
         let Some(Transfer { blocks, data, .. }) = self.transfers.remove(&cid) else { return Ok(()) };
         if !self.open.contains_key(&cid) {
-            // Aborted while its data was on the way, and completed then.
+            // The write was aborted and completed while its data was being received.
             return Ok(());
         }
         match self.subsystem.call(true, blocks, data.freeze()) {
@@ -445,7 +455,7 @@
         match (read, &answer) {
             (Some(size), Ok(Answer::Served(NodeReply::Buffered(body)))) => {
                 let mut data = BytesMut::from(&body[..body.len().min(size)]);
-                // What was never written reads as zeros.
+                // Data that was never written reads as zeros.
                 data.resize(size, 0);
                 self.give(cid, data.freeze()).await
             }
@@ -458,7 +468,7 @@
 
     async fn abort(&mut self, cid: u16, reply: oneshot::Sender<bool>) -> Result<(), StreamError> {
         let found = self.open.get(&cid).cloned();
-        // The admin queue may be gone meanwhile.
+        // The admin queue may have ended meanwhile.
         let _ = reply.send(found.is_some());
         match found {
             Some(Some(running)) => running.abort(),
@@ -467,6 +477,7 @@
                 return self.complete(cid, 0, Status::ABORTED).await;
             }
             None => {}
+    /// Aborts a command and replies whether it was open.
         }
         Ok(())
     }
--- a/crates/transport/src/nvme/identify.rs
+++ b/crates/transport/src/nvme/identify.rs
@@ -1,4 +1,4 @@
-//! What Identify gives back, and the properties of a controller.
+//! The data structures that Identify returns, and the properties of a controller.
 
 use bytes::{Bytes, BytesMut};
 
@@ -17,16 +17,17 @@
 /// Delays are told in tenths of a second.
 const DELAY_STEP: Micros = 100_000;
 
-/// Offsets of the properties.
+/// Offset of the property for the controller capabilities.
 pub const CAP: u32 = 0x00;
-/// Version.
+/// Offset of the property for the version.
 pub const VS: u32 = 0x08;
-/// Controller configuration.
+/// Offset of the property for the controller configuration.
 pub const CC: u32 = 0x14;
-/// Controller status.
+/// Offset of the property for the controller status.
 pub const CSTS: u32 = 0x1c;
 
-/// The capabilities: queue entries from 0, queues contiguous, ready within half a second, NVM commands.
+/// Returns the controller capabilities: the number of queue entries minus 1, contiguous queues required,
+/// ready within half a second, NVM command set.
 pub fn capabilities(depth: u16) -> u64 {
     u64::from(depth - 1) | 1 << 16 | 1 << 24 | 1 << 37
 }
@@ -44,7 +45,7 @@
     at.unwrap_or(delays.len() - 1) as u8 + 1
 }
 
-/// The controller.
+/// Returns the Identify Controller data structure.
 pub fn controller(map: &NvmeMap, id: u16, delays: [u16; 3]) -> Bytes {
     let mut page = BytesMut::zeroed(PAGE);
     let mut put = |at: usize, value: &[u8]| page[at..at + value.len()].copy_from_slice(value);
@@ -55,7 +56,7 @@
     put(77, &[(MAX_DATA_BYTES / PAGE).ilog2() as u8]);
     put(78, &id.to_le_bytes());
     put(80, &VERSION.to_le_bytes());
-    // An I/O controller.
+    // Controller type: I/O controller.
     put(111, &[1]);
     for (at, delay) in delays.iter().enumerate() {
         put(128 + 2 * at, &delay.to_le_bytes());
@@ -64,7 +65,7 @@
     put(258, &[ABORTS as u8 - 1]);
     // Keep-alive in steps of 100 ms.
     put(320, &1u16.to_le_bytes());
-    // Queue entries of 64 and 16 bytes.
+    // Sizes of the queue entries: 64 and 16 bytes.
     put(512, &[0x66, 0x44]);
     put(514, &map.depth.to_le_bytes());
     let last = map.namespaces.last().map_or(0, |n| n.nsid);
@@ -76,7 +77,7 @@
     // Capsules, in steps of 16 bytes.
     put(1792, &(((64 + IN_CAPSULE) / 16) as u32).to_le_bytes());
     put(1796, &1u32.to_le_bytes());
-    // One SGL descriptor for a command.
+    // One SGL descriptor per command.
     put(1803, &[1]);
     page.freeze()
 }
@@ -88,12 +89,12 @@
     for at in [0, 8, 16] {
         put(at, &of.blocks.to_le_bytes());
     }
-    // Other hosts' controllers may use it too.
+    // Controllers of other hosts may be attached to it too.
     put(30, &[1]);
     // Blocks that best stay within one command: it goes to the shard of its first.
     let boundary = of.stripe.min(u64::from(u16::MAX)) as u16;
     put(46, &boundary.to_le_bytes());
-    // The one format: size of a block as a power of two.
+    // The only LBA format: the block size as a power of two.
     put(130, &[map.block.ilog2() as u8]);
     page.freeze()
 }
--- a/crates/transport/src/nvme/initiator.rs
+++ b/crates/transport/src/nvme/initiator.rs
@@ -1,4 +1,4 @@
-//! A storage node that is an NVMe target: the same attempts, on queues.
+//! Connections to storage nodes that are NVMe targets: carries out attempts as commands on I/O queues.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -20,7 +20,7 @@
 use heathward_core::{Attempt, NodeRequest};
 use heathward_policy::AttemptEnd;
 
-/// Entries of a queue, from 0: a queue carries one command at a time.
+/// Number of entries of a queue, minus 1; a queue carries one command at a time.
 const QUEUE_SIZE: u16 = 1;
 /// A controller is asked this often whether it is ready.
 const READY_LOOK: Duration = Duration::from_millis(5);
@@ -30,7 +30,7 @@
 const PAGE: u32 = 4096;
 const CAPSULE_SIZE: usize = 1792;
 
-/// An association with a target: its admin queue and one I/O queue. Both close when dropped.
+/// An association with a target, with an admin queue and one I/O queue; both are closed when it is dropped.
 pub struct NvmeConnection {
     admin: PduStream,
     io: PduStream,
@@ -39,6 +39,7 @@
     max_h2c: usize,
     cid: u16,
 }
+    /// Id of the last command on the I/O queue.
 
 impl Connection for NvmeConnection {
     const SOCKETS: usize = 2;
@@ -83,8 +84,8 @@
         Ok(Self { admin, io, in_capsule, max_h2c, cid: 0 })
     }
 
-    /// One read or write, from its first byte to its completion. Once its client has left, no more of it is
-    /// written; what is written whole goes on.
+    /// Carries out one read or write until its completion. Once the attempt is cancelled, no more of the
+    /// command is written; a command that was written completely goes on to its completion.
     async fn exchange(
         &mut self,
         attempt: &Attempt,
@@ -184,6 +185,7 @@
     body: Body,
     sgl: Sgl,
     data: Bytes,
+/// Connects a queue to a controller.
 ) -> Result<(Completion, BytesMut), StreamError> {
     wire.send(&[Pdu::Capsule { command: Command::new(0, sgl, body), data }]).await?;
     let mut page = BytesMut::new();
@@ -200,7 +202,7 @@
     }
 }
 
-/// Carries attempts to one target; a tower service.
+/// The link to one NVMe target: a tower service that carries out one attempt on one association.
 #[derive(Clone, Debug)]
 pub struct NvmeLink {
     address: SocketAddr,
@@ -209,7 +211,7 @@
 }
 
 impl NvmeLink {
-    /// The way to the subsystem at that address.
+    /// Creates a link to a subsystem at `address`.
     pub fn new(address: SocketAddr, subsystem: &str, map: Arc<NvmeMap>) -> Self {
         Self { address, subsystem: subsystem.into(), map }
     }
@@ -248,7 +250,7 @@
                     let opened = timeout_at(dial_deadline.min(attempt.connect_deadline), opened);
                     let opened = tokio::select! {
                         biased;
-                        // Whoever has left waits for no connection, and holds none.
+                        // A cancelled attempt stops waiting for a connection and holds none.
                         () = attempt.cancel.cancelled() => return LinkResponse::closed(AttemptEnd::NotSent),
                         opened = opened => opened,
                     };
--- a/crates/transport/src/nvme/map.rs
+++ b/crates/transport/src/nvme/map.rs
@@ -1,4 +1,4 @@
-//! The file that ties namespaces to volumes: `deploy/nvme.json`.
+//! Reads the file that maps namespaces to volumes: `deploy/nvme.json`.
 
 use std::net::SocketAddr;
 
@@ -9,7 +9,7 @@
 use heathward_policy::settings::{ConfigError, Deployment};
 use heathward_policy::{ClassId, KeyId, PlanId, ShardId, VolumeId};
 
-/// As the file has it.
+/// The fields of the file.
 #[derive(Deserialize)]
 struct File {
     listen: String,
@@ -35,73 +35,73 @@
     shards: Vec<u32>,
 }
 
-/// A storage node that is itself a target.
+/// A storage node that is an NVMe target.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq)]
 pub struct Target {
-    /// Its name in the list of nodes.
+    /// Id of the node in the endpoint list.
     pub node: String,
-    /// Its subsystem.
+    /// NQN of its subsystem.
     pub subsystem: String,
 }
 
-/// A namespace is a volume.
+/// A namespace, which is a volume.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Namespace {
-    /// Its number.
+    /// Id of the namespace.
     pub nsid: u32,
     /// The volume.
     pub volume: VolumeId,
     /// The volume's plan.
     pub plan: PlanId,
-    /// Through how many hosts it works.
+    /// Number of schedulers through which the volume sends its requests.
     pub hosts: u32,
-    /// Its size.
+    /// Size in blocks.
     pub blocks: u64,
-    /// So many blocks in a row lie on one shard.
+    /// Length of a stripe: the number of consecutive blocks on one shard.
     pub stripe: u64,
-    /// The shards, in turn.
+    /// The shards, in the order of the stripes.
     pub shards: Vec<ShardId>,
 }
 
-/// A class that an opcode stands for.
+/// The request class of an opcode.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Class {
-    /// Its place in the settings.
+    /// Index of the class in the settings.
     pub id: ClassId,
-    /// Its name.
+    /// Name of the class.
     pub name: Box<str>,
 }
 
-/// What the file says, checked against the settings.
+/// The validated content of the file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NvmeMap {
-    /// Where hosts connect.
+    /// The address that hosts connect to.
     pub listen: SocketAddr,
-    /// The front's own subsystem.
+    /// NQN of the front's subsystem.
     pub subsystem: String,
-    /// I/O queues of a controller at most.
+    /// The most I/O queues of a controller.
     pub queues: u16,
-    /// Entries of a queue at most.
+    /// The most entries of a queue.
     pub depth: u16,
-    /// Bytes of a block: a power of two.
+    /// Size of a block in bytes, a power of two.
     pub block: u32,
-    /// Blocks that count as one unit.
+    /// Number of blocks that count as one unit.
     pub unit_blocks: u32,
-    /// The class of reads.
+    /// The request class of reads.
     pub read: Class,
-    /// The class of writes.
+    /// The request class of writes.
     pub write: Class,
-    /// The namespaces, by number.
+    /// The namespaces, in the order of their ids.
     pub namespaces: Vec<Namespace>,
-    /// Storage nodes that are targets.
+    /// The storage nodes that are NVMe targets.
     pub targets: Vec<Target>,
 }
 
 impl NvmeMap {
-    /// Decodes the file.
+    /// Parses the file and validates it against the deployment.
     ///
     /// # Errors
-    /// The field that is not valid, or that names no class or plan of the deployment.
+    /// The field that is not valid, or that names a class or a plan that the deployment does not have.
     pub fn parse(text: &str, deployment: &Deployment) -> Result<Self, ConfigError> {
         let broken = |_| ConfigError {
             field: "nvme".to_owned(),
@@ -173,18 +173,18 @@
         })
     }
 
-    /// The namespace of that number.
+    /// Returns the namespace with this id.
     pub fn namespace(&self, nsid: u32) -> Option<&Namespace> {
         self.namespaces.iter().find(|n| n.nsid == nsid)
     }
 
-    /// The units of so many blocks.
+    /// Returns the number of units of `blocks` blocks, at least 1.
     pub fn units(&self, blocks: u32) -> u32 {
         blocks.div_ceil(self.unit_blocks).max(1)
     }
 
-    /// The blocks of a piece of data: it begins at the block that its key names. `None` for a volume that is
-    /// no namespace, or one past its end.
+    /// Returns the blocks of an object, whose key is the number of its first block. `None` if the volume is
+    /// not a namespace, or the range is empty or goes beyond the end of the namespace.
     pub fn block_range(&self, volume: VolumeId, key: KeyId, count: u32) -> Option<BlockRange> {
         let namespace = self.namespaces.iter().find(|n| n.volume == volume)?;
         let end = key.0.checked_add(u64::from(count))?;
@@ -194,7 +194,7 @@
 }
 
 impl Namespace {
-    /// The shard that holds a block.
+    /// Returns the shard that holds a block.
     pub fn shard(&self, block: u64) -> ShardId {
         let turn = block / self.stripe % self.shards.len() as u64;
         self.shards[turn as usize]
--- a/crates/transport/src/nvme/mod.rs
+++ b/crates/transport/src/nvme/mod.rs
@@ -1,9 +1,9 @@
-//! NVMe over TCP, the subset that a scheduler needs, from the public specifications.
+//! The subset of NVMe over TCP that a scheduler needs, written from the public specifications.
 //!
-//! `pdu` is the codec of the transport, `command` that of commands and completions, `wire` a socket that
-//! carries them. `controller` serves the queues that hosts connect to, `subsystem` is what those share;
-//! `initiator` carries attempts to storage nodes that are targets themselves. `map` is the file that ties
-//! namespaces to volumes.
+//! `pdu` is the codec of the transport's PDUs, `command` that of commands and completions, and `wire` a
+//! stream of PDUs on a TCP connection. `controller` serves the queues that hosts connect to, and `subsystem`
+//! holds the state that the queues share. `initiator` sends attempts to storage nodes that are NVMe targets
+//! themselves. `map` reads the file that maps namespaces to volumes.
 
 mod command;
 mod controller;
--- a/crates/transport/src/nvme/pdu.rs
+++ b/crates/transport/src/nvme/pdu.rs
@@ -1,10 +1,10 @@
-//! The transport's PDUs: bytes to typed values and back. Digests are never negotiated.
+//! The codec of the transport's PDUs. Digests are never negotiated.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 
 use super::command::{Command, Completion};
 
-/// Data in one PDU, and in one command, at most: what a storage node takes as a body.
+/// The most data in one PDU, and in one command, in bytes: a storage node accepts no longer body.
 pub const MAX_DATA_BYTES: usize = 64 * 1024;
 /// Length of the header that all PDUs begin with.
 const COMMON: usize = 8;
@@ -21,118 +21,120 @@
 const LAST: u8 = 1 << 2;
 const DIGESTS: u8 = 0b11;
 
+/// Flag of the last PDU of a transfer.
 /// One PDU.
+/// Flags of the header and data digests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Pdu {
-    /// A host opens a connection.
+    /// A host initializes a connection.
     IcReq {
         /// Version of the PDU format.
         pfv: u16,
-        /// Alignment of data that the host wants, in dwords from 0.
+        /// Alignment of data that the host requires, in dwords, minus 1.
         hpda: u8,
-        /// Digests that it wants.
+        /// Digests that the host requests.
         digests: u8,
-        /// R2Ts for one command at a time, from 0.
+        /// The most R2Ts that may be open for one command, minus 1.
         max_r2t: u32,
     },
-    /// A controller accepts it.
+    /// A controller accepts a connection.
     IcResp {
         /// Version of the PDU format.
         pfv: u16,
-        /// Alignment of data that the controller wants, in dwords from 0.
+        /// Alignment of data that the controller requires, in dwords, minus 1.
         cpda: u8,
         /// Digests in use.
         digests: u8,
-        /// Data in one H2CData at most.
+        /// The most data in one H2CData, in bytes.
         max_h2c: u32,
     },
-    /// A side ends the connection over a fatal error.
+    /// The host or the controller terminates the connection because of a fatal error.
     TermReq {
-        /// The host does; else the controller.
+        /// Sent by the host; otherwise by the controller.
         by_host: bool,
-        /// Why.
+        /// The error.
         fatal: FatalError,
-        /// The head of the PDU at fault.
+        /// The first bytes of the malformed PDU.
         echo: Bytes,
     },
-    /// A command, perhaps with its data.
+    /// A command, with its data if that is in the capsule.
     Capsule {
         /// The command.
         command: Command,
-        /// Data in the capsule.
+        /// The data in the capsule; empty if there is none.
         data: Bytes,
     },
-    /// A command's completion.
+    /// The completion of a command.
     Response(Completion),
     /// Data from host to controller.
     H2cData {
-        /// The command.
+        /// Id of the command.
         cid: u16,
-        /// The transfer, as the R2T named it.
+        /// Transfer tag of the R2T.
         ttag: u16,
-        /// Where it belongs.
+        /// Offset in the command's data, in bytes.
         offset: u32,
-        /// The last of its transfer.
+        /// Whether this is the last PDU of the transfer.
         last: bool,
         /// The data.
         data: Bytes,
     },
     /// Data from controller to host.
     C2hData {
-        /// The command.
+        /// Id of the command.
         cid: u16,
-        /// Where it belongs.
+        /// Offset in the command's data, in bytes.
         offset: u32,
-        /// The last of its command.
+        /// Whether this is the last data PDU of the command.
         last: bool,
         /// The data.
         data: Bytes,
     },
-    /// The controller is ready for a part of a command's data.
+    /// The controller is ready to receive a part of a command's data.
     R2t {
-        /// The command.
+        /// Id of the command.
         cid: u16,
-        /// Names the transfer.
+        /// Tag of the transfer.
         ttag: u16,
-        /// From where.
+        /// Offset in the command's data, in bytes.
         offset: u32,
-        /// How much.
+        /// Length in bytes.
         length: u32,
     },
 }
 
-/// A fatal transport error: its status code, and for header errors the offset of the field at fault.
+/// A fatal transport error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FatalError {
     /// Fatal error status.
     pub status: u16,
-    /// Fatal error information.
+    /// Fatal error information: for errors in a header or a parameter, the offset of the field at fault.
     pub info: u32,
 }
 
 impl FatalError {
-    /// A field of a PDU's header makes no sense.
+    /// Returns the error for a header field at `offset` that is not valid.
     pub const fn header(offset: u32) -> Self {
         Self { status: 1, info: offset }
     }
 
-    /// A PDU came out of turn.
+    /// A PDU that is not allowed at this point.
     pub const SEQUENCE: Self = Self { status: 2, info: 0 };
-    /// Data outside its transfer.
+    /// Data outside the range of its transfer.
     pub const RANGE: Self = Self { status: 4, info: 0 };
 
-    /// A parameter that is not supported.
+    /// Returns the error for a parameter at `offset` that is not supported.
     pub const fn parameter(offset: u32) -> Self {
         Self { status: 6, info: offset }
     }
 }
 
 impl Pdu {
-    /// Takes the next PDU off the front of `buffer`, once it is there whole.
+    /// Removes the next PDU from the front of `buffer`; `None` if it is not complete yet.
     ///
     /// # Errors
-    /// What a host has to be told before its connection ends: a header, a parameter or a length that is not
-    /// valid.
+    /// A header, a parameter or a length that is not valid. The host has to be informed of it before its
+    /// connection ends.
     pub fn decode(buffer: &mut BytesMut) -> Result<Option<Self>, FatalError> {
         let [kind, flags, hlen, pdo, p0, p1, p2, p3, ..] = buffer[..] else { return Ok(None) };
         let (plen, pdo) = (u32::from_le_bytes([p0, p1, p2, p3]) as usize, usize::from(pdo));
@@ -197,7 +199,7 @@
         }))
     }
 
-    /// Appends the PDU; data starts at a multiple of `align` bytes.
+    /// Appends the PDU to `out`; its data starts at a multiple of `align` bytes.
     pub fn encode(&self, out: &mut BytesMut, align: usize) {
         let nothing = Bytes::new();
         let (kind, flags, head, data) = match self {
@@ -242,7 +244,7 @@
         out.put_slice(data);
     }
 
-    /// The controller's termination over a broken PDU, of which `buffer` holds the head.
+    /// Returns the controller's TermReq for a malformed PDU, of which `buffer` holds the first bytes.
     pub fn terminate(fatal: FatalError, buffer: &[u8]) -> Self {
         let echo = Bytes::copy_from_slice(&buffer[..buffer.len().min(MOST_ECHO)]);
         Self::TermReq { by_host: false, fatal, echo }
@@ -255,3 +257,4 @@
     out.put_u32_le(offset);
     out.put_u32_le(length as u32);
 }
+/// Appends the header fields that H2CData, C2HData and R2T have in common.
--- a/crates/transport/src/nvme/subsystem.rs
+++ b/crates/transport/src/nvme/subsystem.rs
@@ -1,4 +1,5 @@
-//! The one subsystem of the NVMe front: its controllers, and how commands become calls of the core.
+//! The one subsystem of the NVMe front: its controllers, and the conversion of commands into requests to the
+//! core.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -22,7 +23,7 @@
 /// An abort on its way to the queue of its command; the reply says whether the command was ended.
 pub(super) type AbortOne = (u16, oneshot::Sender<bool>);
 
-/// The front's one subsystem, which its queues share.
+/// The only subsystem of the front, which all its queues share.
 pub struct Subsystem {
     pub(super) map: Arc<NvmeMap>,
     pub(super) core: CoreHandle,
@@ -31,7 +32,7 @@
     pub(super) controllers: Mutex<HashMap<u16, Arc<Controller>>>,
 }
 
-/// A host's controller: its admin queue and the ways to its I/O queues.
+/// The controller of a host, which consists of an admin queue and I/O queues.
 pub(super) struct Controller {
     pub(super) id: u16,
     pub(super) host: String,
@@ -40,21 +41,22 @@
     pub(super) ended: Notify,
 }
 
-/// What the queues of a controller share.
+/// The state that the queues of a controller share.
 #[derive(Default)]
 pub(super) struct State {
+    /// The controller configuration property.
     pub(super) configuration: u32,
     /// The ways to its I/O queues; a queue whose way is dropped ends.
     pub(super) queues: HashMap<u16, mpsc::Sender<AbortOne>>,
 }
 
-/// No code panics while it holds one of these locks for longer than a look-up.
+/// Locks a mutex. No code panics while it holds one of these locks, so a poisoned one is used as it is.
 pub(super) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl Subsystem {
-    /// The subsystem before that core.
+    /// Creates the subsystem for a core; `seed` is that of the request ids.
     pub fn new(map: Arc<NvmeMap>, core: CoreHandle, seed: u64) -> Arc<Self> {
         let (calls, controllers) = (Mutex::new(fastrand::Rng::with_seed(seed)), Mutex::default());
         Arc::new(Self { map, core, calls, controllers })
@@ -96,7 +98,8 @@
             plan: namespace.plan,
             shard: Some(namespace.shard(blocks.first)),
             schedulers: namespace.hosts,
-            // A host has no mark for a command that it sends again, and each has its class's whole deadline.
+            // NVMe has no flag for a command that is sent again, and no time budget: each command has the
+            // full deadline of its class.
             is_client_retry: false,
             deadline: Instant::now() + Duration::from_micros(settings.deadline),
             node_request: Arc::new(work),
@@ -140,13 +143,15 @@
 }
 
 impl State {
-    /// Ready while enabled; shut down as soon as that is asked.
+    /// Returns the controller status property: ready while enabled, and shut down as soon as the host
+    /// requests it.
     pub(super) fn csts(&self) -> u32 {
         let down = self.configuration >> 14 & 0b11 != 0;
         self.configuration & 1 | if down { 0b10 << 2 } else { 0 }
     }
 
-    /// Writes the configuration register; its I/O queues end with the controller.
+    /// Writes the controller configuration property; disabling or shutting down the controller ends its I/O
+    /// queues.
     pub(super) fn configure(&mut self, value: u32) {
         self.configuration = value;
         let down = value >> 14 & 0b11 != 0;
--- a/crates/transport/src/nvme/wire.rs
+++ b/crates/transport/src/nvme/wire.rs
@@ -1,4 +1,4 @@
-//! A socket that carries PDUs.
+//! A stream of PDUs on a TCP connection.
 
 use std::future::poll_fn;
 use std::io;
@@ -11,12 +11,12 @@
 
 use super::pdu::{FatalError, Pdu};
 
-/// Why a connection can't go on.
+/// Why a connection can't be used any more.
 #[derive(Debug)]
 pub enum StreamError {
-    /// It ended, or the socket failed.
+    /// The connection was closed, or the socket failed.
     Closed,
-    /// What came makes no sense.
+    /// The peer sent something that is not valid.
     Fatal(FatalError),
 }
 
@@ -26,7 +26,7 @@
     }
 }
 
-/// One connection, which is one queue.
+/// A stream of PDUs on one connection, which is one queue.
 #[derive(Debug)]
 pub struct PduStream {
     stream: TcpStream,
@@ -37,10 +37,10 @@
 }
 
 impl PduStream {
-    /// A connection over that stream.
+    /// Creates a PDU stream on a TCP connection.
     ///
     /// # Errors
-    /// The system's, where the option cannot be set.
+    /// The system's, if the option `TCP_NODELAY` can't be set.
     pub fn new(stream: TcpStream) -> io::Result<Self> {
         stream.set_nodelay(true)?;
         Ok(Self { stream, input: BytesMut::new(), output: BytesMut::new(), align: 4 })
@@ -51,10 +51,10 @@
         self.align = (usize::from(dwords) + 1) * 4;
     }
 
-    /// The next PDU. Nothing is lost if the future is dropped before.
+    /// Receives the next PDU. No input is lost if the future is dropped before it is ready.
     ///
     /// # Errors
-    /// That the connection has ended or failed, or that what came is no valid PDU.
+    /// The connection was closed or has failed, or the input is not a valid PDU.
     pub async fn next(&mut self) -> Result<Pdu, StreamError> {
         loop {
             if let Some(pdu) = Pdu::decode(&mut self.input).map_err(StreamError::Fatal)? {
@@ -66,10 +66,10 @@
         }
     }
 
-    /// Writes PDUs to the last byte.
+    /// Sends PDUs; returns once the socket has accepted the last byte.
     ///
     /// # Errors
-    /// The connection's.
+    /// The connection has failed.
     pub async fn send(&mut self, pdus: &[Pdu]) -> io::Result<()> {
         self.output.clear();
         for pdu in pdus {
@@ -78,10 +78,10 @@
         self.stream.write_all(&self.output).await
     }
 
-    /// Tells the host why its connection ends, and ends it.
+    /// Sends the host a TermReq with the error, and closes the connection.
     ///
     /// # Errors
-    /// The connection's; the reason may not have reached the other side then.
+    /// The connection has failed; the host may not have received the error.
     pub async fn terminate(&mut self, fatal: FatalError) -> io::Result<()> {
         let term = Pdu::terminate(fatal, &self.input);
         self.send(&[term]).await?;
