--- a/crates/transport/src/nvme/command.rs
+++ b/crates/transport/src/nvme/command.rs
@@ -2,12 +2,14 @@
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 
-/// Length of the data that comes with a Connect command.
-pub const CONNECT_DATA: usize = 1024;
-const COMMAND: usize = 64;
+/// Length of the data of a Connect command, in bytes.
+pub const CONNECT_DATA_BYTES: usize = 1024;
+/// Length of a command, in bytes.
+const COMMAND_BYTES: usize = 64;
+/// Opcode of the fabrics commands.
 const FABRICS: u8 = 0x7f;
-/// The flags of a command that is not fused and names its data by SGL, as this transport requires.
-const FLAGS: u8 = 0x40;
+/// The flags of a command that is not fused and describes its data by an SGL, as this transport requires.
+const REQUIRED_FLAGS: u8 = 0x40;
 
 /// The SGL descriptor of a command: where its data is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -121,9 +123,9 @@
 pub struct Command {
     /// Id of the command, unique among the open commands of its queue.
     pub cid: u16,
-    /// Fused operation and kind of data pointer are as this transport requires.
-    pub sound: bool,
-    /// Where its data is.
+    /// Whether the flags for fused operations and the data pointer are as this transport requires.
+    pub has_valid_flags: bool,
+    /// Descriptor of its data.
     pub sgl: Sgl,
     /// The fields that depend on the opcode. Admin queues and I/O queues have separate opcodes: see
     /// [`Command::decode`].
@@ -145,7 +147,7 @@
             Body::Other(opcode) => opcode,
             _ => FABRICS,
         };
-        Self { cid, sound: true, sgl, body, opcode }
+        Self { cid, has_valid_flags: true, sgl, body, opcode }
     }
 
     /// Decodes 64 bytes. No opcode of this subset is used for both an admin and an I/O command, so the type
@@ -154,9 +156,9 @@
     /// # Panics
     /// If `bytes` is shorter.
     pub fn decode(bytes: &[u8]) -> Self {
-        let word = |at: usize| u16::from_le_bytes([bytes[at], bytes[at + 1]]);
-        let dword = |at: usize| u32::from(word(at)) | u32::from(word(at + 2)) << 16;
-        let qword = |at: usize| u64::from(dword(at)) | u64::from(dword(at + 4)) << 32;
+        let word = |offset: usize| u16::from_le_bytes([bytes[offset], bytes[offset + 1]]);
+        let dword = |offset: usize| u32::from(word(offset)) | u32::from(word(offset + 2)) << 16;
+        let qword = |offset: usize| u64::from(dword(offset)) | u64::from(dword(offset + 4)) << 32;
         let (opcode, nsid, length) = (bytes[0], dword(4), dword(32));
         let sgl = match bytes[39] {
             0x01 => Sgl::InCapsule { offset: qword(24), length },
@@ -183,14 +185,15 @@
             (0x18, _) => Body::KeepAlive,
             (other, _) => Body::Other(other),
         };
-        Self { cid: word(2), sound: bytes[1] == FLAGS, sgl, body, opcode }
+        Self { cid: word(2), has_valid_flags: bytes[1] == REQUIRED_FLAGS, sgl, body, opcode }
     }
 
     /// Appends the 64 bytes of the command.
     pub fn encode(&self, out: &mut BytesMut) {
-        let mut bytes = [0; COMMAND];
-        let mut put = |at: usize, value: &[u8]| bytes[at..at + value.len()].copy_from_slice(value);
-        put(0, &[self.opcode, if self.sound { FLAGS } else { 0 }]);
+        let mut bytes = [0; COMMAND_BYTES];
+        let mut put =
+            |offset: usize, value: &[u8]| bytes[offset..offset + value.len()].copy_from_slice(value);
+        put(0, &[self.opcode, if self.has_valid_flags { REQUIRED_FLAGS } else { 0 }]);
         put(2, &self.cid.to_le_bytes());
         put(32, &self.sgl.length().to_le_bytes());
         match self.sgl {
@@ -248,7 +251,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Status {
     /// Status code type.
-    pub kind: u8,
+    pub code_type: u8,
     /// Status code.
     pub code: u8,
     /// Command retry delay: 0 for none, else the index, from 1, of one of the three delays that the
@@ -287,17 +290,17 @@
     pub const LBA_RANGE: Self = Self::generic(0x80).without_retry();
     /// The namespace is not ready yet.
     pub const NOT_READY: Self = Self::generic(0x82);
-    /// Too many aborts at a time.
-    pub const ABORT_LIMIT: Self = Self { kind: 1, ..Self::generic(0x03) };
-    /// A Connect in a format that is not supported.
-    pub const CONNECT_FORMAT: Self = Self { kind: 1, ..Self::generic(0x80) }.without_retry();
-    /// No controller is free.
-    pub const CONNECT_BUSY: Self = Self { kind: 1, ..Self::generic(0x81) };
-    /// A Connect with a parameter that makes no sense.
-    pub const CONNECT_PARAMETER: Self = Self { kind: 1, ..Self::generic(0x82) }.without_retry();
+    /// Too many Abort commands are open.
+    pub const ABORT_LIMIT: Self = Self { code_type: 1, ..Self::generic(0x03) };
+    /// The format of a Connect command is not supported.
+    pub const CONNECT_FORMAT: Self = Self { code_type: 1, ..Self::generic(0x80) }.without_retry();
+    /// No controller is available for a Connect command.
+    pub const CONNECT_BUSY: Self = Self { code_type: 1, ..Self::generic(0x81) };
+    /// A parameter of a Connect command is not valid.
+    pub const CONNECT_PARAMETER: Self = Self { code_type: 1, ..Self::generic(0x82) }.without_retry();
 
     const fn generic(code: u8) -> Self {
-        Self { kind: 0, code, retry_delay: 0, do_not_retry: false }
+        Self { code_type: 0, code, retry_delay: 0, do_not_retry: false }
     }
 
     /// Returns this status with "do not retry" set.
@@ -306,13 +309,14 @@
     }
 
     fn decode(field: u16) -> Self {
-        let (kind, delay) = ((field >> 9) as u8 & 0b111, (field >> 12) as u8 & 0b11);
-        Self { kind, code: (field >> 1) as u8, retry_delay: delay, do_not_retry: field >> 15 == 1 }
+        let (code_type, delay) = ((field >> 9) as u8 & 0b111, (field >> 12) as u8 & 0b11);
+        Self { code_type, code: (field >> 1) as u8, retry_delay: delay, do_not_retry: field >> 15 == 1 }
     }
 
     fn encode(self) -> u16 {
-        let (kind, delay) = (u16::from(self.kind & 0b111) << 9, u16::from(self.retry_delay & 0b11) << 12);
-        u16::from(self.do_not_retry) << 15 | delay | kind | u16::from(self.code) << 1
+        let (code_type, delay) =
+            (u16::from(self.code_type & 0b111) << 9, u16::from(self.retry_delay & 0b11) << 12);
+        u16::from(self.do_not_retry) << 15 | delay | code_type | u16::from(self.code) << 1
     }
 }
 
@@ -331,13 +335,13 @@
 
 impl Completion {
     /// Decodes 16 bytes.
+    ///
+    /// # Panics
+    /// If `bytes` is shorter.
     pub fn decode(mut bytes: &[u8]) -> Self {
         let (result, head, _queue) = (bytes.get_u64_le(), bytes.get_u16_le(), bytes.get_u16_le());
         Self { result, head, cid: bytes.get_u16_le(), status: Status::decode(bytes.get_u16_le()) }
     }
-    ///
-    /// # Panics
-    /// If `bytes` is shorter.
 
     /// Appends the 16 bytes of the completion.
     pub fn encode(&self, out: &mut BytesMut) {
@@ -364,23 +368,23 @@
 impl ConnectData {
     /// Decodes the data; `None` if it is too short or a name has no end.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
-        let name = |from: usize| {
-            let field = bytes.get(from..from + 256)?;
+        let name = |offset: usize| {
+            let field = bytes.get(offset..offset + 256)?;
             let end = field.iter().position(|b| *b == 0)?;
             Some(String::from_utf8_lossy(&field[..end]).into_owned())
         };
         let controller = u16::from_le_bytes([*bytes.get(16)?, *bytes.get(17)?]);
-        (bytes.len() >= CONNECT_DATA).then_some(())?;
+        (bytes.len() >= CONNECT_DATA_BYTES).then_some(())?;
         Some(Self { controller, subsystem: name(256)?, host: name(512)? })
     }
 
     /// Encodes the data; names are cut to 255 bytes.
     pub fn encode(&self) -> Bytes {
-        let mut bytes = BytesMut::zeroed(CONNECT_DATA);
+        let mut bytes = BytesMut::zeroed(CONNECT_DATA_BYTES);
         bytes[16..18].copy_from_slice(&self.controller.to_le_bytes());
-        for (from, name) in [(256, &self.subsystem), (512, &self.host)] {
+        for (offset, name) in [(256, &self.subsystem), (512, &self.host)] {
             let name = &name.as_bytes()[..name.len().min(255)];
-            bytes[from..from + name.len()].copy_from_slice(name);
+            bytes[offset..offset + name.len()].copy_from_slice(name);
         }
         bytes.freeze()
     }
--- a/crates/transport/src/nvme/initiator.rs
+++ b/crates/transport/src/nvme/initiator.rs
@@ -22,41 +22,44 @@
 
 /// Number of entries of a queue, minus 1; a queue carries one command at a time.
 const QUEUE_SIZE: u16 = 1;
-/// A controller is asked this often whether it is ready.
-const READY_LOOK: Duration = Duration::from_millis(5);
-/// Enabled, with entries of 64 and 16 bytes.
-const ENABLE: u64 = 4 << 20 | 6 << 16 | 1;
-/// Size of an Identify page, and where it tells the size of a capsule in steps of 16 bytes.
-const PAGE: u32 = 4096;
-const CAPSULE_SIZE: usize = 1792;
+/// The interval at which the status of a controller is polled until it is ready.
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Controller configuration: enabled, with queue entries of 64 and 16 bytes.
+const ENABLED_CONFIGURATION: u64 = 4 << 20 | 6 << 16 | 1;
+/// Size of the data structure that Identify returns, in bytes.
+const PAGE_BYTES: u32 = 4096;
+/// Offset of the capsule size, in units of 16 bytes, in the Identify Controller data structure.
+const CAPSULE_SIZE_OFFSET: usize = 1792;
 
 /// An association with a target, with an admin queue and one I/O queue; both are closed when it is dropped.
 pub struct NvmeConnection {
     admin: PduStream,
     io: PduStream,
-    /// Data in a capsule, and in one H2CData, at most.
-    in_capsule: usize,
+    /// The most data in a capsule, in bytes.
+    max_in_capsule: usize,
+    /// The most data in one H2CData, in bytes.
     max_h2c: usize,
+    /// Id of the last command on the I/O queue.
     cid: u16,
 }
-    /// Id of the last command on the I/O queue.
 
 impl Connection for NvmeConnection {
     const SOCKETS: usize = 2;
 
     fn poll_closed(&mut self, cx: &mut Context<'_>) -> Poll<()> {
-        match self.io.poll_unasked(cx) {
-            Poll::Pending => self.admin.poll_unasked(cx),
+        match self.io.poll_unexpected_input(cx) {
+            Poll::Pending => self.admin.poll_unexpected_input(cx),
             ready => ready,
         }
     }
 }
 
-/// How an exchange broke off: whether the last byte of the command had been written, and whether the target
-/// is there but makes no sense.
-struct BrokeOff {
-    whole: bool,
-    spoilt: bool,
+/// A command that was not completed.
+struct IncompleteExchange {
+    /// Whether the last byte of the command was written.
+    is_written: bool,
+    /// Whether the target sent something that is not valid.
+    is_invalid: bool,
 }
 
 impl NvmeConnection {
@@ -64,24 +67,27 @@
         let host = format!("nqn.2014-08.org.nvmexpress:uuid:heathward-{}", std::process::id());
         let names =
             |controller| ConnectData { controller, subsystem: subsystem.to_owned(), host: host.clone() };
-        let (mut admin, _) = queue(address).await?;
+        let (mut admin, _) = open_queue(address).await?;
         let id = connect(&mut admin, 0, names(0xffff)).await?.result as u16;
-        let set = Body::PropertySet { wide: false, offset: CC, value: ENABLE };
-        ask(&mut admin, set, Sgl::Transport { length: 0 }, Bytes::new()).await?;
-        let get = Body::PropertyGet { wide: false, offset: CSTS };
-        while ask(&mut admin, get, Sgl::Transport { length: 0 }, Bytes::new()).await?.0.result & 1 == 0 {
-            sleep_until(Instant::now() + READY_LOOK).await;
+        let enable = Body::PropertySet { wide: false, offset: CC, value: ENABLED_CONFIGURATION };
+        execute(&mut admin, enable, Sgl::Transport { length: 0 }, Bytes::new()).await?;
+        let get_status = Body::PropertyGet { wide: false, offset: CSTS };
+        while execute(&mut admin, get_status, Sgl::Transport { length: 0 }, Bytes::new()).await?.0.result & 1
+            == 0
+        {
+            sleep_until(Instant::now() + READY_POLL_INTERVAL).await;
         }
         let identify = Body::Identify { nsid: 0, cns: 1 };
-        let (_, page) = ask(&mut admin, identify, Sgl::Transport { length: PAGE }, Bytes::new()).await?;
-        let size = page.get(CAPSULE_SIZE..CAPSULE_SIZE + 4).ok_or(StreamError::Closed)?;
+        let (_, page) =
+            execute(&mut admin, identify, Sgl::Transport { length: PAGE_BYTES }, Bytes::new()).await?;
+        let size = page.get(CAPSULE_SIZE_OFFSET..CAPSULE_SIZE_OFFSET + 4).ok_or(StreamError::Closed)?;
         let size = u32::from_le_bytes([size[0], size[1], size[2], size[3]]) as usize;
-        let queues = Body::SetFeatures { feature: 0x07, value: 0 };
-        ask(&mut admin, queues, Sgl::Transport { length: 0 }, Bytes::new()).await?;
-        let (mut io, max_h2c) = queue(address).await?;
+        let request_queues = Body::SetFeatures { feature: 0x07, value: 0 };
+        execute(&mut admin, request_queues, Sgl::Transport { length: 0 }, Bytes::new()).await?;
+        let (mut io, max_h2c) = open_queue(address).await?;
         connect(&mut io, 1, names(id)).await?;
-        let in_capsule = size.saturating_mul(16).saturating_sub(64).min(MAX_DATA_BYTES);
-        Ok(Self { admin, io, in_capsule, max_h2c, cid: 0 })
+        let max_in_capsule = size.saturating_mul(16).saturating_sub(64).min(MAX_DATA_BYTES);
+        Ok(Self { admin, io, max_in_capsule, max_h2c, cid: 0 })
     }
 
     /// Carries out one read or write until its completion. Once the attempt is cancelled, no more of the
@@ -94,104 +100,112 @@
         size: usize,
     ) -> Exchange {
         let Attempt { cancel, .. } = attempt;
-        let write = attempt.node_request.is_write;
+        let is_write = attempt.node_request.is_write;
         self.cid = self.cid.wrapping_add(1);
         let (cid, length) = (self.cid, size as u32);
-        let carried = write && size <= self.in_capsule;
-        let sgl = if carried { Sgl::InCapsule { offset: 0, length } } else { Sgl::Transport { length } };
-        let body = if write { Body::Write(blocks) } else { Body::Read(blocks) };
+        let in_capsule = is_write && size <= self.max_in_capsule;
+        let sgl = if in_capsule { Sgl::InCapsule { offset: 0, length } } else { Sgl::Transport { length } };
+        let body = if is_write { Body::Write(blocks) } else { Body::Read(blocks) };
         let command = Command::new(cid, sgl, body);
-        let capsule = Pdu::Capsule { command, data: if carried { data.clone() } else { Bytes::new() } };
-        self.io.send(&[capsule]).await.map_err(|_| BrokeOff { whole: false, spoilt: false })?;
-        // Until all the data of a write is out, it can't have run.
-        let (mut whole, mut sent) = (!write || carried, 0);
-        if whole {
+        let capsule = Pdu::Capsule { command, data: if in_capsule { data.clone() } else { Bytes::new() } };
+        self.io
+            .send(&[capsule])
+            .await
+            .map_err(|_| IncompleteExchange { is_written: false, is_invalid: false })?;
+        // The target can't execute a write before all its data was sent.
+        let (mut is_written, mut sent) = (!is_write || in_capsule, 0);
+        if is_written {
             attempt.mark_written();
         }
         let mut page = BytesMut::new();
         loop {
-            let broke = BrokeOff { whole, spoilt: true };
+            let invalid = IncompleteExchange { is_written, is_invalid: true };
             let next = tokio::select! {
                 biased;
-                () = cancel.cancelled(), if !whole => Err(StreamError::Closed),
+                () = cancel.cancelled(), if !is_written => Err(StreamError::Closed),
                 next = self.io.next() => next,
             };
             match next {
-                Err(StreamError::Closed) => return Err(BrokeOff { whole, spoilt: false }),
+                Err(StreamError::Closed) => return Err(IncompleteExchange { is_written, is_invalid: false }),
                 Ok(Pdu::Response(completion)) if completion.cid == cid => {
                     return Ok((completion.status, page.freeze()));
                 }
-                Ok(Pdu::R2t { cid: of, ttag, offset, length })
-                    if of == cid && !whole && offset as usize == sent && length > 0 =>
+                Ok(Pdu::R2t { cid: command_id, ttag, offset, length })
+                    if command_id == cid && !is_written && offset as usize == sent && length > 0 =>
                 {
                     let end = sent + length as usize;
                     if end > size {
-                        return Err(broke);
+                        return Err(invalid);
                     }
                     while sent < end {
                         if cancel.is_cancelled() {
-                            return Err(BrokeOff { whole, spoilt: false });
+                            return Err(IncompleteExchange { is_written, is_invalid: false });
                         }
-                        let upto = end.min(sent + self.max_h2c);
-                        let (data, last) = (data.slice(sent..upto), upto == end);
+                        let chunk_end = end.min(sent + self.max_h2c);
+                        let (data, last) = (data.slice(sent..chunk_end), chunk_end == end);
                         let pdu = Pdu::H2cData { cid, ttag, offset: sent as u32, last, data };
-                        self.io.send(&[pdu]).await.map_err(|_| BrokeOff { whole, spoilt: false })?;
-                        sent = upto;
+                        self.io
+                            .send(&[pdu])
+                            .await
+                            .map_err(|_| IncompleteExchange { is_written, is_invalid: false })?;
+                        sent = chunk_end;
                     }
-                    whole = sent == size;
-                    if whole {
+                    is_written = sent == size;
+                    if is_written {
                         attempt.mark_written();
                     }
                 }
-                Ok(Pdu::C2hData { cid: of, offset, data, .. })
-                    if of == cid
-                        && !write
+                Ok(Pdu::C2hData { cid: command_id, offset, data, .. })
+                    if command_id == cid
+                        && !is_write
                         && offset as usize == page.len()
                         && page.len() + data.len() <= size =>
                 {
                     page.extend_from_slice(&data);
                 }
-                _ => return Err(broke),
+                _ => return Err(invalid),
             }
         }
     }
 }
 
-type Exchange = Result<(Status, Bytes), BrokeOff>;
+/// The status of a completed command, and the data that was read.
+type Exchange = Result<(Status, Bytes), IncompleteExchange>;
 
-/// Opens a connection that can become a queue; gives back how much data one PDU to it may carry.
-async fn queue(address: SocketAddr) -> Result<(PduStream, usize), StreamError> {
+/// Opens a connection for a queue; returns it with the most data that one PDU to it may carry, in bytes.
+async fn open_queue(address: SocketAddr) -> Result<(PduStream, usize), StreamError> {
     let mut wire = PduStream::new(TcpStream::connect(address).await?)?;
     wire.send(&[Pdu::IcReq { pfv: 0, hpda: 0, digests: 0, max_r2t: 0 }]).await?;
     match wire.next().await? {
         Pdu::IcResp { pfv: 0, cpda, digests: 0, max_h2c } if cpda <= 31 && max_h2c >= 4096 => {
-            wire.align(cpda);
+            wire.set_alignment(cpda);
             Ok((wire, (max_h2c as usize).min(MAX_DATA_BYTES)))
         }
         _ => Err(StreamError::Closed),
     }
 }
 
+/// Connects a queue to a controller.
 async fn connect(wire: &mut PduStream, queue: u16, names: ConnectData) -> Result<Completion, StreamError> {
     let body = Body::Connect(Connect { format: 0, queue, size: QUEUE_SIZE, keep_alive: 0 });
     let data = names.encode();
     let sgl = Sgl::InCapsule { offset: 0, length: data.len() as u32 };
-    ask(wire, body, sgl, data).await.map(|(completion, _)| completion)
+    execute(wire, body, sgl, data).await.map(|(completion, _)| completion)
 }
 
-/// One command on an otherwise quiet queue, which must succeed.
-async fn ask(
+/// Sends a command on a queue that has no other open command, and returns its completion and data. A command
+/// that does not succeed is an error.
+async fn execute(
     wire: &mut PduStream,
     body: Body,
     sgl: Sgl,
     data: Bytes,
-/// Connects a queue to a controller.
 ) -> Result<(Completion, BytesMut), StreamError> {
     wire.send(&[Pdu::Capsule { command: Command::new(0, sgl, body), data }]).await?;
     let mut page = BytesMut::new();
     loop {
         match wire.next().await? {
-            Pdu::C2hData { data, .. } if page.len() + data.len() <= PAGE as usize => {
+            Pdu::C2hData { data, .. } if page.len() + data.len() <= PAGE_BYTES as usize => {
                 page.extend_from_slice(&data);
             }
             Pdu::Response(completion) if completion.status == Status::SUCCESS => {
@@ -216,79 +230,87 @@
         Self { address, subsystem: subsystem.into(), map }
     }
 
-    /// The blocks of a work, and how many bytes they hold.
-    fn blocks(&self, work: &NodeRequest) -> Option<(BlockRange, usize)> {
+    /// Returns the blocks of a request and their size in bytes; `None` if the volume is not a namespace or
+    /// the range is not valid.
+    fn blocks(&self, request: &NodeRequest) -> Option<(BlockRange, usize)> {
         let block = self.map.block as usize;
-        let size = match (work.is_write, work.read_length) {
-            (true, _) => work.body.len(),
+        let size = match (request.is_write, request.read_length) {
+            (true, _) => request.body.len(),
             (false, Some(length)) => length,
-            (false, None) => (work.units.saturating_mul(self.map.unit_blocks)) as usize * block,
+            (false, None) => (request.units.saturating_mul(self.map.unit_blocks)) as usize * block,
         };
         let count = size.div_ceil(block);
-        let blocks = self.map.block_range(work.volume, work.key, u32::try_from(count).ok()?)?;
+        let blocks = self.map.block_range(request.volume, request.key, u32::try_from(count).ok()?)?;
         (count * block <= MAX_DATA_BYTES).then_some((blocks, count * block))
     }
 
-    /// One attempt. As over HTTP, what is given up on is closed before the end is told.
-    async fn run(self, job: LinkRequest<NvmeConnection>) -> LinkResponse<NvmeConnection> {
-        let LinkRequest { attempt, idle_connection: mut idle, dial_deadline } = job;
-        let (work, until) = (&attempt.node_request, attempt.deadline);
-        let Some((blocks, size)) = self.blocks(work) else {
+    /// Runs one attempt. As over HTTP, a connection on which an attempt was given up is closed before this
+    /// returns.
+    async fn run_attempt(self, link_request: LinkRequest<NvmeConnection>) -> LinkResponse<NvmeConnection> {
+        let LinkRequest { attempt, mut idle_connection, dial_deadline } = link_request;
+        let (request, deadline) = (&attempt.node_request, attempt.deadline);
+        let Some((blocks, size)) = self.blocks(request) else {
             return LinkResponse::closed(AttemptEnd::NotSent);
         };
-        let mut data = BytesMut::from(&*work.body);
-        if work.is_write {
+        let mut data = BytesMut::from(&*request.body);
+        if request.is_write {
             data.resize(size, 0);
         }
         let data = data.freeze();
         loop {
-            let reused = idle.is_some();
-            let mut connection = match idle.take() {
+            let reused = idle_connection.is_some();
+            let mut connection = match idle_connection.take() {
                 Some(connection) => connection,
                 None => {
-                    let opened = NvmeConnection::open(self.address, &self.subsystem);
-                    let opened = timeout_at(dial_deadline.min(attempt.connect_deadline), opened);
-                    let opened = tokio::select! {
+                    let connecting = NvmeConnection::open(self.address, &self.subsystem);
+                    let connecting = timeout_at(dial_deadline.min(attempt.connect_deadline), connecting);
+                    let connected = tokio::select! {
                         biased;
                         // A cancelled attempt stops waiting for a connection and holds none.
                         () = attempt.cancel.cancelled() => return LinkResponse::closed(AttemptEnd::NotSent),
-                        opened = opened => opened,
+                        connected = connecting => connected,
                     };
-                    match opened {
+                    match connected {
                         Ok(Ok(connection)) => connection,
                         _ => return LinkResponse::closed(AttemptEnd::NotConnected),
                     }
                 }
             };
-            if reused && !connection.io.quiet().await {
+            if reused && !connection.io.has_no_input().await {
                 continue;
             }
             if !attempt.may_start() {
                 return LinkResponse::reusable(AttemptEnd::NotSent, Bytes::new(), connection);
             }
             let exchange = connection.exchange(&attempt, blocks, data.clone(), size);
-            return match timeout_at(until, exchange).await {
-                Ok(Ok((status, body))) => LinkResponse::reusable(end_of(status), body, connection),
-                // Its client has left, and the target has not had the command whole.
-                Ok(Err(BrokeOff { whole: false, .. })) if attempt.cancel.is_cancelled() => {
+            return match timeout_at(deadline, exchange).await {
+                Ok(Ok((status, body))) => LinkResponse::reusable(attempt_end(status), body, connection),
+                // The attempt was cancelled before the command was written completely.
+                Ok(Err(IncompleteExchange { is_written: false, .. })) if attempt.cancel.is_cancelled() => {
                     LinkResponse::closed(AttemptEnd::NotSent)
                 }
-                // The target has not had the command whole: on an old queue it is still the same attempt.
-                Ok(Err(BrokeOff { whole: false, .. })) if reused => continue,
-                Ok(Err(BrokeOff { whole: false, .. })) => LinkResponse::closed(AttemptEnd::NotConnected),
-                // As over HTTP: it may have run, and the target did not go down.
-                Ok(Err(BrokeOff { spoilt: true, .. })) => LinkResponse::closed(AttemptEnd::Error),
-                Ok(Err(BrokeOff { .. })) => LinkResponse::closed(AttemptEnd::Reset),
+                // The command was not written completely on a reused connection: the same attempt goes on
+                // with another one.
+                Ok(Err(IncompleteExchange { is_written: false, .. })) if reused => continue,
+                Ok(Err(IncompleteExchange { is_written: false, .. })) => {
+                    LinkResponse::closed(AttemptEnd::NotConnected)
+                }
+                // As over HTTP: the command may have been executed, and the target is up.
+                Ok(Err(IncompleteExchange { is_invalid: true, .. })) => {
+                    LinkResponse::closed(AttemptEnd::Error)
+                }
+                Ok(Err(IncompleteExchange { .. })) => LinkResponse::closed(AttemptEnd::Reset),
                 Err(_) => LinkResponse::closed(AttemptEnd::TimedOut),
             };
         }
     }
 }
 
-/// Only a namespace that is not ready has surely run nothing and will later; all else may have run.
-fn end_of(status: Status) -> AttemptEnd {
-    let plain = Status { retry_delay: 0, do_not_retry: false, ..status };
-    match plain {
+/// Returns how an attempt with this command status ended. A namespace that is not ready has not executed the
+/// command and may do so later; with any other error the command may have been executed.
+fn attempt_end(status: Status) -> AttemptEnd {
+    let code = Status { retry_delay: 0, do_not_retry: false, ..status };
+    match code {
         Status::SUCCESS => AttemptEnd::Served,
         Status::NOT_READY => AttemptEnd::Rejected,
         _ => AttemptEnd::Error,
@@ -304,8 +326,8 @@
         Poll::Ready(Ok(()))
     }
 
-    fn call(&mut self, job: LinkRequest<NvmeConnection>) -> Self::Future {
+    fn call(&mut self, request: LinkRequest<NvmeConnection>) -> Self::Future {
         let link = self.clone();
-        Box::pin(async move { Ok(link.run(job).await) })
+        Box::pin(async move { Ok(link.run_attempt(request).await) })
     }
 }
--- a/crates/transport/src/nvme/map.rs
+++ b/crates/transport/src/nvme/map.rs
@@ -103,57 +103,57 @@
     /// # Errors
     /// The field that is not valid, or that names a class or a plan that the deployment does not have.
     pub fn parse(text: &str, deployment: &Deployment) -> Result<Self, ConfigError> {
-        let broken = |_| ConfigError {
+        let malformed = |_| ConfigError {
             field: "nvme".to_owned(),
             reason: "not JSON, or a field is missing".to_owned(),
         };
-        let file: File = json::from_str(text).map_err(broken)?;
-        let class = |field: &str, name: &str, write: bool| {
-            let at = deployment.class_names.iter().position(|c| c == name);
-            let at = at.filter(|at| deployment.class_writes[*at] == write);
-            let at = at.ok_or_else(|| ConfigError::invalid(field, name))?;
-            Ok(Class { id: ClassId(at as u16), name: name.into() })
+        let file: File = json::from_str(text).map_err(malformed)?;
+        let class = |field: &str, name: &str, is_write: bool| {
+            let index = deployment.class_names.iter().position(|c| c == name);
+            let index = index.filter(|index| deployment.class_writes[*index] == is_write);
+            let index = index.ok_or_else(|| ConfigError::invalid(field, name))?;
+            Ok(Class { id: ClassId(index as u16), name: name.into() })
         };
         let (read, write) = (class("read", &file.read, false)?, class("write", &file.write, true)?);
-        let fits = |sound: bool, field: &str, value: u64| {
-            if sound {
+        let require = |is_valid: bool, field: &str, value: u64| {
+            if is_valid {
                 Ok(())
             } else {
                 Err(ConfigError::invalid(field, &value.to_string()))
             }
         };
         let block = file.block;
-        fits(block.is_power_of_two() && (512..=4096).contains(&block), "block", block.into())?;
-        fits(file.queues > 0, "queues", file.queues.into())?;
-        fits((2..=1024).contains(&file.depth), "depth", file.depth.into())?;
+        require(block.is_power_of_two() && (512..=4096).contains(&block), "block", block.into())?;
+        require(file.queues > 0, "queues", file.queues.into())?;
+        require((2..=1024).contains(&file.depth), "depth", file.depth.into())?;
         let units = (MAX_DATA_BYTES as u32 / block).div_ceil(file.unit_blocks.max(1));
-        let most = deployment.settings.max_units;
-        fits(file.unit_blocks > 0 && units <= most, "unit_blocks", file.unit_blocks.into())?;
+        let max_units = deployment.settings.max_units;
+        require(file.unit_blocks > 0 && units <= max_units, "unit_blocks", file.unit_blocks.into())?;
         let mut namespaces = Vec::new();
-        for (at, from) in file.namespaces.into_iter().enumerate() {
-            let field = |name: &str| format!("namespaces.{at}.{name}");
-            let plan = deployment.plan_names.iter().position(|p| *p == from.plan);
-            let plan = plan.ok_or_else(|| ConfigError::invalid(&field("plan"), &from.plan))?;
-            let volume = u64::from_str_radix(&from.volume, 16);
-            let volume = volume.map_err(|_| ConfigError::invalid(&field("volume"), &from.volume))?;
-            fits((1..0xffff_ffff).contains(&from.nsid), &field("nsid"), from.nsid.into())?;
-            fits(from.hosts > 0, &field("hosts"), from.hosts.into())?;
-            fits(from.blocks > 0, &field("blocks"), from.blocks)?;
-            fits(from.stripe > 0, &field("stripe"), from.stripe)?;
-            fits(!from.shards.is_empty(), &field("shards"), 0)?;
+        for (index, entry) in file.namespaces.into_iter().enumerate() {
+            let field = |name: &str| format!("namespaces.{index}.{name}");
+            let plan = deployment.plan_names.iter().position(|p| *p == entry.plan);
+            let plan = plan.ok_or_else(|| ConfigError::invalid(&field("plan"), &entry.plan))?;
+            let volume = u64::from_str_radix(&entry.volume, 16);
+            let volume = volume.map_err(|_| ConfigError::invalid(&field("volume"), &entry.volume))?;
+            require((1..0xffff_ffff).contains(&entry.nsid), &field("nsid"), entry.nsid.into())?;
+            require(entry.hosts > 0, &field("hosts"), entry.hosts.into())?;
+            require(entry.blocks > 0, &field("blocks"), entry.blocks)?;
+            require(entry.stripe > 0, &field("stripe"), entry.stripe)?;
+            require(!entry.shards.is_empty(), &field("shards"), 0)?;
             namespaces.push(Namespace {
-                nsid: from.nsid,
+                nsid: entry.nsid,
                 volume: VolumeId(volume),
                 plan: PlanId(plan as u16),
-                hosts: from.hosts,
-                blocks: from.blocks,
-                stripe: from.stripe,
-                shards: from.shards.into_iter().map(ShardId).collect(),
+                hosts: entry.hosts,
+                blocks: entry.blocks,
+                stripe: entry.stripe,
+                shards: entry.shards.into_iter().map(ShardId).collect(),
             });
         }
         namespaces.sort_by_key(|n| n.nsid);
-        let twice = namespaces.windows(2).find(|pair| pair[0].nsid == pair[1].nsid);
-        twice
+        let duplicate = namespaces.windows(2).find(|pair| pair[0].nsid == pair[1].nsid);
+        duplicate
             .map_or(Ok(()), |pair| Err(ConfigError::invalid("namespaces.nsid", &pair[0].nsid.to_string())))?;
         let subsystem = file.subsystem;
         if !subsystem.starts_with("nqn.") || subsystem.len() > 223 {
@@ -188,15 +188,15 @@
     pub fn block_range(&self, volume: VolumeId, key: KeyId, count: u32) -> Option<BlockRange> {
         let namespace = self.namespaces.iter().find(|n| n.volume == volume)?;
         let end = key.0.checked_add(u64::from(count))?;
-        let sound = count > 0 && end <= namespace.blocks;
-        sound.then_some(BlockRange { nsid: namespace.nsid, first: key.0, count })
+        let is_valid = count > 0 && end <= namespace.blocks;
+        is_valid.then_some(BlockRange { nsid: namespace.nsid, first: key.0, count })
     }
 }
 
 impl Namespace {
     /// Returns the shard that holds a block.
     pub fn shard(&self, block: u64) -> ShardId {
-        let turn = block / self.stripe % self.shards.len() as u64;
-        self.shards[turn as usize]
+        let index = block / self.stripe % self.shards.len() as u64;
+        self.shards[index as usize]
     }
 }
--- a/crates/transport/src/nvme/mod.rs
+++ b/crates/transport/src/nvme/mod.rs
@@ -14,7 +14,9 @@
 mod subsystem;
 mod wire;
 
-pub use command::{BlockRange, Body, Command, Completion, Connect, ConnectData, Sgl, Status, CONNECT_DATA};
+pub use command::{
+    BlockRange, Body, Command, Completion, Connect, ConnectData, Sgl, Status, CONNECT_DATA_BYTES,
+};
 pub use controller::serve;
 pub use initiator::{NvmeConnection, NvmeLink};
 pub use map::{Namespace, NvmeMap, Target};
--- a/crates/transport/src/nvme/pdu.rs
+++ b/crates/transport/src/nvme/pdu.rs
@@ -6,24 +6,27 @@
 
 /// The most data in one PDU, and in one command, in bytes: a storage node accepts no longer body.
 pub const MAX_DATA_BYTES: usize = 64 * 1024;
-/// Length of the header that all PDUs begin with.
-const COMMON: usize = 8;
-/// Header lengths: connection set-up, command capsule, everything that moves data or ends a connection.
-const IC: usize = 128;
-const CAPSULE: usize = 72;
-const RESPONSE: usize = 24;
-const DATA: usize = 24;
-/// Data starts at the latest here: the alignment a host may ask for goes up to 128 bytes.
-const MOST_OFFSET: usize = 128;
-/// The part of a broken PDU that a termination carries.
-const MOST_ECHO: usize = 128;
+/// Length of the common header of all PDUs, in bytes.
+const COMMON_HEADER_BYTES: usize = 8;
+/// Header length of IcReq and IcResp, in bytes.
+const IC_HEADER_BYTES: usize = 128;
+/// Header length of a command capsule, in bytes.
+const CAPSULE_HEADER_BYTES: usize = 72;
+/// Header length of a response capsule, in bytes.
+const RESPONSE_HEADER_BYTES: usize = 24;
+/// Header length of TermReq, H2CData, C2HData and R2T, in bytes.
+const DATA_HEADER_BYTES: usize = 24;
+/// The largest offset of the data in a PDU, in bytes: a host may request an alignment of up to 128.
+const MAX_DATA_OFFSET: usize = 128;
+/// The most bytes of a malformed PDU that a TermReq returns.
+const MAX_ECHO_BYTES: usize = 128;
 
+/// Flag of the last PDU of a transfer.
 const LAST: u8 = 1 << 2;
+/// Flags of the header and data digests.
 const DIGESTS: u8 = 0b11;
 
-/// Flag of the last PDU of a transfer.
 /// One PDU.
-/// Flags of the header and data digests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Pdu {
     /// A host initializes a connection.
@@ -136,42 +139,44 @@
     /// A header, a parameter or a length that is not valid. The host has to be informed of it before its
     /// connection ends.
     pub fn decode(buffer: &mut BytesMut) -> Result<Option<Self>, FatalError> {
-        let [kind, flags, hlen, pdo, p0, p1, p2, p3, ..] = buffer[..] else { return Ok(None) };
+        let [pdu_type, flags, hlen, pdo, p0, p1, p2, p3, ..] = buffer[..] else { return Ok(None) };
         let (plen, pdo) = (u32::from_le_bytes([p0, p1, p2, p3]) as usize, usize::from(pdo));
-        // Header length, and whether data may follow.
-        let (head, carries) = match kind {
-            0x00 | 0x01 => (IC, false),
-            0x02 | 0x03 => (DATA, true),
-            0x04 => (CAPSULE, true),
-            0x05 => (RESPONSE, false),
-            0x06 | 0x07 => (DATA, true),
-            0x09 => (DATA, false),
+        // Header length, and whether data may follow the header.
+        let (header_length, may_have_data) = match pdu_type {
+            0x00 | 0x01 => (IC_HEADER_BYTES, false),
+            0x02 | 0x03 => (DATA_HEADER_BYTES, true),
+            0x04 => (CAPSULE_HEADER_BYTES, true),
+            0x05 => (RESPONSE_HEADER_BYTES, false),
+            0x06 | 0x07 => (DATA_HEADER_BYTES, true),
+            0x09 => (DATA_HEADER_BYTES, false),
             _ => return Err(FatalError::header(0)),
         };
-        if flags & DIGESTS != 0 && kind >= 0x04 {
+        if flags & DIGESTS != 0 && pdu_type >= 0x04 {
             return Err(FatalError::header(1));
         }
-        if usize::from(hlen) != head {
+        if usize::from(hlen) != header_length {
             return Err(FatalError::header(2));
         }
-        let most = if carries { head.max(MOST_OFFSET) + MAX_DATA_BYTES } else { head };
-        if plen < head || plen > most {
+        let max_plen =
+            if may_have_data { header_length.max(MAX_DATA_OFFSET) + MAX_DATA_BYTES } else { header_length };
+        if plen < header_length || plen > max_plen {
             return Err(FatalError::header(4));
         }
-        // A termination's data follows its header at once; it names no offset.
-        let start = if plen == head || kind < 0x04 { head } else { pdo };
-        if start < head || start > plen || start > head.max(MOST_OFFSET) {
+        // The data of a TermReq follows its header directly; its data offset is reserved.
+        let data_start = if plen == header_length || pdu_type < 0x04 { header_length } else { pdo };
+        if data_start < header_length || data_start > plen || data_start > header_length.max(MAX_DATA_OFFSET)
+        {
             return Err(FatalError::header(3));
         }
         if buffer.len() < plen {
             buffer.reserve(plen - buffer.len());
             return Ok(None);
         }
-        let whole = buffer.split_to(plen).freeze();
-        let data = whole.slice(start..);
-        let mut rest = &whole[COMMON..head];
+        let pdu = buffer.split_to(plen).freeze();
+        let data = pdu.slice(data_start..);
+        let mut rest = &pdu[COMMON_HEADER_BYTES..header_length];
         let last = flags & LAST != 0;
-        Ok(Some(match kind {
+        Ok(Some(match pdu_type {
             0x00 => {
                 let (pfv, hpda, digests) = (rest.get_u16_le(), rest.get_u8(), rest.get_u8());
                 Self::IcReq { pfv, hpda, digests, max_r2t: rest.get_u32_le() }
@@ -182,14 +187,14 @@
             }
             0x02 | 0x03 => {
                 let fatal = FatalError { status: rest.get_u16_le(), info: rest.get_u32_le() };
-                Self::TermReq { by_host: kind == 0x02, fatal, echo: data }
+                Self::TermReq { by_host: pdu_type == 0x02, fatal, echo: data }
             }
             0x04 => Self::Capsule { command: Command::decode(rest), data },
             0x05 => Self::Response(Completion::decode(rest)),
             _ => {
                 let (cid, ttag) = (rest.get_u16_le(), rest.get_u16_le());
                 let (offset, length) = (rest.get_u32_le(), rest.get_u32_le());
-                match kind {
+                match pdu_type {
                     0x09 => Self::R2t { cid, ttag, offset, length },
                     _ if length as usize != data.len() => return Err(FatalError::header(16)),
                     0x06 => Self::H2cData { cid, ttag, offset, last, data },
@@ -201,32 +206,35 @@
 
     /// Appends the PDU to `out`; its data starts at a multiple of `align` bytes.
     pub fn encode(&self, out: &mut BytesMut, align: usize) {
-        let nothing = Bytes::new();
-        let (kind, flags, head, data) = match self {
-            Self::IcReq { .. } => (0x00, 0, IC, &nothing),
-            Self::IcResp { .. } => (0x01, 0, IC, &nothing),
-            Self::TermReq { by_host, echo, .. } => (if *by_host { 0x02 } else { 0x03 }, 0, DATA, echo),
-            Self::Capsule { data, .. } => (0x04, 0, CAPSULE, data),
-            Self::Response(_) => (0x05, 0, RESPONSE, &nothing),
-            Self::H2cData { last, data, .. } => (0x06, if *last { LAST } else { 0 }, DATA, data),
-            Self::C2hData { last, data, .. } => (0x07, if *last { LAST } else { 0 }, DATA, data),
-            Self::R2t { .. } => (0x09, 0, DATA, &nothing),
+        let no_data = Bytes::new();
+        let (pdu_type, flags, header_length, data) = match self {
+            Self::IcReq { .. } => (0x00, 0, IC_HEADER_BYTES, &no_data),
+            Self::IcResp { .. } => (0x01, 0, IC_HEADER_BYTES, &no_data),
+            Self::TermReq { by_host, echo, .. } => {
+                (if *by_host { 0x02 } else { 0x03 }, 0, DATA_HEADER_BYTES, echo)
+            }
+            Self::Capsule { data, .. } => (0x04, 0, CAPSULE_HEADER_BYTES, data),
+            Self::Response(_) => (0x05, 0, RESPONSE_HEADER_BYTES, &no_data),
+            Self::H2cData { last, data, .. } => (0x06, if *last { LAST } else { 0 }, DATA_HEADER_BYTES, data),
+            Self::C2hData { last, data, .. } => (0x07, if *last { LAST } else { 0 }, DATA_HEADER_BYTES, data),
+            Self::R2t { .. } => (0x09, 0, DATA_HEADER_BYTES, &no_data),
         };
-        let places = kind >= 0x04 && !data.is_empty();
-        let start = if places { head.next_multiple_of(align.max(1)) } else { head };
-        let from = out.len();
-        out.put_u8(kind);
+        let has_data_offset = pdu_type >= 0x04 && !data.is_empty();
+        let data_start =
+            if has_data_offset { header_length.next_multiple_of(align.max(1)) } else { header_length };
+        let pdu_start = out.len();
+        out.put_u8(pdu_type);
         out.put_u8(flags);
-        out.put_u8(head as u8);
-        out.put_u8(if places { start as u8 } else { 0 });
-        out.put_u32_le((start + data.len()) as u32);
+        out.put_u8(header_length as u8);
+        out.put_u8(if has_data_offset { data_start as u8 } else { 0 });
+        out.put_u32_le((data_start + data.len()) as u32);
         match self {
-            Self::IcReq { pfv, hpda: align, digests, max_r2t: figure }
-            | Self::IcResp { pfv, cpda: align, digests, max_h2c: figure } => {
+            Self::IcReq { pfv, hpda: align, digests, max_r2t: limit }
+            | Self::IcResp { pfv, cpda: align, digests, max_h2c: limit } => {
                 out.put_u16_le(*pfv);
                 out.put_u8(*align);
                 out.put_u8(*digests);
-                out.put_u32_le(*figure);
+                out.put_u32_le(*limit);
             }
             Self::TermReq { fatal, .. } => {
                 out.put_u16_le(fatal.status);
@@ -240,21 +248,21 @@
                 put_transfer(out, *cid, *ttag, *offset, *length as usize);
             }
         }
-        out.resize(from + start, 0);
+        out.resize(pdu_start + data_start, 0);
         out.put_slice(data);
     }
 
     /// Returns the controller's TermReq for a malformed PDU, of which `buffer` holds the first bytes.
     pub fn terminate(fatal: FatalError, buffer: &[u8]) -> Self {
-        let echo = Bytes::copy_from_slice(&buffer[..buffer.len().min(MOST_ECHO)]);
+        let echo = Bytes::copy_from_slice(&buffer[..buffer.len().min(MAX_ECHO_BYTES)]);
         Self::TermReq { by_host: false, fatal, echo }
     }
 }
 
+/// Appends the header fields that H2CData, C2HData and R2T have in common.
 fn put_transfer(out: &mut BytesMut, cid: u16, ttag: u16, offset: u32, length: usize) {
     out.put_u16_le(cid);
     out.put_u16_le(ttag);
     out.put_u32_le(offset);
     out.put_u32_le(length as u32);
 }
-/// Appends the header fields that H2CData, C2HData and R2T have in common.
--- a/crates/transport/src/nvme/subsystem.rs
+++ b/crates/transport/src/nvme/subsystem.rs
@@ -17,18 +17,18 @@
 use heathward_core::{Answer, ClientRequest, CoreHandle, NodeRequest};
 use heathward_policy::{Idempotency, KeyId};
 
-/// Controller ids from here on are reserved.
-const LAST_ID: u16 = 0xfff0;
+/// Controller ids from this one on are reserved.
+const FIRST_RESERVED_ID: u16 = 0xfff0;
 
-/// An abort on its way to the queue of its command; the reply says whether the command was ended.
-pub(super) type AbortOne = (u16, oneshot::Sender<bool>);
+/// A request to an I/O queue to abort a command, by its id; the reply tells whether the command was aborted.
+pub(super) type AbortRequest = (u16, oneshot::Sender<bool>);
 
 /// The only subsystem of the front, which all its queues share.
 pub struct Subsystem {
     pub(super) map: Arc<NvmeMap>,
     pub(super) core: CoreHandle,
-    /// Ids of calls start at a random number, so that a restart repeats none.
-    pub(super) calls: Mutex<fastrand::Rng>,
+    /// Generates random request ids, so that none is reused after a restart.
+    pub(super) request_ids: Mutex<fastrand::Rng>,
     pub(super) controllers: Mutex<HashMap<u16, Arc<Controller>>>,
 }
 
@@ -37,8 +37,8 @@
     pub(super) id: u16,
     pub(super) host: String,
     pub(super) state: Mutex<State>,
-    /// Tells the admin queue that an I/O queue has ended: at the program's end it waits for that.
-    pub(super) ended: Notify,
+    /// Notifies the admin queue that an I/O queue has ended, which it waits for during the shutdown.
+    pub(super) queue_ended: Notify,
 }
 
 /// The state that the queues of a controller share.
@@ -46,8 +46,8 @@
 pub(super) struct State {
     /// The controller configuration property.
     pub(super) configuration: u32,
-    /// The ways to its I/O queues; a queue whose way is dropped ends.
-    pub(super) queues: HashMap<u16, mpsc::Sender<AbortOne>>,
+    /// The mailboxes of the I/O queues, by queue id; a queue ends when its mailbox is dropped.
+    pub(super) queues: HashMap<u16, mpsc::Sender<AbortRequest>>,
 }
 
 /// Locks a mutex. No code panics while it holds one of these locks, so a poisoned one is used as it is.
@@ -58,34 +58,42 @@
 impl Subsystem {
     /// Creates the subsystem for a core; `seed` is that of the request ids.
     pub fn new(map: Arc<NvmeMap>, core: CoreHandle, seed: u64) -> Arc<Self> {
-        let (calls, controllers) = (Mutex::new(fastrand::Rng::with_seed(seed)), Mutex::default());
-        Arc::new(Self { map, core, calls, controllers })
+        let (request_ids, controllers) = (Mutex::new(fastrand::Rng::with_seed(seed)), Mutex::default());
+        Arc::new(Self { map, core, request_ids, controllers })
     }
 
-    /// A new controller for a host; `None` if no id is free.
-    pub(super) fn controller(&self, host: String) -> Option<Arc<Controller>> {
+    /// Adds a controller for a host; `None` if no controller id is free.
+    pub(super) fn add_controller(&self, host: String) -> Option<Arc<Controller>> {
         let mut controllers = lock(&self.controllers);
-        let id = (1..LAST_ID).find(|id| !controllers.contains_key(id))?;
+        let id = (1..FIRST_RESERVED_ID).find(|id| !controllers.contains_key(id))?;
         let state = Mutex::default();
-        let controller = Arc::new(Controller { id, host, state, ended: Notify::new() });
+        let controller = Arc::new(Controller { id, host, state, queue_ended: Notify::new() });
         controllers.insert(id, controller.clone());
         Some(controller)
     }
 
-    /// The typed request behind a read or a write whose last byte has just come.
-    pub(super) fn call(&self, write: bool, blocks: BlockRange, body: Bytes) -> Result<ClientRequest, Status> {
+    /// Creates the request to the core for a read or a write whose last byte has just been received.
+    ///
+    /// # Errors
+    /// The namespace does not exist.
+    pub(super) fn request(
+        &self,
+        is_write: bool,
+        blocks: BlockRange,
+        body: Bytes,
+    ) -> Result<ClientRequest, Status> {
         let namespace = self.map.namespace(blocks.nsid).ok_or(Status::INVALID_NAMESPACE)?;
-        let class = if write { &self.map.write } else { &self.map.read };
+        let class = if is_write { &self.map.write } else { &self.map.read };
         let deployment = self.core.deployment();
         let settings = &deployment.settings.classes[class.id.0 as usize];
-        let call = format!("{:016x}", lock(&self.calls).u64(..));
-        let keyed = settings.idempotency == Idempotency::WithKey;
-        let work = NodeRequest {
+        let request_id = format!("{:016x}", lock(&self.request_ids).u64(..));
+        let needs_key = settings.idempotency == Idempotency::WithKey;
+        let node_request = NodeRequest {
             class_name: class.name.clone(),
-            is_write: write,
+            is_write,
             target: format!("/{}/{:016x}/{:016x}", class.name, namespace.volume.0, blocks.first).into(),
-            idempotency_key: keyed.then(|| call.as_str().into()),
-            client_request_id: call.into(),
+            idempotency_key: needs_key.then(|| request_id.as_str().into()),
+            client_request_id: request_id.into(),
             volume: namespace.volume,
             key: KeyId(blocks.first),
             units: self.map.units(blocks.count),
@@ -102,12 +110,16 @@
             // full deadline of its class.
             is_client_retry: false,
             deadline: Instant::now() + Duration::from_micros(settings.deadline),
-            node_request: Arc::new(work),
+            node_request: Arc::new(node_request),
         })
     }
 
-    /// Checks the blocks of a command; gives back the bytes they hold.
-    pub(super) fn check(&self, BlockRange { nsid, first, count }: BlockRange) -> Result<usize, Status> {
+    /// Validates the blocks of a command and returns their size in bytes.
+    ///
+    /// # Errors
+    /// The namespace does not exist, the command is too long, or the blocks are beyond the end of the
+    /// namespace.
+    pub(super) fn validate(&self, BlockRange { nsid, first, count }: BlockRange) -> Result<usize, Status> {
         let namespace = self.map.namespace(nsid).ok_or(Status::INVALID_NAMESPACE)?;
         let size = count as usize * self.map.block as usize;
         if size > MAX_DATA_BYTES {
@@ -121,22 +133,24 @@
         }
     }
 
-    /// Advice that a status can give, as the controller's page tells hosts.
-    pub(super) fn delays(&self) -> [u16; 3] {
-        identify::delays(self.core.deployment().settings.max_retry_after)
+    /// Returns the command retry delays that the controller announces, in units of 100 ms.
+    pub(super) fn retry_delays(&self) -> [u16; 3] {
+        identify::retry_delays(self.core.deployment().settings.max_retry_after)
     }
 
-    /// How a command ends with that answer.
-    pub(super) fn status(&self, write: bool, answer: &Result<Answer, Aborted>) -> Status {
+    /// Returns the status of a command with this answer.
+    pub(super) fn status(&self, is_write: bool, answer: &Result<Answer, Aborted>) -> Status {
         match answer {
             Err(Aborted) | Ok(Answer::Failed { deadline_passed: true, .. }) => Status::ABORTED,
             Ok(Answer::Served(_)) => Status::SUCCESS,
             Ok(Answer::Shed { retry_after }) => Status {
-                retry_delay: identify::delay_for(*retry_after, self.delays()),
+                retry_delay: identify::retry_delay_index(*retry_after, self.retry_delays()),
                 ..Status::INTERRUPTED
             },
             Ok(Answer::Duplicate) => Status::CID_CONFLICT,
-            Ok(Answer::Failed { possibly_executed: true, .. }) if write => Status::INTERNAL.without_retry(),
+            Ok(Answer::Failed { possibly_executed: true, .. }) if is_write => {
+                Status::INTERNAL.without_retry()
+            }
             Ok(Answer::Failed { .. }) => Status::INTERNAL,
         }
     }
@@ -146,16 +160,16 @@
     /// Returns the controller status property: ready while enabled, and shut down as soon as the host
     /// requests it.
     pub(super) fn csts(&self) -> u32 {
-        let down = self.configuration >> 14 & 0b11 != 0;
-        self.configuration & 1 | if down { 0b10 << 2 } else { 0 }
+        let shutdown_requested = self.configuration >> 14 & 0b11 != 0;
+        self.configuration & 1 | if shutdown_requested { 0b10 << 2 } else { 0 }
     }
 
     /// Writes the controller configuration property; disabling or shutting down the controller ends its I/O
     /// queues.
     pub(super) fn configure(&mut self, value: u32) {
         self.configuration = value;
-        let down = value >> 14 & 0b11 != 0;
-        if value & 1 == 0 || down {
+        let shutdown_requested = value >> 14 & 0b11 != 0;
+        if value & 1 == 0 || shutdown_requested {
             self.queues.clear();
         }
     }
--- a/crates/transport/src/nvme/wire.rs
+++ b/crates/transport/src/nvme/wire.rs
@@ -32,8 +32,8 @@
     stream: TcpStream,
     input: BytesMut,
     output: BytesMut,
-    /// What the far side wants data aligned to, in bytes.
-    align: usize,
+    /// Alignment of data that the peer requires, in bytes.
+    alignment: usize,
 }
 
 impl PduStream {
@@ -43,12 +43,12 @@
     /// The system's, if the option `TCP_NODELAY` can't be set.
     pub fn new(stream: TcpStream) -> io::Result<Self> {
         stream.set_nodelay(true)?;
-        Ok(Self { stream, input: BytesMut::new(), output: BytesMut::new(), align: 4 })
+        Ok(Self { stream, input: BytesMut::new(), output: BytesMut::new(), alignment: 4 })
     }
 
-    /// Takes the alignment that the far side wants, in dwords from 0.
-    pub fn align(&mut self, dwords: u8) {
-        self.align = (usize::from(dwords) + 1) * 4;
+    /// Sets the alignment of data that the peer requires; `alignment` is in dwords, minus 1.
+    pub fn set_alignment(&mut self, alignment: u8) {
+        self.alignment = (usize::from(alignment) + 1) * 4;
     }
 
     /// Receives the next PDU. No input is lost if the future is dropped before it is ready.
@@ -73,7 +73,7 @@
     pub async fn send(&mut self, pdus: &[Pdu]) -> io::Result<()> {
         self.output.clear();
         for pdu in pdus {
-            pdu.encode(&mut self.output, self.align);
+            pdu.encode(&mut self.output, self.alignment);
         }
         self.stream.write_all(&self.output).await
     }
@@ -83,26 +83,28 @@
     /// # Errors
     /// The connection has failed; the host may not have received the error.
     pub async fn terminate(&mut self, fatal: FatalError) -> io::Result<()> {
-        let term = Pdu::terminate(fatal, &self.input);
-        self.send(&[term]).await?;
+        let term_req = Pdu::terminate(fatal, &self.input);
+        self.send(&[term_req]).await?;
         self.stream.shutdown().await?;
-        // A close over unread bytes would reset the connection, and the reason with it. The host closes.
-        let mut rest = BytesMut::new();
-        while self.stream.read_buf(&mut rest).await? > 0 {
-            rest.clear();
+        // Closing with unread bytes would reset the connection, and the host might not receive the error. So
+        // the input is discarded until the host closes.
+        let mut discarded = BytesMut::new();
+        while self.stream.read_buf(&mut discarded).await? > 0 {
+            discarded.clear();
         }
         Ok(())
     }
 
-    /// Ready once anything at all comes while nothing is due: the end, or what can't be trusted.
-    pub fn poll_unasked(&mut self, cx: &mut Context<'_>) -> Poll<()> {
+    /// Returns ready once any input or the end of the connection arrives while no input is expected: the
+    /// connection can't be used any more. An input byte is lost.
+    pub fn poll_unexpected_input(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         let mut byte = [0];
-        let mut one = ReadBuf::new(&mut byte);
-        Pin::new(&mut self.stream).poll_read(cx, &mut one).map(|_| ())
+        let mut buffer = ReadBuf::new(&mut byte);
+        Pin::new(&mut self.stream).poll_read(cx, &mut buffer).map(|_| ())
     }
 
-    /// True if nothing has come unasked.
-    pub async fn quiet(&mut self) -> bool {
-        self.input.is_empty() && poll_fn(|cx| Poll::Ready(self.poll_unasked(cx).is_pending())).await
+    /// Whether the connection is open and no unexpected input has arrived.
+    pub async fn has_no_input(&mut self) -> bool {
+        self.input.is_empty() && poll_fn(|cx| Poll::Ready(self.poll_unexpected_input(cx).is_pending())).await
     }
 }
