--- a/crates/transport/src/http/decode.rs
+++ b/crates/transport/src/http/decode.rs
@@ -37,17 +37,21 @@
 ) -> Result<ClientRequest, InvalidRequest> {
     let header = |name: &'static str| {
         let mut values = head.headers.get_all(name).iter();
-        let value = values.next().map(|v| v.to_str().map_err(|_| InvalidRequest(name)));
+        let value = values.next().map(|text| text.to_str().map_err(|_| InvalidRequest(name)));
         // A node might use the other of two values.
         values.next().map_or(value.transpose(), |_| Err(InvalidRequest(name)))
     };
     let required_header =
-        |name: &'static str| header(name)?.filter(|v| !v.is_empty()).ok_or(InvalidRequest(name));
+        |name: &'static str| header(name)?.filter(|value| !value.is_empty()).ok_or(InvalidRequest(name));
     let class_name = required_header(headers::CLASS)?;
-    let class =
-        deployment.class_names.iter().position(|c| c == class_name).ok_or(InvalidRequest(headers::CLASS))?;
+    let class = deployment
+        .class_names
+        .iter()
+        .position(|name| name == class_name)
+        .ok_or(InvalidRequest(headers::CLASS))?;
     let plan = required_header(headers::PLAN)?;
-    let plan = deployment.plan_names.iter().position(|p| p == plan).ok_or(InvalidRequest(headers::PLAN))?;
+    let plan =
+        deployment.plan_names.iter().position(|name| name == plan).ok_or(InvalidRequest(headers::PLAN))?;
     let is_write = deployment.class_writes[class];
     if head.method != if is_write { Method::PUT } else { Method::GET } {
         return Err(InvalidRequest("method"));
@@ -67,7 +71,7 @@
     }
     let (volume, key) = (parse_hex_id(volume)?, parse_hex_id(key)?);
     let budget = required_header(headers::TIME_BUDGET_MS)?;
-    let is_decimal = budget.bytes().all(|b| b.is_ascii_digit());
+    let is_decimal = budget.bytes().all(|byte| byte.is_ascii_digit());
     let budget: u64 = budget
         .parse()
         .ok()
@@ -102,7 +106,7 @@
         plan: PlanId(plan as u16),
         shard,
         schedulers: hosts,
-        is_client_retry: header(headers::CLIENT_RETRY)?.is_some_and(|v| v == "1"),
+        is_client_retry: header(headers::CLIENT_RETRY)?.is_some_and(|value| value == "1"),
         deadline: if is_streamed {
             received_at + Duration::from_millis(MAX_TIME_BUDGET_MS)
         } else {
@@ -114,7 +118,7 @@
 
 /// Parses the id of a volume, an object or a request: 16 hexadecimal digits.
 fn parse_hex_id(digits: &str) -> Result<u64, InvalidRequest> {
-    let is_valid = digits.len() == 16 && digits.bytes().all(|b| b.is_ascii_hexdigit());
+    let is_valid = digits.len() == 16 && digits.bytes().all(|byte| byte.is_ascii_hexdigit());
     if !is_valid {
         return Err(InvalidRequest("path"));
     }
--- a/crates/transport/src/node/http.rs
+++ b/crates/transport/src/node/http.rs
@@ -142,12 +142,14 @@
     async fn exchange(&mut self, request: Request<OutgoingBody>) -> Option<Reply> {
         let sending = self.sender.send_request(request);
         let (head, mut body) = self.drive(sending).await.ok()?.into_parts();
-        let lengths =
-            [CONTENT_LENGTH, TRANSFER_ENCODING].iter().filter(|h| head.headers.contains_key(*h)).count();
+        let lengths = [CONTENT_LENGTH, TRANSFER_ENCODING]
+            .iter()
+            .filter(|name| head.headers.contains_key(*name))
+            .count();
         if lengths > 1 || body.size_hint().lower() > MAX_BODY_BYTES {
             return None;
         }
-        let rejected = head.headers.get(headers::REJECTED).is_some_and(|v| v == "1");
+        let rejected = head.headers.get(headers::REJECTED).is_some_and(|value| value == "1");
         let end = match head.status {
             StatusCode::OK => AttemptEnd::Served,
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if rejected => AttemptEnd::Rejected,
@@ -157,7 +159,7 @@
         let mut buffered = BytesMut::new();
         loop {
             if end == AttemptEnd::Served
-                && length.map_or(buffered.len(), |l| l as usize) > MAX_BUFFERED_BODY_BYTES
+                && length.map_or(buffered.len(), |bytes| bytes as usize) > MAX_BUFFERED_BODY_BYTES
             {
                 return Some(Reply::Partial(length, buffered.freeze(), body));
             }
@@ -172,7 +174,7 @@
     }
 
     /// Forwards a reply that is being received, and returns the connection if it can carry another attempt.
-    /// Gives up once no chunk arrives in time or the receiver is gone.
+    /// Gives up once no chunk arrives in time or the receiver has closed the channel.
     async fn forward_reply(
         mut self,
         first_part: Bytes,
@@ -353,12 +355,20 @@
     written: &Arc<WriteProgress>,
 ) -> (EncodedRequest, Option<usize>) {
     let NodeRequest {
-        client_request_id, class_name, is_write, target, idempotency_key, body, upload, ..
+        client_request_id,
+        class_name,
+        is_write,
+        target,
+        idempotency_key,
+        body,
+        upload: remaining_body,
+        ..
     } = &*attempt.node_request;
     let time_left = attempt.deadline.saturating_duration_since(Instant::now());
-    let time_left_ms = upload.as_ref().map_or(time_left, Upload::time_budget).as_millis();
-    let length =
-        upload.as_ref().map_or(Some(body.len()), |upload| upload.content_length().map(|l| l as usize));
+    let time_left_ms = remaining_body.as_ref().map_or(time_left, Upload::time_budget).as_millis();
+    let length = remaining_body
+        .as_ref()
+        .map_or(Some(body.len()), |upload| upload.content_length().map(|bytes| bytes as usize));
     let method = if *is_write { Method::PUT } else { Method::GET };
     let mut request = Request::builder().method(method).uri(&**target);
     request = request.header(HOST, address.to_string());
@@ -370,7 +380,7 @@
     if let Some(length) = length.filter(|_| *is_write || !body.is_empty()) {
         request = request.header(CONTENT_LENGTH, length);
     }
-    let streamed = upload
+    let streamed = remaining_body
         .as_ref()
         .and_then(|upload| Some((upload.take_body()?, upload.content_length(), written.clone())));
     let outgoing_body = OutgoingBody { buffered: (!body.is_empty()).then(|| body.clone()), streamed };
--- a/crates/transport/src/nvme/command.rs
+++ b/crates/transport/src/nvme/command.rs
@@ -370,7 +370,7 @@
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         let name = |offset: usize| {
             let field = bytes.get(offset..offset + 256)?;
-            let end = field.iter().position(|b| *b == 0)?;
+            let end = field.iter().position(|byte| *byte == 0)?;
             Some(String::from_utf8_lossy(&field[..end]).into_owned())
         };
         let controller = u16::from_le_bytes([*bytes.get(16)?, *bytes.get(17)?]);
--- a/crates/transport/src/nvme/controller.rs
+++ b/crates/transport/src/nvme/controller.rs
@@ -274,7 +274,8 @@
             (controller.id, Role::Admin { controller, keep_alive, keep_alive_deadline })
         } else {
             let controller = lock(&self.subsystem.controllers).get(&names.controller).cloned();
-            let controller = controller.filter(|c| c.host == names.host && queue <= map.queues);
+            let controller =
+                controller.filter(|candidate| candidate.host == names.host && queue <= map.queues);
             let controller = controller.ok_or(Status::CONNECT_PARAMETER)?;
             let mut state = lock(&controller.state);
             if state.configuration & 1 == 0 || state.queues.contains_key(&queue) {
@@ -454,7 +455,7 @@
                     Some(body) => Ok(Answer::Served(NodeReply::Buffered(body))),
                     None => Ok(failed),
                 },
-                other => other.map(|a| a.unwrap_or(failed)),
+                other => other.map(|result| result.unwrap_or(failed)),
             };
             Finished { cid, read_size, answer }
         }));
--- a/crates/transport/src/nvme/identify.rs
+++ b/crates/transport/src/nvme/identify.rs
@@ -70,7 +70,7 @@
     // Sizes of the queue entries: 64 and 16 bytes.
     put(512, &[0x66, 0x44]);
     put(514, &map.depth.to_le_bytes());
-    let highest_nsid = map.namespaces.last().map_or(0, |n| n.nsid);
+    let highest_nsid = map.namespaces.last().map_or(0, |namespace| namespace.nsid);
     put(516, &highest_nsid.to_le_bytes());
     // SGLs are supported, also for data in the capsule.
     put(536, &(1u32 | 1 << 20).to_le_bytes());
@@ -105,7 +105,7 @@
 /// Returns the list of the namespace ids above `after`.
 pub fn active_namespaces(map: &NvmeMap, after: u32) -> Bytes {
     let mut page = BytesMut::zeroed(PAGE_BYTES);
-    let above = map.namespaces.iter().filter(|n| n.nsid > after);
+    let above = map.namespaces.iter().filter(|namespace| namespace.nsid > after);
     for (namespace, entry) in above.zip(page.chunks_exact_mut(4)) {
         entry.copy_from_slice(&namespace.nsid.to_le_bytes());
     }
--- a/crates/transport/src/nvme/map.rs
+++ b/crates/transport/src/nvme/map.rs
@@ -109,7 +109,7 @@
         };
         let file: File = json::from_str(text).map_err(malformed)?;
         let class = |field: &str, name: &str, is_write: bool| {
-            let index = deployment.class_names.iter().position(|c| c == name);
+            let index = deployment.class_names.iter().position(|candidate| candidate == name);
             let index = index.filter(|index| deployment.class_writes[*index] == is_write);
             let index = index.ok_or_else(|| ConfigError::invalid(field, name))?;
             Ok(Class { id: ClassId(index as u16), name: name.into() })
@@ -132,7 +132,7 @@
         let mut namespaces = Vec::new();
         for (index, entry) in file.namespaces.into_iter().enumerate() {
             let field = |name: &str| format!("namespaces.{index}.{name}");
-            let plan = deployment.plan_names.iter().position(|p| *p == entry.plan);
+            let plan = deployment.plan_names.iter().position(|name| *name == entry.plan);
             let plan = plan.ok_or_else(|| ConfigError::invalid(&field("plan"), &entry.plan))?;
             let volume = u64::from_str_radix(&entry.volume, 16);
             let volume = volume.map_err(|_| ConfigError::invalid(&field("volume"), &entry.volume))?;
@@ -151,7 +151,7 @@
                 shards: entry.shards.into_iter().map(ShardId).collect(),
             });
         }
-        namespaces.sort_by_key(|n| n.nsid);
+        namespaces.sort_by_key(|namespace| namespace.nsid);
         let duplicate = namespaces.windows(2).find(|pair| pair[0].nsid == pair[1].nsid);
         duplicate
             .map_or(Ok(()), |pair| Err(ConfigError::invalid("namespaces.nsid", &pair[0].nsid.to_string())))?;
@@ -175,7 +175,7 @@
 
     /// Returns the namespace with this id.
     pub fn namespace(&self, nsid: u32) -> Option<&Namespace> {
-        self.namespaces.iter().find(|n| n.nsid == nsid)
+        self.namespaces.iter().find(|namespace| namespace.nsid == nsid)
     }
 
     /// Returns the number of units of `blocks` blocks, at least 1.
@@ -186,7 +186,7 @@
     /// Returns the blocks of an object, whose key is the number of its first block. `None` if the volume is
     /// not a namespace, or the range is empty or goes beyond the end of the namespace.
     pub fn block_range(&self, volume: VolumeId, key: KeyId, count: u32) -> Option<BlockRange> {
-        let namespace = self.namespaces.iter().find(|n| n.volume == volume)?;
+        let namespace = self.namespaces.iter().find(|namespace| namespace.volume == volume)?;
         let end = key.0.checked_add(u64::from(count))?;
         let is_valid = count > 0 && end <= namespace.blocks;
         is_valid.then_some(BlockRange { nsid: namespace.nsid, first: key.0, count })
--- a/crates/transport/src/nvme/subsystem.rs
+++ b/crates/transport/src/nvme/subsystem.rs
@@ -36,14 +36,14 @@
 pub(super) struct Controller {
     pub(super) id: u16,
     pub(super) host: String,
-    pub(super) state: Mutex<State>,
+    pub(super) state: Mutex<ControllerState>,
     /// Notifies the admin queue that an I/O queue has ended, which it waits for during the shutdown.
     pub(super) queue_ended: Notify,
 }
 
 /// The state that the queues of a controller share.
 #[derive(Default)]
-pub(super) struct State {
+pub(super) struct ControllerState {
     /// The controller configuration property.
     pub(super) configuration: u32,
     /// The mailboxes of the I/O queues, by queue id; a queue ends when its mailbox is dropped.
@@ -156,7 +156,7 @@
     }
 }
 
-impl State {
+impl ControllerState {
     /// Returns the controller status property: ready while enabled, and shut down as soon as the host
     /// requests it.
     pub(super) fn csts(&self) -> u32 {
