--- a/crates/transport/src/node/pool.rs
+++ b/crates/transport/src/node/pool.rs
@@ -1,5 +1,5 @@
-//! The descriptors that connections to all nodes share. With more nodes than descriptors, what stands idle at
-//! one node makes way for what another one needs.
+//! The file descriptors that connections to all nodes share. With more nodes than descriptors, idle
+//! connections to one node are evicted for a new connection to another.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
@@ -8,52 +8,53 @@
 use tokio::sync::{watch, Notify};
 use tokio::time::Instant;
 
-use super::Limits;
+use super::PoolLimits;
 
-/// What all nodes' actors share: the limits as they are now, the descriptors in use, and what stands idle.
+/// The connection pool that the actors of all nodes share: the current limits, the descriptors in use, and
+/// the idle connections.
 #[derive(Clone, Debug)]
-pub struct Pool {
-    limits: watch::Receiver<Limits>,
-    open: Arc<AtomicUsize>,
-    next: Arc<AtomicU64>,
-    idle: Arc<Mutex<BTreeMap<Place, Arc<Slot>>>>,
+pub struct ConnectionPool {
+    limits: watch::Receiver<PoolLimits>,
+    open_descriptors: Arc<AtomicUsize>,
+    next_sequence: Arc<AtomicU64>,
+    idle: Arc<Mutex<BTreeMap<IdleKey, Arc<IdleSlot>>>>,
 }
 
-/// Since when a connection is idle, and a number that no other has.
-type Place = (Instant, u64);
+/// When a connection became idle, and a unique sequence number.
+type IdleKey = (Instant, u64);
 
-/// What an idle connection stands on, until it is taken away, and whom to tell then.
+/// The permit of an idle connection, until it is taken or evicted, and the actor to notify of an eviction.
 #[derive(Debug)]
-struct Slot {
+struct IdleSlot {
     permit: Mutex<Option<Permit>>,
     owner: Arc<Notify>,
 }
 
-impl Slot {
+impl IdleSlot {
     fn lock(&self) -> MutexGuard<'_, Option<Permit>> {
         self.permit.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl Pool {
-    /// A pool with none open.
-    pub fn new(limits: watch::Receiver<Limits>) -> Self {
-        Self { limits, open: Arc::default(), next: Arc::default(), idle: Arc::default() }
+impl ConnectionPool {
+    /// Creates a pool without connections.
+    pub fn new(limits: watch::Receiver<PoolLimits>) -> Self {
+        Self { limits, open_descriptors: Arc::default(), next_sequence: Arc::default(), idle: Arc::default() }
     }
 
-    /// The limits now.
-    pub(super) fn limits(&self) -> Limits {
+    /// Returns the current limits.
+    pub(super) fn limits(&self) -> PoolLimits {
         *self.limits.borrow()
     }
 
-    /// Room for a connection of so many descriptors. The connections that have been idle the longest, at any
-    /// node, make way for it; `None` where all that are open are in use.
-    pub(super) fn permit(&self, sockets: usize) -> Option<Permit> {
+    /// Returns a permit for a connection of `descriptors` file descriptors. The connections that have been
+    /// idle the longest, to any node, are evicted for it; `None` if evicting all of them does not suffice.
+    pub(super) fn acquire(&self, descriptors: usize) -> Option<Permit> {
         loop {
-            let open = self.open.load(Ordering::Relaxed) + sockets;
-            if open <= self.limits().open {
-                self.open.store(open, Ordering::Relaxed);
-                return Some(Permit { sockets, open: self.open.clone() });
+            let open_descriptors = self.open_descriptors.load(Ordering::Relaxed) + descriptors;
+            if open_descriptors <= self.limits().max_descriptors {
+                self.open_descriptors.store(open_descriptors, Ordering::Relaxed);
+                return Some(Permit { descriptors, open_descriptors: self.open_descriptors.clone() });
             }
             let (_, slot) = self.lock().pop_first()?;
             drop(slot.lock().take());
@@ -61,55 +62,55 @@
         }
     }
 
-    /// A connection on that permit stands idle from now on; `owner` is told when it has to make way.
-    pub(super) fn park(&self, permit: Permit, owner: &Arc<Notify>) -> Parked {
-        let place = (Instant::now(), self.next.fetch_add(1, Ordering::Relaxed));
-        let slot = Arc::new(Slot { permit: Mutex::new(Some(permit)), owner: owner.clone() });
-        self.lock().insert(place, slot.clone());
-        Parked { pool: self.clone(), place, slot }
+    /// Records that the connection of a permit is idle from now on; `owner` is notified when it is evicted.
+    pub(super) fn add_idle(&self, permit: Permit, owner: &Arc<Notify>) -> IdleEntry {
+        let key = (Instant::now(), self.next_sequence.fetch_add(1, Ordering::Relaxed));
+        let slot = Arc::new(IdleSlot { permit: Mutex::new(Some(permit)), owner: owner.clone() });
+        self.lock().insert(key, slot.clone());
+        IdleEntry { pool: self.clone(), key, slot }
     }
 
-    fn lock(&self) -> MutexGuard<'_, BTreeMap<Place, Arc<Slot>>> {
+    fn lock(&self) -> MutexGuard<'_, BTreeMap<IdleKey, Arc<IdleSlot>>> {
         self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// What a connection holds of the pool, for as long as it is open.
+/// The descriptors that a connection holds of the pool; released when dropped.
 #[derive(Debug)]
 pub(super) struct Permit {
-    sockets: usize,
-    open: Arc<AtomicUsize>,
+    descriptors: usize,
+    open_descriptors: Arc<AtomicUsize>,
 }
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        self.open.fetch_sub(self.sockets, Ordering::Relaxed);
+        self.open_descriptors.fetch_sub(self.descriptors, Ordering::Relaxed);
     }
 }
 
-/// An idle connection's place in the pool, given up when dropped.
+/// An idle connection's entry in the pool, removed when dropped.
 #[derive(Debug)]
-pub(super) struct Parked {
-    pool: Pool,
-    place: Place,
-    slot: Arc<Slot>,
+pub(super) struct IdleEntry {
+    pool: ConnectionPool,
+    key: IdleKey,
+    slot: Arc<IdleSlot>,
 }
 
-impl Parked {
-    /// It has not had to make way.
-    pub(super) fn stands(&self) -> bool {
+impl IdleEntry {
+    /// Whether the connection has not been evicted.
+    pub(super) fn is_valid(&self) -> bool {
         self.slot.lock().is_some()
     }
 
-    /// The connection is used again, if it still stands.
+    /// Takes the permit to use the connection again; `None` if it was evicted.
     pub(super) fn take(self) -> Option<Permit> {
         self.slot.lock().take()
     }
 }
 
-impl Drop for Parked {
+impl Drop for IdleEntry {
     fn drop(&mut self) {
-        self.pool.lock().remove(&self.place);
+        self.pool.lock().remove(&self.key);
     }
 }
 
