--- a/crates/policy/tests/common/simulated_day.rs
+++ b/crates/policy/tests/common/simulated_day.rs
@@ -210,13 +210,13 @@
             let Reverse((at, number)) = self.queue.pop().expect("the next request is always scheduled");
             self.now = self.now.max(at);
             let scheduled_event = self.scheduled_events.remove(&number).expect("scheduled once");
-            if let Some(event) = self.to_event(scheduled_event) {
+            if let Some(event) = self.create_event(scheduled_event) {
                 return event;
             }
         }
     }
 
-    fn to_event(&mut self, scheduled_event: ScheduledEvent) -> Option<Event> {
+    fn create_event(&mut self, scheduled_event: ScheduledEvent) -> Option<Event> {
         match scheduled_event {
             ScheduledEvent::Request => Some(self.next_request()),
             ScheduledEvent::ClientRetry(request) => {
