--- a/crates/transport/src/http/connection.rs
+++ b/crates/transport/src/http/connection.rs
@@ -61,7 +61,7 @@
 /// An event that ends or changes the serving of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ConnectionEvent {
-    /// The HTTP exchange on it has ended, or it failed.
+    /// The connection was closed by either side, or it failed.
     Ended,
     /// The client disconnected while its request was being processed.
     ClientDisconnected,
--- a/crates/transport/src/nvme/command.rs
+++ b/crates/transport/src/nvme/command.rs
@@ -78,7 +78,7 @@
     Identify {
         /// Id of the namespace, if the request concerns one.
         nsid: u32,
-        /// The data structure to return (controller or namespace structure).
+        /// Controller or namespace structure (CNS): selects the data structure to return.
         cns: u8,
     },
     /// Sets a feature.
