--- a/crates/transport/src/nvme/identify.rs
+++ b/crates/transport/src/nvme/identify.rs
@@ -93,8 +93,8 @@
     }
     // Controllers of other hosts may be attached to it too.
     put(30, &[1]);
-    // Optimal I/O boundary in blocks: a command should not cross the end of a stripe, as all of it goes to the
-    // shard of its first block.
+    // Optimal I/O boundary in blocks: a command should not cross the end of a stripe, as all of it goes to
+    // the shard of its first block.
     let boundary = namespace.stripe.min(u64::from(u16::MAX)) as u16;
     put(46, &boundary.to_le_bytes());
     // The only LBA format: the block size as a power of two.
