--- a/crates/transport/src/http/connection.rs
+++ b/crates/transport/src/http/connection.rs
@@ -29,7 +29,8 @@
 /// While an operator has paused the scheduler, an idle connection is closed this long after the start of the
 /// pause or after its last answer, whichever is later.
 const PAUSED_IDLE_TIMEOUT: Duration = Duration::from_millis(800);
-/// The same while another process accepts the new connections. It is longer because nothing is urgent then,
+/// While another process accepts the new connections, an idle connection is closed this long after that began
+/// or after its last answer, whichever is later. The limit is longer than during a pause: there is more time,
 /// and a client whose request crosses the close has to send it again.
 const REPLACED_IDLE_TIMEOUT: Duration = Duration::from_millis(2030);
 /// Input after the last answer is discarded in pieces of this many bytes.
