--- a/crates/core/src/actor/attempts.rs
+++ b/crates/core/src/actor/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: the one place that sends them, and what follows from how each ended.
+//! Sends attempts to nodes and handles their ends.
 
 use tokio::time::Instant;
 
@@ -9,7 +9,7 @@
 use crate::{Answer, Attempt, EndedAttempt, NodeReply, StreamedReply, WriteCompletion, WrittenAttempts};
 use heathward_policy::{AttemptEnd, AttemptOutcome, Event, Micros, NodeId, RequestId};
 
-/// Which attempt it is.
+/// Identifies one attempt of a request at a node.
 #[derive(Clone, Copy)]
 struct AttemptKey {
     request: RequestId,
@@ -18,48 +18,50 @@
 }
 
 impl Actor {
-    /// The one place where attempts are sent. It prevents two attempts of a request at the same time, and
-    /// attempts after the final answer, the deadline, or the deduplication window of an idempotency key.
-    /// If nothing was sent, the policy is notified of that.
+    /// Sends an attempt of a request to a node. All attempts are sent here, so that a request never has two
+    /// attempts in flight, and none is sent after the final answer, after the deadline, or after the
+    /// deduplication window of the idempotency key. If the attempt cannot be sent, the policy is notified
+    /// with [`AttemptEnd::NotSent`].
     pub(super) fn send_attempt(&mut self, request: RequestId, node: NodeId, timeout: Option<Micros>) {
         let now = Instant::now();
-        let Some(open) = self.requests.get_mut(request) else { return };
-        let key = AttemptKey { request, number: open.next_attempt_number(), node };
+        let Some(open_request) = self.requests.get_mut(request) else { return };
+        let key = AttemptKey { request, number: open_request.next_attempt_number(), node };
         let deployment = self.published.deployment();
-        let class = &deployment.settings.classes[usize::from(open.request.class.0)];
-        let deadline = open.attempt_deadline(now, timeout, class);
+        let class = &deployment.settings.classes[usize::from(open_request.request.class.0)];
+        let deadline = open_request.attempt_deadline(now, timeout, class);
         let target = self.nodes.get(node);
-        let in_flight = target.filter(|_| open.may_send(now, deadline)).and_then(|target| {
-            let attempt = new_attempt(key, open, target, now, deadline, &self.written_attempts);
+        let in_flight = target.filter(|_| open_request.may_send(now, deadline)).and_then(|target| {
+            let attempt = new_attempt(key, open_request, target, now, deadline, &self.written_attempts);
             try_send(attempt, target, now)
         });
         let sent = in_flight.is_some();
         if let Some(in_flight) = in_flight {
-            open.attempt_sent(in_flight);
+            open_request.attempt_sent(in_flight);
             self.counters.attempts_sent += 1;
         } else {
             self.counters.count_attempt_end(AttemptEnd::NotSent);
         }
         if let Some(target) = target {
-            let units = open.request.node_request.units;
+            let units = open_request.request.node_request.units;
             self.observer.observe_at(now, send_observation(request, target, units, sent));
         }
         if !sent {
-            let outcome = attempt_outcome(key, AttemptEnd::NotSent, open.is_answered(), 0);
+            let outcome = attempt_outcome(key, AttemptEnd::NotSent, open_request.is_answered(), 0);
             self.policy.enqueue(Event::AttemptEnded(outcome));
         }
     }
 
-    /// Answers the request if its attempt was served, and notifies the policy of the end of the attempt.
+    /// Handles the end of an attempt: answers the request if the attempt was served, and notifies the
+    /// policy.
     pub(super) fn attempt_ended(&mut self, attempt: EndedAttempt) {
         let EndedAttempt { request, number, node, end, reply } = attempt;
-        let Some(open) = self.requests.get_mut(request) else { return };
-        let Some(finished) = open.attempt_ended(number, end) else { return };
+        let Some(open_request) = self.requests.get_mut(request) else { return };
+        let Some(finished) = open_request.attempt_ended(number, end) else { return };
         let now = Instant::now();
         self.counters.count_attempt_end(end);
         self.observer.observe_at(now, Observation::AttemptEnded { request, node: &finished.node, end });
         if end == AttemptEnd::Served {
-            let reply = keep_id_while_streaming(reply, open);
+            let reply = keep_id_while_streaming(reply, open_request);
             self.answer_request(request, Some(Answer::Served(reply)));
         }
         let request_closed = self.requests.is_answered(request);
@@ -74,7 +76,7 @@
 
 fn new_attempt(
     key: AttemptKey,
-    open: &OpenRequest,
+    open_request: &OpenRequest,
     target: &Node,
     now: Instant,
     deadline: Instant,
@@ -85,17 +87,17 @@
         number: key.number,
         node: key.node,
         deadline,
-        connect_deadline: open.connect_deadline(now, deadline),
-        node_request: open.request.node_request.clone(),
+        connect_deadline: open_request.connect_deadline(now, deadline),
+        node_request: open_request.request.node_request.clone(),
         send_gate: target.send_gate.clone(),
-        cancel: open.cancel.clone(),
+        cancel: open_request.cancel.clone(),
         written_attempts: written_attempts.clone(),
         write_completion: WriteCompletion::default(),
     }
 }
 
-/// Hands an attempt to the connections of a node. `None` if nothing may be sent to the node, or its channel
-/// is full.
+/// Passes an attempt to the connections of a node. Returns `None` if the node's send gate is closed, the
+/// node is not in the endpoint list, or its channel is full.
 fn try_send(attempt: Attempt, target: &Node, now: Instant) -> Option<InFlightAttempt> {
     if target.send_gate.is_closed() {
         return None;
@@ -116,7 +118,8 @@
     }
 }
 
-/// The outcome of an attempt for the policy. Nodes behind this core report no load.
+/// Builds the outcome of an attempt for the policy. The load fields are `None`, because the nodes that this
+/// core drives report no load.
 fn attempt_outcome(
     key: AttemptKey,
     end: AttemptEnd,
@@ -136,11 +139,12 @@
     }
 }
 
-/// A reply that is streamed keeps the client's request id reserved until its last byte.
-fn keep_id_while_streaming(reply: NodeReply, open: &mut OpenRequest) -> NodeReply {
+/// Moves the guard of the client's request id into a streamed reply, so that the id stays reserved until
+/// the reply has been streamed.
+fn keep_id_while_streaming(reply: NodeReply, open_request: &mut OpenRequest) -> NodeReply {
     match reply {
         NodeReply::Streamed(reply) => {
-            let id_guard = open.id_guard.take().map(|guard| guard.start_streaming());
+            let id_guard = open_request.id_guard.take().map(|guard| guard.start_streaming());
             NodeReply::Streamed(StreamedReply { _id_guard: id_guard, ..reply })
         }
         NodeReply::Buffered(body) => NodeReply::Buffered(body),
--- a/crates/core/src/actor/nodes/tests.rs
+++ b/crates/core/src/actor/nodes/tests.rs
@@ -16,7 +16,7 @@
 
 fn list_node(nodes: &mut NodeTable, number: u32, zone: &str) -> NodeId {
     let id = nodes.find_or_add(&endpoint(number, zone), 1, SendGate::default);
-    nodes.list(id, mpsc::channel(1).0);
+    nodes.mark_listed(id, mpsc::channel(1).0);
     id
 }
 
@@ -24,15 +24,16 @@
     start + Duration::from_secs(seconds)
 }
 
-/// Guards against a walk of all nodes to forget a few: each is found at the front of the schedule when its
-/// time has come and not before, and only nodes that left within the last minute are retained.
+/// Guards against walking all nodes to forget a few: each node is at the front of the schedule when its
+/// retention ends and is not forgotten before, and only nodes that left within the last minute are
+/// retained.
 #[tokio::test(start_paused = true)]
 async fn unlisted_nodes_are_forgotten_a_minute_after_they_left_and_no_others() {
     let (mut nodes, start) = (NodeTable::default(), Instant::now());
     let ids: Vec<NodeId> = (0..FLEET_SIZE).map(|number| list_node(&mut nodes, number, "a")).collect();
     assert_eq!((nodes.listed_count(), nodes.unlisted.len()), (FLEET_SIZE as usize, 0));
     for (second, id) in (0..).zip(&ids[..100]) {
-        nodes.unlist(*id, at(start, second));
+        nodes.mark_unlisted(*id, at(start, second));
         nodes.forget_expired(at(start, second));
         let retained = second.min(59) as usize + 1;
         let sizes = (nodes.unlisted.len(), nodes.ids_by_name.len());
@@ -41,30 +42,31 @@
     assert_eq!(nodes.listed_count(), FLEET_SIZE as usize - 100);
     assert_eq!(nodes.listed().count(), nodes.listed_count());
     nodes.forget_expired(at(start, 99 + 59));
-    assert_eq!(nodes.unlisted.len(), 1, "the last, for one second more");
+    assert_eq!(nodes.unlisted.len(), 1, "the last node is retained for one more second");
     nodes.forget_expired(at(start, 99 + 60));
     assert_eq!((nodes.unlisted.len(), nodes.by_id.len()), (0, FLEET_SIZE as usize - 100));
 }
 
-/// Guards against a node that is new to the policy each time it leaves its list for a moment, and against one
-/// that is forgotten although it is listed.
+/// Guards against a node that gets a new number, and so is new to the policy, each time it leaves the
+/// endpoint list for a moment, and against a listed node that is forgotten.
 #[tokio::test(start_paused = true)]
 async fn a_node_that_returns_within_a_minute_keeps_its_number_and_is_not_forgotten() {
     let (mut nodes, start) = (NodeTable::default(), Instant::now());
     let first = list_node(&mut nodes, 1, "a");
-    nodes.unlist(first, start);
-    nodes.unlist(first, at(start, 50));
+    nodes.mark_unlisted(first, start);
+    nodes.mark_unlisted(first, at(start, 50));
     nodes.forget_expired(at(start, 59));
     assert_eq!(list_node(&mut nodes, 1, "a"), first);
     nodes.forget_expired(at(start, 1_000));
     assert!(nodes.get(first).is_some_and(Node::is_listed) && nodes.listed_count() == 1);
-    nodes.unlist(first, at(start, 1_000));
+    nodes.mark_unlisted(first, at(start, 1_000));
     nodes.forget_expired(at(start, 1_060));
     assert_eq!((nodes.find("s-1"), nodes.by_id.len()), (None, 0));
     assert_ne!(list_node(&mut nodes, 1, "a"), first);
 }
 
-/// Guards against zones that are retained for ever, and against a node whose zone stays the one it came from.
+/// Guards against zones that are never forgotten, and against a node that keeps its old zone after it has
+/// moved to another.
 #[tokio::test(start_paused = true)]
 async fn a_zone_is_known_while_a_node_is_in_it() {
     let (mut nodes, start) = (NodeTable::default(), Instant::now());
@@ -74,12 +76,12 @@
     assert_eq!((zones(&nodes), nodes.zones.len()), (vec![0, 1, 0], 2));
     nodes.update(ids[0], endpoint(0, "b"));
     assert_eq!((zones(&nodes), nodes.zones.len()), (vec![1, 1, 0], 2));
-    nodes.unlist(ids[2], start);
+    nodes.mark_unlisted(ids[2], start);
     nodes.forget_expired(start + UNLISTED_NODE_RETENTION);
     assert_eq!(nodes.zones.len(), 1);
 }
 
-/// Guards against a node that is checked twice, and one that is checked after it was forgotten.
+/// Guards against a node that is checked twice, and against one that is checked after it was forgotten.
 #[tokio::test(start_paused = true)]
 async fn a_node_is_checked_once_at_the_time_that_was_scheduled_last() {
     let (mut nodes, start) = (NodeTable::default(), Instant::now());
@@ -92,7 +94,7 @@
     assert_eq!(nodes.take_due_checks(start), []);
     assert_eq!(nodes.take_due_checks(at(start, 2)), ids[..2]);
     nodes.schedule_check(ids[0], Some(at(start, 70)));
-    nodes.unlist(ids[0], start);
+    nodes.mark_unlisted(ids[0], start);
     nodes.forget_expired(at(start, 60));
-    assert_eq!((nodes.take_due_checks(at(start, 99)), nodes.checks.len()), (vec![], 0));
+    assert_eq!((nodes.take_due_checks(at(start, 99)), nodes.scheduled_checks.len()), (vec![], 0));
 }
--- a/crates/transport/src/nvme/wire.rs
+++ b/crates/transport/src/nvme/wire.rs
@@ -1,4 +1,4 @@
-//! A socket that carries PDUs.
+//! A stream of PDUs on a TCP connection.
 
 use std::future::poll_fn;
 use std::io;
@@ -9,100 +9,102 @@
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWriteExt, ReadBuf};
 use tokio::net::TcpStream;
 
-use super::pdu::{Fatal, Pdu};
+use super::pdu::{FatalError, Pdu};
 
-/// Why a connection can't go on.
+/// Why a connection can't be used any more.
 #[derive(Debug)]
-pub enum Broken {
-    /// It ended, or the socket failed.
+pub enum StreamError {
+    /// The connection was closed, or the socket failed.
     Closed,
-    /// What came makes no sense.
-    Fatal(Fatal),
+    /// The peer sent something that is not valid.
+    Fatal(FatalError),
 }
 
-impl From<io::Error> for Broken {
+impl From<io::Error> for StreamError {
     fn from(_: io::Error) -> Self {
         Self::Closed
     }
 }
 
-/// One connection, which is one queue.
+/// A stream of PDUs on one connection, which is one queue.
 #[derive(Debug)]
-pub struct Wire {
+pub struct PduStream {
     stream: TcpStream,
     input: BytesMut,
     output: BytesMut,
-    /// What the far side wants data aligned to, in bytes.
-    align: usize,
+    /// Alignment of data that the peer requires, in bytes.
+    alignment: usize,
 }
 
-impl Wire {
-    /// A connection over that stream.
+impl PduStream {
+    /// Creates a PDU stream on a TCP connection.
     ///
     /// # Errors
-    /// The system's, where the option cannot be set.
+    /// The system's, if the option `TCP_NODELAY` can't be set.
     pub fn new(stream: TcpStream) -> io::Result<Self> {
         stream.set_nodelay(true)?;
-        Ok(Self { stream, input: BytesMut::new(), output: BytesMut::new(), align: 4 })
+        Ok(Self { stream, input: BytesMut::new(), output: BytesMut::new(), alignment: 4 })
     }
 
-    /// Takes the alignment that the far side wants, in dwords from 0.
-    pub fn align(&mut self, dwords: u8) {
-        self.align = (usize::from(dwords) + 1) * 4;
+    /// Sets the alignment of data that the peer requires; `alignment` is in dwords, minus 1.
+    pub fn set_alignment(&mut self, alignment: u8) {
+        self.alignment = (usize::from(alignment) + 1) * 4;
     }
 
-    /// The next PDU. Nothing is lost if the future is dropped before.
+    /// Receives the next PDU. No input is lost if the future is dropped before it is ready.
     ///
     /// # Errors
-    /// That the connection has ended or failed, or that what came is no valid PDU.
-    pub async fn next(&mut self) -> Result<Pdu, Broken> {
+    /// The connection was closed or has failed, or the input is not a valid PDU.
+    pub async fn next(&mut self) -> Result<Pdu, StreamError> {
         loop {
-            if let Some(pdu) = Pdu::decode(&mut self.input).map_err(Broken::Fatal)? {
+            if let Some(pdu) = Pdu::decode(&mut self.input).map_err(StreamError::Fatal)? {
                 return Ok(pdu);
             }
             if self.stream.read_buf(&mut self.input).await? == 0 {
-                return Err(Broken::Closed);
+                return Err(StreamError::Closed);
             }
         }
     }
 
-    /// Writes PDUs to the last byte.
+    /// Sends PDUs; returns once the socket has accepted the last byte.
     ///
     /// # Errors
-    /// The connection's.
+    /// The connection has failed.
     pub async fn send(&mut self, pdus: &[Pdu]) -> io::Result<()> {
         self.output.clear();
         for pdu in pdus {
-            pdu.encode(&mut self.output, self.align);
+            pdu.encode(&mut self.output, self.alignment);
         }
         self.stream.write_all(&self.output).await
     }
 
-    /// Tells the host why its connection ends, and ends it.
+    /// Sends the host a TermReq with the error, and closes the connection.
     ///
     /// # Errors
-    /// The connection's; the reason may not have reached the other side then.
-    pub async fn terminate(&mut self, fatal: Fatal) -> io::Result<()> {
-        let term = Pdu::terminate(fatal, &self.input);
-        self.send(&[term]).await?;
+    /// The connection has failed; the host may not have received the error.
+    pub async fn terminate(&mut self, fatal: FatalError) -> io::Result<()> {
+        let term_req = Pdu::terminate(fatal, &self.input);
+        self.send(&[term_req]).await?;
         self.stream.shutdown().await?;
-        // A close over unread bytes would reset the connection, and the reason with it. The host closes.
-        let mut rest = BytesMut::new();
-        while self.stream.read_buf(&mut rest).await? > 0 {
-            rest.clear();
+        // Closing with unread bytes would reset the connection, and the host might not receive the error. So
+        // the input is discarded until the host closes.
+        let mut discarded = BytesMut::new();
+        while self.stream.read_buf(&mut discarded).await? > 0 {
+            discarded.clear();
         }
         Ok(())
     }
 
-    /// Ready once anything at all comes while nothing is due: the end, or what can't be trusted.
-    pub fn poll_unasked(&mut self, cx: &mut Context<'_>) -> Poll<()> {
+    /// Returns ready once any input or the end of the connection arrives while no input is expected: the
+    /// connection can't be used any more. An input byte is lost.
+    pub fn poll_unexpected_input(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         let mut byte = [0];
-        let mut one = ReadBuf::new(&mut byte);
-        Pin::new(&mut self.stream).poll_read(cx, &mut one).map(|_| ())
+        let mut buffer = ReadBuf::new(&mut byte);
+        Pin::new(&mut self.stream).poll_read(cx, &mut buffer).map(|_| ())
     }
 
-    /// True if nothing has come unasked.
-    pub async fn quiet(&mut self) -> bool {
-        self.input.is_empty() && poll_fn(|cx| Poll::Ready(self.poll_unasked(cx).is_pending())).await
+    /// Whether the connection is open and no unexpected input has arrived.
+    pub async fn has_no_input(&mut self) -> bool {
+        self.input.is_empty() && poll_fn(|cx| Poll::Ready(self.poll_unexpected_input(cx).is_pending())).await
     }
 }
