--- a/crates/policy/src/api/events.rs
+++ b/crates/policy/src/api/events.rs
@@ -118,10 +118,11 @@
     pub request_closed: bool,
     /// Time between the start and the end of the attempt.
     pub latency: Micros,
-    /// Units that all nodes served the volume in a past usage period, in percent of its plan's usual rate.
+    /// Rate at which all nodes together served the volume's requests in a past usage period, in percent of
+    /// its plan's usual rate.
     pub volume_usage_percent: Option<u32>,
-    /// Units that this node served the volume through other schedulers since its last answer to this one. No
-    /// decision uses it.
+    /// Units that this node served for the volume through other schedulers since its last answer to this one.
+    /// No decision uses it.
     pub served_elsewhere: Option<u32>,
     /// CPU utilization of the node, from 0 to 1, if the node reports it. No decision uses it.
     pub utilization: Option<f64>,
--- a/crates/policy/src/api/ids.rs
+++ b/crates/policy/src/api/ids.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct NodeId(pub u32);
 
-/// A volume; plans, rate limits and admission sessions apply to each volume separately.
+/// A volume; quotas, rate limits and the admission to a node apply to each volume separately.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct VolumeId(pub u64);
 
--- a/crates/policy/src/api/status.rs
+++ b/crates/policy/src/api/status.rs
@@ -7,10 +7,11 @@
 pub struct EntryCounts {
     /// Requests that have no answer yet or an attempt in flight.
     pub requests: usize,
-    /// Volumes requested within the lookback time, or twice that at most, and those whose rate-limit bucket
-    /// is not full yet.
+    /// Volumes requested within the lookback time of 30 s, or up to twice that until the next clean-up, and
+    /// those whose rate-limit bucket is not full yet.
     pub volumes: usize,
-    /// Nodes that are listed, or have answered within the lookback time, or twice that at most.
+    /// Nodes that are in service, have requests in flight or queued, or have answered within the lookback
+    /// time, or up to twice that until the next clean-up.
     pub nodes: usize,
     /// Timestamps within the windows of the retry budget and of cool-downs.
     pub timestamps: usize,
@@ -21,17 +22,20 @@
 pub struct NodeStatus {
     /// Whether the endpoint list has the node in service.
     pub ready: bool,
-    /// Time since which the node counts as down or unresponsive: it is sent only an occasional attempt.
+    /// Time since which the node counts as down or unresponsive. Requests that any node may serve avoid it.
+    /// Other requests for it are limited, for up to [`crate::Settings::slow_start_duration`], as if it had
+    /// just started.
     pub unresponsive_since: Option<Micros>,
-    /// Time since which the node is, or may be, in slow start; it has its full capacity
-    /// [`crate::Settings::slow_start_duration`] later at the latest.
+    /// Latest known or presumed start of the node; the current time while it is unresponsive, as it may start
+    /// at any time. It has its full capacity [`crate::Settings::slow_start_duration`] later at the latest.
     pub slow_start_since: Option<Micros>,
     /// Units of the attempts in flight.
     pub in_flight_units: f64,
 }
 
 impl NodeStatus {
-    /// Returns whether the node is sent no regular traffic, because it is out of service or unresponsive.
+    /// Returns whether the node is out of service or unresponsive, so that requests that any node may serve
+    /// are sent to other nodes.
     pub fn is_avoided(&self) -> bool {
         !self.ready || self.unresponsive_since.is_some()
     }
--- a/crates/policy/src/endpoint_subscription.rs
+++ b/crates/policy/src/endpoint_subscription.rs
@@ -1,5 +1,5 @@
 //! The schedule of subscriptions to the endpoint list, for deployments in which discovery does not push
-//! changes: in the polled mode, each subscription is a poll.
+//! changes: a subscription is opened after the start, and again after each failure or missing answer.
 
 use crate::api::{EndpointListMode, EndpointUpdateKind, Micros};
 
@@ -28,7 +28,7 @@
     }
 
     /// Updates the schedule after an endpoint update: a failure is followed by another attempt, an answer by
-    /// none.
+    /// none. A cached list is not an answer and changes nothing.
     pub(crate) fn on_update(
         &mut self,
         now: Micros,
--- a/crates/policy/src/node.rs
+++ b/crates/policy/src/node.rs
@@ -87,12 +87,13 @@
         }
     }
 
+    /// Records the units in flight and queued in the maximum of the budget period.
     fn record_peak(&mut self) {
         self.budget.record_open_units(self.in_flight.units() + self.queue.units());
     }
 
     /// Closes the budget periods that have ended. Empty periods that are older than the idle time of sessions
-    /// plus the recent periods have no effect and are skipped.
+    /// plus the periods over which the budget takes its maximum have no effect and are skipped.
     pub(crate) fn close_periods(&mut self, now: Micros, period: Micros, mean_units: f64) {
         let idle_time = period * SESSION_IDLE_PERIODS;
         let max_history = (ADMISSION_LOOKBACK / period).max(1) as usize;
@@ -116,7 +117,8 @@
     }
 
     /// Returns the estimated time that a request would wait at the node, in microseconds: the delay shown by
-    /// the node's answers, or the waiting time of its oldest attempt if that is longer.
+    /// the node's answers or, if that is longer, the time for which its oldest informative attempt has waited
+    /// beyond the expected service time.
     pub(crate) fn queueing_delay(&self, now: Micros, period: Micros, fleet: &FleetEstimate) -> f64 {
         let oldest = self.in_flight.informative(now, period).next();
         let waiting = oldest.map_or(0, |attempt| now.saturating_sub(attempt.sent_at));
--- a/crates/policy/src/node/admission_history.rs
+++ b/crates/policy/src/node/admission_history.rs
@@ -52,8 +52,8 @@
         }
     }
 
-    /// Returns whether one more session of mean load stays within the budget. A node without a history has
-    /// capacity.
+    /// Returns whether the load with one more session of mean load stays below [`MAX_ADMITTED_LOAD`]. A node
+    /// without a history has capacity.
     pub(crate) fn has_capacity_for_new_session(&self) -> bool {
         if self.session_loads.is_empty() {
             return true;
--- a/crates/policy/src/node/health.rs
+++ b/crates/policy/src/node/health.rs
@@ -17,7 +17,7 @@
 const NO_CONNECTION_ATTEMPTS: u32 = 2;
 /// Minimum length of a timeout, in budget periods. A shorter one says nothing about the node.
 const MIN_TIMEOUT_PERIODS: u64 = 2;
-/// Number of consecutive errors after which a node is unhealthy.
+/// Number of consecutive errors and rejections after which a node is unhealthy.
 const UNHEALTHY_ERRORS: u32 = 2;
 
 /// The end of an attempt, as observed by failure detection.
--- a/crates/policy/src/node/period_budget.rs
+++ b/crates/policy/src/node/period_budget.rs
@@ -75,7 +75,7 @@
         self.peak_units = self.peak_units.max(units);
     }
 
-    /// Skips the periods that end before `from` minus the length of the recent periods.
+    /// Skips the periods that end before `from` minus the length of [`RECENT_PERIODS`].
     pub(crate) fn skip_empty_periods(&mut self, from: Micros, period: Micros) {
         let first_relevant = from.saturating_sub(period * RECENT_PERIODS as u64);
         self.period_end = self.period_end.max(first_relevant);
@@ -84,7 +84,8 @@
     /// Adjusts the budget at the end of a period. If the node was overloaded, the budget becomes the maximum
     /// of units served in a recent period; if the budget was filled and there were timely answers, it grows
     /// to one request of mean size more than the larger of that maximum and the budget. It does not shrink
-    /// while this scheduler sends little.
+    /// while this scheduler sends little. In any case it is at least that maximum, and it stays between
+    /// [`MIN_BUDGET_REQUESTS`] and [`MAX_BUDGET_REQUESTS`].
     pub(crate) fn adjust(&mut self, mean_units: f64) {
         self.recent_served_units.push_back(self.served_units);
         if self.recent_served_units.len() > RECENT_PERIODS {
--- a/crates/policy/src/node/queue.rs
+++ b/crates/policy/src/node/queue.rs
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Returns the first entry after `after`, or the first of the queue.
+    /// Returns the first entry after `after`, or the first of the queue if that is `None`.
     pub(crate) fn next(&self, after: Option<QueueEntry>) -> Option<QueueEntry> {
         let from = after.map_or(Bound::Unbounded, Bound::Excluded);
         self.entries.range((from, Bound::Unbounded)).next().copied()
--- a/crates/policy/src/node_ranking.rs
+++ b/crates/policy/src/node_ranking.rs
@@ -76,7 +76,9 @@
 /// The lowest scores found by a search.
 #[derive(Clone, Copy, Debug, Default)]
 struct LowestScores {
+    /// Lowest score among the nodes that the request may be sent to now.
     open: Option<ScoredNode>,
+    /// Lowest score among the other nodes and the unhealthy ones.
     closed: Option<ScoredNode>,
 }
 
--- a/crates/policy/src/node_ranking/bucket.rs
+++ b/crates/policy/src/node_ranking/bucket.rs
@@ -6,7 +6,7 @@
 pub(super) const FIRST_DELAY_US: f64 = 50.0;
 /// Ratio of the floors of two adjacent buckets by delay.
 pub(super) const DELAY_STEP: f64 = 1.25;
-/// Number of buckets by freshness.
+/// Number of equal steps into which freshness from 0 to 1 is divided.
 pub(super) const FRESHNESS_STEPS: f64 = 16.0;
 
 /// Groups of nodes by health; a search visits them in this order.
@@ -44,12 +44,15 @@
     pub(crate) lasting_units: f64,
 }
 
-/// The key of a bucket; the numbers are steps on the scales above.
+/// The key of a bucket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Bucket {
     tier: HealthTier,
+    /// Step of the delay: 0 below [`FIRST_DELAY_US`], then one for each factor of [`DELAY_STEP`].
     delay: u8,
+    /// Step of the freshness, rounded up, from 0 to [`FRESHNESS_STEPS`].
     freshness: u8,
+    /// Open units, rounded down; at most 255.
     units: u8,
 }
 
--- a/crates/policy/src/node_ranking/search.rs
+++ b/crates/policy/src/node_ranking/search.rs
@@ -6,7 +6,7 @@
 use super::bucket::{Bucket, HealthTier};
 use crate::api::NodeId;
 
-/// An exchange of two members of a bucket by the shuffle.
+/// A step of the shuffle: the member at `index` of the bucket's list has moved to `position`.
 #[derive(Clone, Copy, Debug)]
 struct Swap {
     position: usize,
@@ -21,7 +21,7 @@
     noise: f64,
     /// Number of members already drawn.
     drawn: usize,
-    /// Exchanges made by the shuffle; the list of members itself is not changed.
+    /// Steps of the shuffle so far; the list of members itself is not changed.
     swaps: Vec<Swap>,
 }
 
@@ -37,7 +37,7 @@
         self.noise = 1.0 - (1.0 - self.noise) * (1.0 - random.f64()).powf(1.0 / remaining);
     }
 
-    /// Draws the member with that noise, uniformly among the remaining ones.
+    /// Draws the member that has the noise drawn last, uniformly among the remaining ones.
     fn draw_member(&mut self, random: &mut fastrand::Rng) -> NodeId {
         let position = random.usize(self.drawn..self.members.len());
         let index = self.index_at(position);
--- a/crates/policy/src/node_table.rs
+++ b/crates/policy/src/node_table.rs
@@ -88,7 +88,7 @@
         });
     }
 
-    /// Records a request for a node. Returns the probability that any one node is addressed within
+    /// Records a request for a node. Returns the probability that a given node is addressed within
     /// `lifetime`.
     pub(crate) fn record_demand(&mut self, now: Micros, id: NodeId, lifetime: Micros) -> f64 {
         self.demand.record(now, id, self.shards.len(), lifetime)
--- a/crates/policy/src/request/table.rs
+++ b/crates/policy/src/request/table.rs
@@ -1,4 +1,4 @@
-//! The open requests by id, with an index by deadline.
+//! The requests that are not finished, by id, with an index by deadline.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,7 +12,7 @@
     pub(crate) request: RequestId,
 }
 
-/// All requests that are not finished.
+/// All requests that have no final answer yet or an attempt in flight.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RequestTable {
     requests: BTreeMap<RequestId, TrackedRequest>,
--- a/crates/policy/src/request/tracked.rs
+++ b/crates/policy/src/request/tracked.rs
@@ -12,7 +12,7 @@
     Queued(Option<NodeId>),
     /// Waiting for the end of an attempt.
     InFlight,
-    /// Finished: the request has its final answer or needs none. Attempts may still be in flight.
+    /// Closed: the request has its final answer or needs none. Attempts may still be in flight.
     Answered,
 }
 
--- a/crates/policy/src/scheduler.rs
+++ b/crates/policy/src/scheduler.rs
@@ -1,7 +1,7 @@
 //! The scheduler, which handles events and returns the actions that its caller has to perform.
 //!
-//! This file holds the scheduler's state and dispatches events. Each submodule implements one step in the
-//! life of a request:
+//! This file holds the scheduler's state and dispatches events. Most submodules implement one step in the
+//! life of a request each:
 //!
 //! - `arrival`: the due time, quota tier and priority of a new request;
 //! - `admission`: whether a request is sent, queued or shed;
@@ -12,7 +12,9 @@
 //! - `outcomes`: the end of an attempt, which updates the estimates of the node and the volume;
 //! - `final_answers`: retries, answers given by the scheduler itself, and the removal of finished requests;
 //! - `dispatch`: queued requests, deadlines, and the order of requests with the same key;
-//! - `endpoints`: updates of the endpoint list.
+//! - `endpoints`: updates of the endpoint list;
+//! - `timers`: the clean-up schedule and the timer that the caller fires;
+//! - `random`: the random number generators.
 
 use crate::api::{Action, EntryCounts, Event, Micros, NodeId, NodeStatus, Settings, SettingsError};
 use crate::endpoint_subscription::EndpointSubscription;
@@ -166,7 +168,7 @@
     }
 
     /// Removes volumes and nodes that have not been used for the lookback time. A volume is kept while its
-    /// rate limit's bucket is not full, a node while it is listed or has requests in flight or queued.
+    /// rate limit's bucket is not full, a node while it is in service or has requests in flight or queued.
     fn clean_up(&mut self, now: Micros) {
         let since = now.saturating_sub(ADMISSION_LOOKBACK);
         let plans = &self.settings.plans;
--- a/crates/policy/src/scheduler/admission.rs
+++ b/crates/policy/src/scheduler/admission.rs
@@ -8,6 +8,8 @@
 use crate::volume::QuotaTier;
 
 impl Scheduler {
+    /// Sends or queues a request, or answers it if no node may serve it, its volume is not admitted, or the
+    /// queueing delay is too long.
     pub(super) fn admit(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
         let Some(node_id) = self.target_node(now, id) else {
             return self.answer_locally(now, id, actions);
@@ -32,7 +34,7 @@
         }
     }
 
-    /// Records a request for a node in the estimates that slow start uses.
+    /// Records a request for a node in the estimate of demand and in the node's slow-start bucket.
     fn record_demand(&mut self, now: Micros, id: NodeId) {
         let use_probability = self.nodes.record_demand(now, id, self.settings.token_lifetime());
         let draw = self.random.decisions.f64();
--- a/crates/policy/src/scheduler/capacity.rs
+++ b/crates/policy/src/scheduler/capacity.rs
@@ -18,11 +18,13 @@
 const STALE_ESTIMATE_JITTER: f64 = 0.2;
 
 impl Scheduler {
+    /// Checks the request's units and the node's queueing delay against the limits of the node and of the
+    /// request's priority.
     pub(super) fn check_capacity(&self, now: Micros, tracked: &TrackedRequest, node: &Node) -> SendDecision {
         let open_units = node.in_flight.informative_units(now, self.period);
         let needed_units = open_units + tracked.units();
         let delay = self.queueing_delay(now, node);
-        // A node without attempts in flight always has capacity for one request.
+        // The budget of a node without attempts in flight covers one request of any size.
         let exceeds = |budget: f64| open_units > 0.0 && needed_units > budget;
         if exceeds(node.budget.limit_units()) || delay > self.delay_limit(1.0) {
             return SendDecision::NoCapacity;
--- a/crates/policy/src/scheduler/final_answers.rs
+++ b/crates/policy/src/scheduler/final_answers.rs
@@ -101,8 +101,8 @@
 }
 
 /// Returns whether another attempt may succeed before the request is due. After a broken connection or an
-/// error, any attempt may. A node that is full or down remains so for longer than a latency objective: such a
-/// request is retried only if another node may serve it.
+/// error, it may succeed at any node. A node that is full or down remains so for longer than a latency
+/// objective: a request that such a node did not accept is retried only if another node may serve it.
 fn is_retry_useful(tracked: &TrackedRequest, end: AttemptEnd) -> bool {
     match end {
         AttemptEnd::Error | AttemptEnd::Reset => true,
--- a/crates/policy/src/scheduler/node_selection.rs
+++ b/crates/policy/src/scheduler/node_selection.rs
@@ -6,8 +6,8 @@
 use crate::node_ranking::{Candidate, SearchResult};
 
 impl Scheduler {
-    /// Returns the node with the lowest load, as estimated by this scheduler, that the request may be sent
-    /// to; among nodes of similar load the choice is random.
+    /// Returns the node with the lowest load, as estimated by this scheduler, among those that the request
+    /// may be sent to now or, if there is none, later. Among nodes of similar load the choice is random.
     pub(super) fn least_loaded(&mut self, now: Micros, id: RequestId) -> Option<NodeId> {
         for node_id in self.nodes.ranking.expired(now) {
             self.update_rank(now, node_id);
--- a/crates/policy/src/scheduler/outcomes.rs
+++ b/crates/policy/src/scheduler/outcomes.rs
@@ -8,7 +8,7 @@
 
 /// Estimated queueing delay, in budget periods, below which a node counts as having no queue.
 const MAX_UNQUEUED_DELAY_PERIODS: f64 = 0.2;
-/// Queueing delay that a rejection counts as, as a multiple of the maximum delay.
+/// Minimum queueing delay that a rejection counts as, as a multiple of the maximum delay.
 const REJECTION_DELAY_MULTIPLE: f64 = 2.0;
 /// Minimum number of unanswered attempts at a node for a timeout to count as a queueing delay.
 const MIN_UNANSWERED: u32 = 2;
--- a/crates/policy/src/scheduler/sending.rs
+++ b/crates/policy/src/scheduler/sending.rs
@@ -6,8 +6,8 @@
 use crate::node::AttemptKey;
 use crate::request::{RequestAttempt, RequestState};
 
-/// Timeout of an attempt, as a multiple of the time until its request is due. Some nodes drop the request at
-/// that time.
+/// Timeout of an attempt, as a multiple of the time until its request is due. Some nodes drop a request whose
+/// timeout has expired.
 const TIMEOUT_FACTOR: Micros = 3;
 
 impl Scheduler {
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -27,8 +27,8 @@
     pub connect_timeout: Micros,
     /// Idle time after which a connection is closed.
     pub idle_timeout: Micros,
-    /// Time after the endpoint list marks a node as draining or removed, from which nothing may be sent to
-    /// it; `None` if there is no such rule.
+    /// Time for which requests may still be sent to a node after the endpoint list has marked it as draining
+    /// or removed; `None` if there is no such limit.
     pub drain_grace: Option<Micros>,
 }
 
--- a/crates/policy/src/slow_start/demand.rs
+++ b/crates/policy/src/slow_start/demand.rs
@@ -35,7 +35,7 @@
 }
 
 impl NodeDemand {
-    /// Records a request for a node, one of `nodes` nodes. Returns the estimated probability that any one
+    /// Records a request for a node, one of `nodes` nodes. Returns the estimated probability that a given
     /// node is addressed within a lifetime, as of before this request.
     pub(crate) fn record(&mut self, now: Micros, node: NodeId, nodes: usize, lifetime: Micros) -> f64 {
         let first_request_at = *self.first_request_at.get_or_insert(now);
@@ -92,8 +92,8 @@
         1.0 - (1.0 - fraction).powf(elapsed_per_lifetime)
     }
 
-    /// Returns the probability by the mean number of nodes or, if the maximum is a surge, by the maximum less
-    /// [`SURGE_DEVIATIONS`] standard deviations: a surge reaches all schedulers at once.
+    /// Returns the probability that follows from the mean number of nodes or, if the maximum is a surge, from
+    /// the maximum less [`SURGE_DEVIATIONS`] standard deviations: a surge reaches all schedulers at once.
     fn usual_probability(&self, nodes: usize) -> f64 {
         let nodes = nodes.max(1) as f64;
         let max_nodes = (self.span_max.max(self.previous_span_max) as f64).min(nodes);
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -265,7 +265,7 @@
         }));
     }
 
-    /// Serves all attempts in flight after a millisecond.
+    /// Serves all attempts in flight with a latency of a millisecond.
     pub fn serve_all(&mut self) {
         self.serve_all_after(1_000);
     }
@@ -305,12 +305,12 @@
         })
     }
 
-    /// Returns the requests sent since the last event or advance of time.
+    /// Returns the requests sent in response to the last event or advance of time.
     pub fn last_sent_requests(&self) -> Vec<u64> {
         self.last_sends().map(|(request, _)| request).collect()
     }
 
-    /// Returns the nodes that requests were sent to since the last event or advance of time.
+    /// Returns the nodes that requests were sent to in response to the last event or advance of time.
     pub fn last_sent_nodes(&self) -> Vec<NodeId> {
         self.last_sends().map(|(_, node)| node).collect()
     }
--- a/crates/policy/tests/common/simulated_day.rs
+++ b/crates/policy/tests/common/simulated_day.rs
@@ -11,7 +11,8 @@
 const START: Micros = 40 * SECOND;
 /// Number of volumes that have requests all the time.
 const STEADY_VOLUMES: u64 = 150;
-/// Number of volumes whose requests are rare: up to two lookback times apart.
+/// Number of volumes whose requests are rare: together they have a tenth of all requests, so that a volume
+/// may be idle for longer than the lookback time in between.
 const RARE_VOLUMES: u64 = 2_000;
 
 /// The parameters of a day.
--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -235,7 +235,7 @@
 }
 
 /// Numbers of requests or sources, by whether they are for the slow node and whether they come from one of
-/// the few schedulers.
+/// the few schedulers for which it is slow.
 #[derive(Clone, Copy, Debug, Default)]
 struct Counts {
     counts: [[f64; 2]; 2],
@@ -273,7 +273,7 @@
         }
     }
     let per_source = |slow: bool, affected: bool| sent.get(slow, affected) / sources.get(slow, affected);
-    println!("sends for each source: {sent:?} of {sources:?}");
+    println!("requests sent: {sent:?}, sources: {sources:?}");
     let (others, others_elsewhere) = (per_source(true, false), per_source(false, false));
     assert!(
         others > 0.8 * others_elsewhere,
--- a/crates/policy/tests/node_health.rs
+++ b/crates/policy/tests/node_health.rs
@@ -123,8 +123,8 @@
             sent += harness.last_sent_requests().len() * 2;
             harness.serve_all_after(SLOW_START_LATENCY);
         }
-        // A node in slow start is sent four units in a window, the rest of the window before, and the excess
-        // of one request.
+        // A node in slow start is sent at most four units in a window, those left over from the window
+        // before, and one request more.
         let is_above_slow_start = sent > 8;
         assert_eq!(
             is_above_slow_start, has_full_capacity,
--- a/crates/policy/tests/queueing.rs
+++ b/crates/policy/tests/queueing.rs
@@ -74,7 +74,8 @@
     harness.advance(1_000);
     harness.submit(sample_request(5));
     harness.end_attempt(5, 0, 1, AttemptEnd::Served, true, 5_000);
-    // Three of the four requests that the budget allows are attempts sent before an answered one.
+    // The three attempts that are still in flight were sent before an answered one and count as stuck, so
+    // that the budget has capacity for four requests.
     harness.advance(700_000);
     let sent: usize = (6..=9).map(|id| harness.submit(sample_request(id)).len()).sum();
     assert_eq!(sent, 4);
@@ -91,7 +92,10 @@
         let starting = EndpointEntry { started_at: Some(harness.now), ..endpoint(1) };
         harness.update_endpoints(EndpointUpdateKind::Cached, vec![starting]);
         let request = Request { units: 8, time_budget, ..sample_request(1) };
-        assert!(harness.submit(request).is_empty(), "no token is left for it");
+        assert!(
+            harness.submit(request).is_empty(),
+            "the node's slow-start bucket has no token for the request"
+        );
         harness.advance(answered_by / 2);
         assert_eq!(harness.shed_count(1), 0, "it may still be served");
         harness.advance(answered_by / 2);
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -25,8 +25,8 @@
         }
         sent * 2
     };
-    // Half of twelve units in each window, a quarter more because of the node's age, and the excess of one
-    // request.
+    // Half of twelve units in each window, a quarter more because of the node's age, and one request more, as
+    // a window's part is no whole number of requests.
     let (first, second) = (units_in_two_windows(), units_in_two_windows());
     assert!((10..=17).contains(&first), "{first} units in the first two windows");
     assert!(second > first, "{second} units in the next two, {first} before");
