--- a/crates/policy/src/scheduler/dispatch.rs
+++ b/crates/policy/src/scheduler/dispatch.rs
@@ -9,8 +9,8 @@
 
 /// Maximum number of scans of all queues in a budget period.
 const SCANS_PER_PERIOD: Micros = 16;
-/// Divisor of the budget period that gives the margin for answering a request that was never sent: it is
-/// answered this margin before half of its time budget is over.
+/// Divisor of the budget period that gives a margin: a request that was never sent is answered this margin
+/// before half of its time budget is over.
 const EARLY_ANSWER_PERIOD_DIVISOR: Micros = 8;
 
 impl Scheduler {
@@ -19,7 +19,7 @@
         self.close_periods(now, node_id);
         let mut last = None;
         while let Some(entry) = self.nodes.get(&node_id).and_then(|node| node.queue.next(last)) {
-            if self.cannot_meet_deadline(now, entry) {
+            if self.must_answer_locally(now, entry) {
                 self.answer_locally(now, entry.request, actions);
             } else if self.try_send(now, entry.request, node_id, actions) == SendDecision::NoCapacity {
                 break;
@@ -36,7 +36,7 @@
             self.dispatch_queued(now, node_id, actions);
         }
         for entry in self.queued.unbound.clone() {
-            if self.cannot_meet_deadline(now, entry) {
+            if self.must_answer_locally(now, entry) {
                 self.answer_locally(now, entry.request, actions);
             } else if let Some(node_id) = self.least_loaded(now, entry.request) {
                 self.try_send(now, entry.request, node_id, actions);
@@ -44,9 +44,10 @@
         }
     }
 
-    /// Returns whether a queued request would be served too late. A request that was never sent is answered
-    /// before half of its time budget is over, so that its client can still try another scheduler.
-    fn cannot_meet_deadline(&self, now: Micros, entry: QueueEntry) -> bool {
+    /// Returns whether the scheduler must answer a queued request itself, because it can no longer be served
+    /// by its due time. A request that was never sent is answered before half of its time budget is over, so
+    /// that its client can still try another scheduler.
+    fn must_answer_locally(&self, now: Micros, entry: QueueEntry) -> bool {
         let Some(tracked) = self.requests.get(entry.request) else { return true };
         let service_time = self.fleet.service_time(tracked.request.units) as Micros;
         if now + service_time > entry.due {
--- a/crates/policy/src/slow_start/allowance.rs
+++ b/crates/policy/src/slow_start/allowance.rs
@@ -18,8 +18,8 @@
             return None;
         }
         let start_fraction = self.slow_start_fraction.clamp(MIN_START_FRACTION, 1.0);
-        let elapsed_fraction_of_rest = (1.0 - start_fraction) * age as f64 / self.slow_start_duration as f64;
-        let capacity_fraction = start_fraction + elapsed_fraction_of_rest;
+        let gained_fraction = (1.0 - start_fraction) * age as f64 / self.slow_start_duration as f64;
+        let capacity_fraction = start_fraction + gained_fraction;
         let multiple = (TARGET_FRACTION * self.overload_multiple).max(1.0);
         Some(multiple * self.slow_start_units * capacity_fraction / start_fraction)
     }
--- a/crates/policy/tests/common/simulated_day.rs
+++ b/crates/policy/tests/common/simulated_day.rs
@@ -17,7 +17,7 @@
 
 /// The parameters of a day.
 #[derive(Clone)]
-pub struct DayPlan {
+pub struct DayParameters {
     pub name: &'static str,
     pub settings: Settings,
     pub seed: u64,
@@ -59,7 +59,7 @@
 
 /// A simulation of the clients, nodes and discovery around one scheduler.
 pub struct SimulatedDay {
-    plan: DayPlan,
+    parameters: DayParameters,
     random: fastrand::Rng,
     pub scheduler: Scheduler,
     pub now: Micros,
@@ -78,10 +78,10 @@
 }
 
 impl SimulatedDay {
-    pub fn new(plan: DayPlan) -> Self {
-        let scheduler = Scheduler::new(plan.settings.clone(), plan.seed).expect("valid settings");
+    pub fn new(parameters: DayParameters) -> Self {
+        let scheduler = Scheduler::new(parameters.settings.clone(), parameters.seed).expect("valid settings");
         let mut day = Self {
-            random: fastrand::Rng::with_seed(plan.seed ^ 0xda7),
+            random: fastrand::Rng::with_seed(parameters.seed ^ 0xda7),
             scheduler,
             now: START,
             queue: BinaryHeap::new(),
@@ -93,11 +93,11 @@
             idle_at: BTreeMap::new(),
             endpoints: BTreeMap::new(),
             next_id: 0,
-            next_node: plan.nodes,
-            plan,
+            next_node: parameters.nodes,
+            parameters,
         };
-        for number in 0..day.plan.nodes {
-            let is_starting = day.random.f64() < day.plan.starting_fraction;
+        for number in 0..day.parameters.nodes {
+            let is_starting = day.random.f64() < day.parameters.starting_fraction;
             let started_at = is_starting.then_some(START - day.random.u64(0..SECOND));
             day.add_endpoint(NodeId(number), ShardId(number), started_at);
         }
@@ -116,7 +116,7 @@
     pub fn run(&mut self, mut observe: impl FnMut(usize, Micros, &Action)) {
         let entries = self.endpoints.values().copied().collect();
         let mut event = Event::EndpointUpdate { kind: EndpointUpdateKind::Cached, entries };
-        for number in 0..self.plan.events {
+        for number in 0..self.parameters.events {
             let mut actions = Vec::new();
             self.scheduler.handle(self.now, event, &mut actions);
             for action in actions {
@@ -158,7 +158,7 @@
     }
 
     fn draw_attempt_end(&mut self, request: u64, node: NodeId, timeout: Micros) -> PlannedEnd {
-        let latency_objective = self.plan.settings.classes[0].latency_objective;
+        let latency_objective = self.parameters.settings.classes[0].latency_objective;
         let units = self.requests.get(&request).map_or(1, |request| request.units);
         let unit_time = latency_objective / 40;
         let service = (u64::from(units) * unit_time) as f64 * (0.3 + 1.4 * self.random.f64());
@@ -241,7 +241,7 @@
     fn next_request(&mut self) -> Event {
         // The last ten of every forty seconds are a surge.
         let is_surge = (self.now - START) % (40 * SECOND) > 30 * SECOND;
-        let rate = self.plan.rate * if is_surge { 4.0 } else { 1.0 };
+        let rate = self.parameters.rate * if is_surge { 4.0 } else { 1.0 };
         let interval = -(1.0 - self.random.f64()).ln() / rate * 1e6;
         self.schedule(self.now + interval as Micros, ScheduledEvent::Request);
         self.next_id += 1;
@@ -255,21 +255,21 @@
     }
 
     fn draw_request(&mut self, id: u64) -> Request {
-        let class = self.random.u16(0..self.plan.settings.classes.len() as u16);
-        let class_settings = self.plan.settings.classes[class as usize].clone();
+        let class = self.random.u16(0..self.parameters.settings.classes.len() as u16);
+        let class_settings = self.parameters.settings.classes[class as usize].clone();
         let volume = self.draw_volume();
-        let is_unsharded = self.random.f64() < self.plan.unsharded_fraction;
-        let shard = ShardId(self.random.u32(0..self.plan.nodes) * self.random.u32(1..=4) / 4);
+        let is_unsharded = self.random.f64() < self.parameters.unsharded_fraction;
+        let shard = ShardId(self.random.u32(0..self.parameters.nodes) * self.random.u32(1..=4) / 4);
         let deadline = class_settings.deadline;
         let elapsed = self.random.u64(0..deadline) * u64::from(self.random.u32(0..4) == 0);
-        let elapsed = if self.plan.has_full_deadlines { 0 } else { elapsed };
+        let elapsed = if self.parameters.has_full_deadlines { 0 } else { elapsed };
         let has_key = class_settings.idempotency == Idempotency::WithKey;
         Request {
             id: RequestId(id),
             class: ClassId(class),
-            plan: PlanId((volume % self.plan.settings.plans.len() as u64) as u16),
+            plan: PlanId((volume % self.parameters.settings.plans.len() as u64) as u16),
             volume: VolumeId(volume),
-            units: self.random.u32(1..=self.plan.settings.max_units.min(6)),
+            units: self.random.u32(1..=self.parameters.settings.max_units.min(6)),
             time_budget: (deadline - elapsed).max(1_000),
             shard: (!is_unsharded).then_some(shard),
             key: has_key.then(|| KeyId(self.random.u64(0..40))),
--- a/crates/policy/tests/invalid_input.rs
+++ b/crates/policy/tests/invalid_input.rs
@@ -30,8 +30,8 @@
 
 #[test]
 fn invalid_settings_are_rejected() {
-    let none = Settings { schedulers: 0, ..settings() };
-    assert_eq!(Scheduler::new(none, 1).err(), Some(SettingsError::Missing("hosts")));
+    let without_schedulers = Settings { schedulers: 0, ..settings() };
+    assert_eq!(Scheduler::new(without_schedulers, 1).err(), Some(SettingsError::Missing("hosts")));
     let not_a_number = Settings { slow_start_fraction: f64::NAN, ..settings() };
     assert_eq!(Scheduler::new(not_a_number, 1).err(), Some(SettingsError::OutOfRange("cold_share")));
     let without_classes = Settings { classes: vec![], ..settings() };
--- a/crates/policy/tests/replay.rs
+++ b/crates/policy/tests/replay.rs
@@ -17,7 +17,7 @@
 use common::{deployment_settings, settings, settings_with_every_rule, GRANITE_SHELF, PREDIO_NORTE};
 use fnv::FnvHasher;
 use heathward_policy::*;
-use simulated_day::{DayPlan, SimulatedDay};
+use simulated_day::{DayParameters, SimulatedDay};
 
 /// Number of events of a day.
 const EVENTS: usize = 30_000;
@@ -45,8 +45,8 @@
     }
 }
 
-fn days() -> Vec<DayPlan> {
-    let plan = |name, settings, seed, nodes, rate, starting_fraction| DayPlan {
+fn days() -> Vec<DayParameters> {
+    let day = |name, settings, seed, nodes, rate, starting_fraction| DayParameters {
         name,
         settings,
         seed,
@@ -58,13 +58,13 @@
         has_full_deadlines: false,
     };
     vec![
-        plan("plain", plain(), 1, 60, 100.0, 0.0),
-        plan("every-rule", every_rule(), 2, 120, 80.0, 0.3),
-        plan("predio-norte", deployment_settings(PREDIO_NORTE), 3, 200, 90.0, 0.1),
-        plan("predio-norte-cold", deployment_settings(PREDIO_NORTE), 4, 100, 400.0, 1.0),
-        plan("granite-shelf", deployment_settings(GRANITE_SHELF), 5, 150, 70.0, 0.1),
-        plan("granite-shelf-cold", deployment_settings(GRANITE_SHELF), 6, 60, 500.0, 1.0),
-        plan(
+        day("plain", plain(), 1, 60, 100.0, 0.0),
+        day("every-rule", every_rule(), 2, 120, 80.0, 0.3),
+        day("predio-norte", deployment_settings(PREDIO_NORTE), 3, 200, 90.0, 0.1),
+        day("predio-norte-cold", deployment_settings(PREDIO_NORTE), 4, 100, 400.0, 1.0),
+        day("granite-shelf", deployment_settings(GRANITE_SHELF), 5, 150, 70.0, 0.1),
+        day("granite-shelf-cold", deployment_settings(GRANITE_SHELF), 6, 60, 500.0, 1.0),
+        day(
             "thirty-hosts",
             Settings { schedulers: 30, ..deployment_settings(PREDIO_NORTE) },
             7,
@@ -76,8 +76,8 @@
 }
 
 /// Returns days with requests that any node may serve; the seed is set by the test.
-fn unsharded_days() -> Vec<DayPlan> {
-    let plan = |name, settings, nodes, rate, starting_fraction| DayPlan {
+fn unsharded_days() -> Vec<DayParameters> {
+    let day = |name, settings, nodes, rate, starting_fraction| DayParameters {
         name,
         settings,
         seed: 0,
@@ -89,11 +89,11 @@
         has_full_deadlines: false,
     };
     vec![
-        plan("plain", plain(), 60, 150.0, 0.1),
-        plan("every-rule", every_rule(), 120, 100.0, 0.3),
-        plan("predio-norte", deployment_settings(PREDIO_NORTE), 100, 400.0, 0.1),
-        plan("predio-norte-cold", deployment_settings(PREDIO_NORTE), 150, 200.0, 1.0),
-        plan("granite-shelf", deployment_settings(GRANITE_SHELF), 30, 300.0, 0.2),
+        day("plain", plain(), 60, 150.0, 0.1),
+        day("every-rule", every_rule(), 120, 100.0, 0.3),
+        day("predio-norte", deployment_settings(PREDIO_NORTE), 100, 400.0, 0.1),
+        day("predio-norte-cold", deployment_settings(PREDIO_NORTE), 150, 200.0, 1.0),
+        day("granite-shelf", deployment_settings(GRANITE_SHELF), 30, 300.0, 0.2),
     ]
 }
 
@@ -128,11 +128,11 @@
     numbers.for_each(|number| hasher.write(&number.to_le_bytes()));
 }
 
-fn record_day(plan: DayPlan) -> String {
-    let (name, mut text) = (plan.name, String::new());
+fn record_day(parameters: DayParameters) -> String {
+    let (name, mut text) = (parameters.name, String::new());
     let mut digests = (0..EVENTS / EVENTS_PER_DIGEST).map(|_| FnvHasher::default()).collect::<Vec<_>>();
     let mut counts: BTreeMap<&str, u64> = BTreeMap::new();
-    SimulatedDay::new(plan).run(|number, now, action| {
+    SimulatedDay::new(parameters).run(|number, now, action| {
         digest(&mut digests[number / EVENTS_PER_DIGEST], number, now, action);
         *counts.entry(kind(action)).or_default() += 1;
     });
@@ -149,16 +149,17 @@
 /// Returns the counts of sends, shed requests and failures for each seed, as in the recorded file.
 fn unsharded_counts() -> String {
     let mut text = String::new();
-    for plan in unsharded_days() {
+    for parameters in unsharded_days() {
         let mut counts: BTreeMap<&str, [u64; UNSHARDED_SEEDS]> = BTreeMap::new();
         for seed in 0..UNSHARDED_SEEDS {
-            let plan = DayPlan { seed: 11 + seed as u64, ..plan.clone() };
-            SimulatedDay::new(plan).run(|_, _, action| counts.entry(kind(action)).or_default()[seed] += 1);
+            let parameters = DayParameters { seed: 11 + seed as u64, ..parameters.clone() };
+            SimulatedDay::new(parameters)
+                .run(|_, _, action| counts.entry(kind(action)).or_default()[seed] += 1);
         }
         let compared = counts.iter().filter(|(kind, _)| ["send", "refuse", "fail"].contains(kind));
         for (kind, counts) in compared {
             let counts = counts.map(|count| count.to_string()).join(" ");
-            writeln!(text, "{}/{kind} {counts}", plan.name).expect("writing to a string succeeds");
+            writeln!(text, "{}/{kind} {counts}", parameters.name).expect("writing to a string succeeds");
         }
     }
     text
@@ -225,22 +226,22 @@
 /// whose clients wait for less than their class's deadline may be affected.
 #[test]
 fn recognition_of_retries_affects_only_requests_with_less_than_their_deadline() {
-    for plan in days() {
+    for parameters in days() {
         let record_with = |client_retries, has_full_deadlines| {
-            let settings = Settings { client_retries, ..plan.settings.clone() };
-            record_day(DayPlan { settings, has_full_deadlines, ..plan.clone() })
+            let settings = Settings { client_retries, ..parameters.settings.clone() };
+            record_day(DayParameters { settings, has_full_deadlines, ..parameters.clone() })
         };
         assert_eq!(
             record_with(ClientRetries::Marked, true),
             record_with(ClientRetries::Unmarked, true),
             "{}",
-            plan.name
+            parameters.name
         );
         assert_ne!(
             record_with(ClientRetries::Marked, false),
             record_with(ClientRetries::Unmarked, false),
             "{}",
-            plan.name
+            parameters.name
         );
     }
 }
