--- a/crates/policy/src/api/events.rs
+++ b/crates/policy/src/api/events.rs
@@ -96,7 +96,8 @@
         self == Self::Error || self.is_unknown()
     }
 
-    /// Returns whether the node gave no answer, so that it may still be executing the request.
+    /// Returns whether the attempt was sent and got no answer, so that the node may still be executing the
+    /// request.
     pub(crate) fn is_unknown(self) -> bool {
         matches!(self, Self::TimedOut | Self::Reset | Self::Cancelled)
     }
--- a/crates/policy/src/api/settings.rs
+++ b/crates/policy/src/api/settings.rs
@@ -26,9 +26,9 @@
     /// Every node.
     #[default]
     AllNodes,
-    /// The nodes in the zone of the node that received the first attempt.
+    /// The nodes in the same zone as the node of the first attempt that may have been executed.
     Zone,
-    /// The node that holds the same shard.
+    /// The node that holds the same shard as the node of that attempt.
     Shard,
 }
 
@@ -91,7 +91,8 @@
     Streamed,
     /// Discovery sends changes after [`crate::Action::Subscribe`].
     Polled {
-        /// Maximum time without a subscription. The policy limits the backoff after failures by it.
+        /// Maximum time without a subscription. The policy limits the backoff after failures to a quarter of
+        /// it.
         max_interval: Micros,
     },
 }
--- a/crates/policy/src/api/status.rs
+++ b/crates/policy/src/api/status.rs
@@ -13,7 +13,8 @@
     /// Nodes that are in service, have requests in flight or queued, or have answered within the lookback
     /// time, or up to twice that until the next clean-up.
     pub nodes: usize,
-    /// Timestamps within the windows of the retry budget and of cool-downs.
+    /// Timestamps of requests or retries kept for the retry budget, or pauses of ordered keys that have not
+    /// ended.
     pub timestamps: usize,
 }
 
@@ -29,7 +30,7 @@
     /// Latest known or presumed start of the node; the current time while it is unresponsive, as it may start
     /// at any time. It has its full capacity [`crate::Settings::slow_start_duration`] later at the latest.
     pub slow_start_since: Option<Micros>,
-    /// Units of the attempts in flight.
+    /// Units of the attempts in flight, except those of streamed requests.
     pub in_flight_units: f64,
 }
 
--- a/crates/policy/src/node.rs
+++ b/crates/policy/src/node.rs
@@ -107,9 +107,9 @@
         }
     }
 
-    /// Returns whether a volume without an open session at this node is admitted. Reserved units are always
-    /// admitted; others are unless the node is overloaded and one more session of the usual load would exceed
-    /// its budget.
+    /// Returns whether a request of a volume without an open session at this node is admitted. Requests
+    /// within the reserved quota are always admitted. Others are admitted unless the node is overloaded and
+    /// has no capacity for one more session of mean load.
     pub(crate) fn admits_new_volume(&self, tier: QuotaTier) -> bool {
         tier == QuotaTier::Reserved
             || !self.budget.is_overloaded()
--- a/crates/policy/src/node/health.rs
+++ b/crates/policy/src/node/health.rs
@@ -31,7 +31,7 @@
 /// A change of a node's state in failure detection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HealthChange {
-    /// The node became unresponsive.
+    /// The node counts as down or unresponsive from now on.
     Unresponsive,
     /// The node responds again.
     Responsive,
@@ -139,6 +139,7 @@
         self.mark_suspected_if(now, self.unanswered >= UNRESPONSIVE_TIMEOUTS && self.is_overdue(now, period));
     }
 
+    /// Returns whether the node has not answered for at least [`UNRESPONSIVE_PERIODS`].
     fn is_overdue(&self, now: Micros, period: Micros) -> bool {
         now.saturating_sub(self.last_response) >= UNRESPONSIVE_PERIODS * period
     }
--- a/crates/policy/src/node_ranking/search.rs
+++ b/crates/policy/src/node_ranking/search.rs
@@ -21,7 +21,7 @@
     noise: f64,
     /// Number of members already drawn.
     drawn: usize,
-    /// Steps of the shuffle so far; the list of members itself is not changed.
+    /// Steps made by the shuffle; the list of members itself is not changed.
     swaps: Vec<Swap>,
 }
 
--- a/crates/policy/src/scheduler/node_selection_tests.rs
+++ b/crates/policy/src/scheduler/node_selection_tests.rs
@@ -83,7 +83,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 struct ExhaustiveRank {
     /// Whether the request cannot be sent to the node now, or the node is unhealthy.
-    is_last: bool,
+    is_closed: bool,
     /// Score; it includes noise only while a node is being chosen.
     score: f64,
 }
@@ -200,7 +200,7 @@
         let delay = node.queueing_delay(now, period, &scheduler.fleet);
         let is_unhealthy = node.health.suspected_since().is_some() || node.health.consecutive_errors() > 1;
         let rank = ExhaustiveRank {
-            is_last: decision != SendDecision::Allowed || is_unhealthy,
+            is_closed: decision != SendDecision::Allowed || is_unhealthy,
             score: delay + open_units * self.unit_service_time(),
         };
         (decision != SendDecision::Never).then_some(rank)
@@ -273,7 +273,7 @@
         let ranks = harness.ranks(id);
         let best = ranks.values().copied().reduce(|a, b| if b < a { b } else { a }).expect("nodes");
         let rank = ranks[&harness.search(id).node.expect("a node")];
-        assert_eq!(rank.is_last, best.is_last, "chose a node without capacity although others have some");
+        assert_eq!(rank.is_closed, best.is_closed, "chose a node without capacity although others have some");
         let worst_score = best.score + harness.unit_service_time();
         assert!(rank.score <= worst_score, "score {}, best score {}", rank.score, best.score);
         found += rank.score;
--- a/crates/policy/tests/rate_limit.rs
+++ b/crates/policy/tests/rate_limit.rs
@@ -40,7 +40,9 @@
 /// The distribution of a volume's requests over its schedulers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Load {
+    /// All schedulers, all the time.
     All,
+    /// The same scheduler all the time.
     One,
     /// A different scheduler every few seconds; some schedulers restart at each change.
     RoundRobin,
