--- a/crates/core/src/actor/mod.rs
+++ b/crates/core/src/actor/mod.rs
@@ -52,7 +52,7 @@
 /// Capacity of the channel for requests, ends of attempts and settings; a sender waits while it is full.
 const REQUEST_CHANNEL_CAPACITY: usize = 4096;
 
-/// Capacity of the channel for messages from discovery, which waits while it is full.
+/// Capacity of the channel for messages from discovery; discovery waits while it is full.
 const DISCOVERY_CHANNEL_CAPACITY: usize = 16;
 
 /// Capacity of the channel for control messages; an operator's connection waits while it is full.
--- a/crates/core/src/actor/node_connections.rs
+++ b/crates/core/src/actor/node_connections.rs
@@ -5,8 +5,8 @@
 use crate::message::{CoreMessage, NodeConnector};
 use crate::{Attempt, Endpoint};
 
-/// Starts tasks that serve the connections of nodes. The tasks are owned by the function that starts them;
-/// each ends once the channel for its attempts is closed and its attempts have ended.
+/// Starts tasks that serve the connections of nodes. The tasks belong to `connect_node`; the actor neither
+/// aborts nor joins them. Each ends once the channel for its attempts is closed and its attempts have ended.
 pub(super) struct NodeConnections {
     connect_node: NodeConnector,
     /// The channel to which the ends of attempts are reported. It is weak, so that the actor does not keep
--- a/crates/core/src/actor/nodes.rs
+++ b/crates/core/src/actor/nodes.rs
@@ -3,8 +3,8 @@
 //! A node has two ids: its name, which is its id in the endpoint list ([`Endpoint::id`]), and its number,
 //! the [`NodeId`] that identifies it in the policy.
 //!
-//! The cost of a change depends on the nodes that it names and on the logarithm of the size of the table.
-//! Functions that walk all nodes say so in their comment.
+//! The cost of a change depends on the number of nodes that it names and on the logarithm of the size of the
+//! table. Functions that walk all nodes say so in their comment.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
@@ -78,10 +78,10 @@
         }
     }
 
-    /// Returns whether an update with `revision` may replace the node's current entry. While two watches
-    /// are open, the slower one may deliver an older list: its changes are ignored, and as a complete list
-    /// it never revokes a drain, unless it shows that the node has restarted. The state in `endpoint` is
-    /// corrected accordingly.
+    /// Returns whether an update with `revision` may replace the node's current entry, and records the
+    /// revision if so. While two watches are open, the slower one may deliver an older update. Older changes
+    /// are ignored. An older complete list is accepted, but it does not revoke a drain unless it shows that
+    /// the node has restarted; the state in `endpoint` is corrected accordingly.
     pub(super) fn accept_update(
         &mut self,
         endpoint: &mut Endpoint,
--- a/crates/core/src/actor/nodes/tests.rs
+++ b/crates/core/src/actor/nodes/tests.rs
@@ -24,9 +24,8 @@
     start + Duration::from_secs(seconds)
 }
 
-/// Guards against walking all nodes to forget a few: each node is at the front of the schedule when its
-/// retention ends and is not forgotten before, and only nodes that left within the last minute are
-/// retained.
+/// Guards against walking all nodes to forget a few: the set of unlisted nodes holds only those that left
+/// within the last minute. Also guards against forgetting a node before its retention ends.
 #[tokio::test(start_paused = true)]
 async fn unlisted_nodes_are_forgotten_a_minute_after_they_left_and_no_others() {
     let (mut nodes, start) = (NodeTable::default(), Instant::now());
--- a/crates/core/src/actor/observer_slot.rs
+++ b/crates/core/src/actor/observer_slot.rs
@@ -1,4 +1,4 @@
-//! Holds the observer, if there is one, and schedules its regular notifications that time has passed.
+//! Holds the observer, if there is one, and schedules its ticks: regular notifications that time has passed.
 
 use std::time::Duration;
 
--- a/crates/core/src/actor/open_requests.rs
+++ b/crates/core/src/actor/open_requests.rs
@@ -25,8 +25,8 @@
     /// Keeps the client's request id reserved; taken by a reply that is streamed.
     pub(super) id_guard: Option<ClientRequestIdGuard>,
     received_at: Instant,
-    /// The connect deadline of attempts that are sent before it: half of the request's time budget, less
-    /// [`ANSWER_DELIVERY_MARGIN`].
+    /// Upper bound of the connect deadline of attempts that are sent before it: half of the request's time
+    /// budget, less [`ANSWER_DELIVERY_MARGIN`].
     early_connect_deadline: Instant,
     /// The channel for the final answer; taken when the answer is given.
     reply: Option<oneshot::Sender<Answer>>,
@@ -63,7 +63,7 @@
     pub(super) started_at: Instant,
 }
 
-/// What is needed to answer a request and to report the answer.
+/// The parts of an open request that are needed to answer it and to report the answer.
 pub(super) struct AnsweredRequest {
     pub(super) class: ClassId,
     pub(super) received_at: Instant,
@@ -98,13 +98,13 @@
         }
     }
 
-    /// Returns whether it has its final answer, or its client no longer waits for one.
+    /// Returns whether the request has its final answer, or its client no longer waits for one.
     pub(super) fn is_answered(&self) -> bool {
         self.reply.is_none()
     }
 
-    /// Returns whether a node may have executed it, or may be executing it. An attempt that still waits for
-    /// a connection, or is not written completely, cannot be executed.
+    /// Returns whether a node may have executed the request, or may be executing it. An attempt that still
+    /// waits for a connection, or is not written completely, cannot be executed.
     pub(super) fn is_possibly_executed(&self) -> bool {
         let is_executing = self.in_flight.as_ref().is_some_and(|attempt| attempt.write_completion.is_set());
         self.first_possible_execution.is_some() || is_executing
@@ -118,9 +118,10 @@
     }
 
     /// Returns when an attempt that is sent at `now` is given up: after `timeout` microseconds, but no
-    /// later than the deadline of the request and, after an attempt that may have been executed, no later
-    /// than nodes remember an idempotency key. An attempt with a streamed body has until the deadline of
-    /// the request, as it advances at the pace of the client.
+    /// later than the deadline of the request. If nodes recognize repeats by an idempotency key, it is also
+    /// no later than the end of the deduplication window, which starts with the first attempt that may have
+    /// been executed. An attempt with a streamed body has until the deadline of the request, as it advances
+    /// at the pace of the client.
     pub(super) fn attempt_deadline(
         &self,
         now: Instant,
@@ -131,11 +132,11 @@
         if self.request.node_request.upload.is_some() {
             return request_deadline;
         }
-        let given_up = timeout.map_or(request_deadline, |timeout| now + Duration::from_micros(timeout));
-        let deadline = given_up.min(request_deadline);
+        let timeout_at = timeout.map_or(request_deadline, |timeout| now + Duration::from_micros(timeout));
+        let deadline = timeout_at.min(request_deadline);
         match (self.first_possible_execution, class.idempotency) {
-            (Some(executed), Idempotency::WithKey) => {
-                deadline.min(executed + Duration::from_micros(class.deduplication_window))
+            (Some(first_sent_at), Idempotency::WithKey) => {
+                deadline.min(first_sent_at + Duration::from_micros(class.deduplication_window))
             }
             _ => deadline,
         }
--- a/crates/core/src/actor/peer_process.rs
+++ b/crates/core/src/actor/peer_process.rs
@@ -16,8 +16,8 @@
 }
 
 impl PeerProcess {
-    /// Starts to forward commands to a new peer process instead of a previous one, and returns the
-    /// commands.
+    /// Starts to forward commands to a new peer process instead of a previous one, and returns the receiver
+    /// of these commands.
     pub(super) fn connect(&mut self) -> mpsc::Receiver<ForwardedCommand> {
         let (sender, commands) = mpsc::channel(FORWARDED_COMMAND_CAPACITY);
         self.commands = Some(sender);
--- a/crates/core/src/actor/requests.rs
+++ b/crates/core/src/actor/requests.rs
@@ -85,8 +85,8 @@
         while let Some(id) = self.requests.pop_overdue(now) {
             self.counters.overdue_requests += 1;
             let possibly_executed = self.requests.get(id).is_some_and(OpenRequest::is_possibly_executed);
-            // In a shutdown the client's own deadline has not passed yet: another scheduler can serve the
-            // request, unless it may have been executed.
+            // In a shutdown the client's own deadline may not have passed yet: another scheduler can serve
+            // the request, unless it may have been executed.
             let answer = if self.requests.is_shutting_down() && !possibly_executed {
                 Answer::Shed { retry_after: None }
             } else {
--- a/crates/core/src/attempt.rs
+++ b/crates/core/src/attempt.rs
@@ -23,10 +23,12 @@
     pub node: NodeId,
     /// The instant at which the attempt is given up.
     pub deadline: Instant,
-    /// An attempt that has no connection by this instant was never executed, and ends. This is no later
-    /// than half of the request's time, so that the client learns of it early enough to retry elsewhere.
+    /// The instant by which the attempt must have a connection; otherwise it ends without having been
+    /// executed. For an attempt that is sent in the first half of the request's time budget, this is no
+    /// later than the end of that half, so that the client learns of the failure early enough to retry
+    /// elsewhere.
     pub connect_deadline: Instant,
-    /// The request as the node needs it.
+    /// The part of the request that the node needs to execute it.
     pub node_request: Arc<NodeRequest>,
     /// Once this is closed, the attempt must not be started.
     pub send_gate: SendGate,
--- a/crates/core/src/counters.rs
+++ b/crates/core/src/counters.rs
@@ -9,7 +9,7 @@
 /// Counts since the start of the process.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Requests received.
+    /// Requests received, except those that count as [`Counters::malformed_requests`].
     pub requests_received: u64,
     /// Requests that a front end rejected as malformed, or whose id was in use.
     pub malformed_requests: u64,
@@ -27,7 +27,7 @@
     pub overdue_requests: u64,
     /// Updates of the endpoint list.
     pub endpoint_updates: u64,
-    /// Checks whether the observer has to be notified of a change of a node's treatment.
+    /// Checks of single nodes for a change of treatment that the observer has to be notified of.
     pub node_checks: u64,
     /// Reloads of the configuration.
     pub configuration_reloads: ConfigurationReloads,
--- a/crates/core/src/endpoint.rs
+++ b/crates/core/src/endpoint.rs
@@ -17,7 +17,8 @@
     pub shard: ShardId,
     /// Its state according to discovery.
     pub state: NodeState,
-    /// When it last started, in microseconds of Unix time; `None` if that was long ago.
+    /// When it last started, in microseconds of Unix time; `None` if discovery reports no start, as for a
+    /// node that started long ago.
     pub started_at: Option<Micros>,
 }
 
--- a/crates/core/src/endpoint_lease.rs
+++ b/crates/core/src/endpoint_lease.rs
@@ -8,6 +8,9 @@
 //! that did not arrive here; a new call delivers them at once. If discovery itself is down, the agent has
 //! nothing new, and a new call stays unanswered too. So a call that the agent accepted and left unanswered
 //! counts as contact, like an empty watch message: everything that the agent had was delivered.
+//!
+//! The drain grace that settings allow starts when an update counts as delivered, even if the update has not
+//! arrived. So the lease expires before an update that has not arrived can count as delivered.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
@@ -15,8 +18,8 @@
 
 use tokio::time::Instant;
 
-/// How long a list is valid after the last contact. An update counts as delivered this long after discovery
-/// had it, whether or not it arrived.
+/// How long a list is valid after the last contact, because an update counts as delivered this long after
+/// discovery had it, whether or not it arrived.
 const VALIDITY_AFTER_CONTACT: Duration = Duration::from_secs(6);
 
 /// How long a list is valid after the configuration has moved discovery to another address.
@@ -43,7 +46,8 @@
 pub struct EndpointLease {
     /// Whether the settings limit the use of an old list; otherwise the lease never expires.
     is_limited: bool,
-    /// The last contact with discovery, or the start of the program.
+    /// The last contact with discovery, the start of the program, or the last move of discovery to another
+    /// address, whichever is latest.
     last_contact: Instant,
     /// How long a scheduler that polls its list may go without a watch; zero if lists are streamed.
     max_poll_interval: Duration,
@@ -74,10 +78,10 @@
         (self.is_limited, self.max_poll_interval) = (is_limited, max_poll_interval.unwrap_or_default());
     }
 
-    /// Records contact with discovery: a watch message, possibly an empty one, was sent at `at`, or the
-    /// agent accepted a call at `at` and has not answered it in time, so it had nothing new. The latter
-    /// counts only for an agent that answers at once if it has an update, not for a service at which calls
-    /// are queued.
+    /// Records contact with discovery: a watch message, possibly an empty one, arrived at `at`, or the agent
+    /// accepted a call at `at` and has not answered it in time, so it had nothing new. The latter counts
+    /// only for an agent that answers at once if it has an update, not for a service at which calls are
+    /// queued. A contact before the last one has no effect.
     pub fn record_contact(&mut self, at: Instant) {
         if at >= self.last_contact {
             self.last_contact = at;
@@ -93,15 +97,16 @@
         self.valid_from = self.valid_from.min(at);
     }
 
-    /// Returns the last contact with discovery, or the start of the program.
+    /// Returns the last contact with discovery, the start of the program, or the last move of discovery to
+    /// another address, whichever is latest.
     pub fn last_contact(&self) -> Instant {
         self.last_contact
     }
 
-    /// Records that no watch is open at a polled service: none was opened yet, or the last one has ended. A
-    /// scheduler that has neither a watch nor an answer for the polling interval is deemed to know what was
-    /// listed that long ago, so the lease is extended to that interval, unless a call has failed since the
-    /// last contact.
+    /// Records that no watch is open at a polled service: none was opened yet, or the last one has ended.
+    /// Without a watch and without an answer, a scheduler only has to know what was listed one polling
+    /// interval ago. So the lease is extended to that interval after the last contact, unless a call has
+    /// failed since then.
     pub fn record_watch_closed(&mut self) {
         if !self.call_failed_since_contact {
             self.valid_until = self.valid_until.max(self.last_contact + self.max_poll_interval);
--- a/crates/core/src/handover_state.rs
+++ b/crates/core/src/handover_state.rs
@@ -6,16 +6,16 @@
 use super::operator::ForwardedCommand;
 use heathward_policy::Micros;
 
-/// Passed by a process to the peer process that takes over from it.
+/// The state and the commands that a process passes to the peer process that takes over from it.
 #[derive(Debug)]
 pub struct Handover {
     /// The state at the time of the handover.
     pub state: HandoverState,
-    /// The commands that operators give to this process from now on.
+    /// The commands that operators give to the old process after the handover.
     pub commands: mpsc::Receiver<ForwardedCommand>,
 }
 
-/// What a process needs to know when it takes over from another process of the same scheduler.
+/// The state with which a process takes over from another process of the same scheduler.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HandoverState {
     /// The complete endpoint list.
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -8,7 +8,7 @@
 //!   [`Answer`].
 //! * The task that serves a node's connections receives [`Attempt`]s and reports the end of each with
 //!   [`report_attempt_end`].
-//! * Discovery sends each [`EndpointUpdate`], and when it was last in contact, through
+//! * Discovery sends each [`EndpointUpdate`], and the time of each contact, through
 //!   [`CoreHandle::discovery_sender`].
 //!
 //! Start reading at [`start_core`].
--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -36,9 +36,9 @@
     AttemptEnded(EndedAttempt),
     /// Discovery has an update of the endpoint list.
     EndpointUpdate(EndpointUpdate),
-    /// A watch message, possibly an empty one (a heartbeat), arrived from discovery at that instant, and
-    /// its content was sent here before. Or the discovery agent accepted a call at that instant and had
-    /// nothing new.
+    /// Contact with discovery at that instant. Either a watch message arrived, possibly an empty one (a
+    /// heartbeat), and its content was sent to the core before this message, or the discovery agent accepted
+    /// a call and had nothing new.
     DiscoveryContact(Instant),
     /// At a polled discovery service no watch is open: none was opened yet, or the last one has delivered
     /// messages and has ended.
@@ -101,8 +101,9 @@
     pub expired_lease_last_contact: Option<Instant>,
 }
 
-/// Starts to serve a node's connections, and returns the channel for the node's attempts. The second
-/// argument is the channel to which the end of each attempt is reported, with [`report_attempt_end`].
+/// A function that starts to serve a node's connections, and returns the channel for the node's attempts.
+/// Its second argument is the channel to which the end of each attempt is reported, with
+/// [`report_attempt_end`].
 pub type NodeConnector = Box<dyn Fn(&Endpoint, mpsc::Sender<CoreMessage>) -> mpsc::Sender<Attempt> + Send>;
 
 /// Reports the end of an attempt to the core. `reply` is only used with [`AttemptEnd::Served`].
--- a/crates/core/src/observe.rs
+++ b/crates/core/src/observe.rs
@@ -166,7 +166,7 @@
 /// What caused a change of a node's treatment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TreatmentCause {
-    /// The endpoint list with this revision.
+    /// The endpoint list with this revision, or the expiry or renewal of the lease on it.
     EndpointUpdate(u64),
     /// A command of an operator.
     Command,
--- a/crates/core/src/request.rs
+++ b/crates/core/src/request.rs
@@ -68,7 +68,7 @@
     /// Rejected because an open request has the same client request id; otherwise two attempts of it could
     /// run at the same time.
     Duplicate,
-    /// The request failed; nothing is known about its effect.
+    /// The request failed; its effect is unknown if an attempt may have been executed.
     Failed {
         /// Whether an attempt may have been executed.
         possibly_executed: bool,
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -13,8 +13,8 @@
 };
 use tokio::time::Instant;
 
-/// Creates a deployment with that many schedulers. Answers within `latency_objective` microseconds earn the
-/// full weight, clients wait for 1 s, and nothing may be sent to a draining node after `drain_grace`
+/// Creates a deployment with that many schedulers. Answers within `latency_objective` microseconds have the
+/// full priority weight, clients wait for 1 s, and nothing may be sent to a draining node after `drain_grace`
 /// microseconds, if given.
 pub fn deployment(schedulers: u32, latency_objective: Micros, drain_grace: Option<Micros>) -> Deployment {
     let class = ClassSettings {
--- a/crates/core/tests/draining_nodes.rs
+++ b/crates/core/tests/draining_nodes.rs
@@ -35,8 +35,8 @@
 /// that, which is less than the grace period.
 const MAX_READ_DELAY: Duration = Duration::from_millis(100);
 
-/// The schedule of the fleet's drains. Revision 1 of the endpoint list has none, and each batch adds one
-/// revision.
+/// The schedule of the fleet's drains. In revision 1 of the endpoint list no node drains, and each batch adds
+/// one revision.
 struct DrainSchedule {
     start: Instant,
     /// When each batch of nodes starts draining, in order.
@@ -143,7 +143,9 @@
         }
     }
 
-    /// Returns when a change counts as delivered, according to the protocol.
+    /// Returns when a change counts as delivered: when the agent writes it, but no later than 6 s after the
+    /// agent has it, and no later than 4 s after a move of discovery if the agent has it by then. If
+    /// discovery is down, only the write counts.
     fn delivered_at(&self, change: Instant) -> Instant {
         let known_at = (change + self.agent_delay).max(self.start);
         if self.outage == Outage::DiscoveryDown {
@@ -159,8 +161,8 @@
     /// discovery is down.
     fn list_is_usable(&self, now: Instant) -> bool {
         let is_up_to_date = now < self.outage_start || now > self.outage_end + MAX_READ_DELAY * 2;
-        // While discovery is down, requests are still served once the first call after a start or a move
-        // has gone unanswered.
+        // While discovery is down, requests are still served; after a start, only once the first call has
+        // gone unanswered.
         let is_tolerated =
             self.outage == Outage::DiscoveryDown && now > self.start + Duration::from_millis(300);
         is_up_to_date || is_tolerated
@@ -168,8 +170,8 @@
 }
 
 /// Simulates discovery for one scheduler: a message for each change that its agent has, sometimes followed
-/// by an older snapshot, and an empty message every 2 s. During the outage `treated_as_contact`, the agent
-/// is reported as one that accepts calls and has nothing new.
+/// by an older snapshot, and an empty message every 2 s. During an outage of the kind `treated_as_contact`,
+/// the agent is reported as one that accepts calls and has nothing new.
 async fn run_discovery(
     core: CoreHandle,
     schedule: Arc<DrainSchedule>,
@@ -362,8 +364,8 @@
     let RequestCounts { served, sent } = *counts.lock().unwrap();
     println!(
         "seed {seed}, {treated_as_contact:?} treated as contact: \
-         {} first bytes, {late_count} too late, {max_overrun:?}; \
-         {served} of {sent}",
+         {} first bytes, {late_count} too late, by {max_overrun:?} at most; \
+         {served} of {sent} requests to nodes in service served",
         first_bytes.len()
     );
     let has_fault = treated_as_contact != Outage::DiscoveryDown;
--- a/crates/core/tests/endpoint_update_cost.rs
+++ b/crates/core/tests/endpoint_update_cost.rs
@@ -1,5 +1,5 @@
-//! The cost of an endpoint update with many nodes, in nodes that are checked: only those that the update
-//! names, and none while there are no updates. The tests count checks; they do not measure time.
+//! The cost of an endpoint update in a large fleet, as the number of nodes whose treatment is checked: only
+//! those that the update names, and none while there are no updates. The tests do not measure time.
 #![cfg(test)]
 
 use std::sync::{Arc, Mutex};
@@ -55,7 +55,7 @@
     Endpoint { zone, started_at, ..common::endpoint(number, state) }
 }
 
-/// Starts a node that serves all attempts, and passes them on.
+/// Starts a node that serves all attempts, and sends each to `served` afterwards.
 fn serving_node(core: mpsc::Sender<CoreMessage>, served: mpsc::Sender<Attempt>) -> mpsc::Sender<Attempt> {
     let (to_node, mut attempts) = mpsc::channel::<Attempt>(1);
     tokio::spawn(async move {
