--- a/crates/discovery-pacing/src/call_pacer.rs
+++ b/crates/discovery-pacing/src/call_pacer.rs
@@ -4,9 +4,9 @@
 //! this waits, fails, and still uses up some of the service's time, so the fleet must not call faster than it
 //! is served. Each scheduler estimates the cost of one call, which is the time that the service spends on it,
 //! from its own calls: an answer that comes at once shows the cost, a late one is an upper bound, and a
-//! failure shows that the cost is higher than estimated. A round, in which every scheduler calls once, then
-//! takes the estimated cost times the number of schedulers. Each scheduler calls in its own slot of the
-//! round, so that calls are spread evenly.
+//! timeout or a repeated rejection shows that the cost is higher than estimated. A round, in which every
+//! scheduler calls once, then takes the estimated cost times the number of schedulers, with some headroom.
+//! Each scheduler calls in its own slot of the round, so that calls are spread evenly.
 
 use std::time::Duration;
 
@@ -18,8 +18,8 @@
 const MAX_COST: Duration = Duration::from_millis(1_000);
 /// A round is longer than the estimated cost of its calls by this factor.
 const ROUND_HEADROOM_FACTOR: f64 = 1.2;
-/// A failure that shows overload raises the estimate by this factor. A late answer, which may have waited
-/// for other calls, raises it by at most this factor.
+/// A failure that shows overload raises the estimate by this factor. A late answer, whose call may have
+/// waited for others, raises it by at most this factor.
 const COST_RAISE_FACTOR: f64 = 1.6;
 /// An answer lowers the estimate to no less than this fraction of its previous value.
 const COST_DROP_FACTOR: f64 = 0.5;
@@ -103,8 +103,8 @@
         self.offset_in_round()
     }
 
-    /// Records that a call was answered after `elapsed`. Returns the delay before the next call, which
-    /// applies once the watch that was answered ends.
+    /// Records that a call was answered after `elapsed`. Returns the delay from the end of the watch that the
+    /// answer opened to the next call.
     pub fn on_answer(&mut self, elapsed: Duration) -> Duration {
         self.failures = 0;
         // Waiting for other schedulers' calls makes an answer later and never sooner, so the fastest answer
