--- a/crates/event-recorder/src/lib.rs
+++ b/crates/event-recorder/src/lib.rs
@@ -46,7 +46,7 @@
     pub queue_capacity: usize,
     /// Whether each request is recorded with its attempts.
     pub records_requests: bool,
-    /// Deliberate error of the recorded wall clock, for rehearsals.
+    /// Deliberate error of the recorded wall clock, for tests.
     pub clock_skew: ClockSkew,
 }
 
@@ -260,7 +260,7 @@
     deployment: &Deployment,
 ) -> SegmentOpened {
     let policy = &deployment.settings;
-    let class = |(name, class): (&String, &ClassSettings)| {
+    let class_info = |(name, class): (&String, &ClassSettings)| {
         let with_key = class.idempotency == Idempotency::WithKey;
         ClassInfo {
             name: name.clone(),
@@ -275,7 +275,7 @@
         segment: 0,
         version: env!("CARGO_PKG_VERSION").to_owned(),
         pid: std::process::id(),
-        classes: deployment.class_names.iter().zip(&policy.classes).map(class).collect(),
+        classes: deployment.class_names.iter().zip(&policy.classes).map(class_info).collect(),
         plans: deployment.plan_names.clone(),
         slow_start_units: policy.slow_start_units,
         slow_start_fraction: policy.slow_start_fraction,
--- a/crates/event-recorder/src/second.rs
+++ b/crates/event-recorder/src/second.rs
@@ -9,7 +9,7 @@
 
 /// Length of the interval that counts cover, in microseconds; the last interval of a run is shorter.
 const SECOND: Micros = 1_000_000;
-/// The highest latency of a histogram; higher latencies count as this one.
+/// The highest latency of a histogram, in microseconds; higher latencies count as this one.
 const MAX_LATENCY: Micros = 120_000_000;
 /// Number of significant decimal digits of a latency in a histogram.
 const LATENCY_DIGITS: u8 = 2;
@@ -22,7 +22,7 @@
 pub struct SecondCounts {
     /// When the second began, in microseconds on the recorder's monotonic clock.
     start: Micros,
-    /// Latency objectives of the classes, by class index.
+    /// Latency objectives of the classes, in microseconds, by class index.
     pub latency_objectives: Vec<Micros>,
     classes: Vec<ClassCounts>,
     /// Sorted by id.
--- a/crates/event-recorder/tests/recorder.rs
+++ b/crates/event-recorder/tests/recorder.rs
@@ -151,7 +151,7 @@
     let counters = rig.until(|counters| counters.client_disconnects == 1).await;
     assert_eq!(counters.attempts_written, 0);
     rig.until(|counters| counters.attempts_ended(PolicyAttemptEnd::NotSent) == 1).await;
-    // Long enough for a second without any event to begin.
+    // Long enough that a complete second passes without any attempt.
     sleep(Duration::from_millis(2_100)).await;
     let records = stop_and_collect(&rig, &events).await;
     let [request] = ended_requests(&records)[..] else { panic!("{records:?}") };
