--- a/crates/core/src/actor/handle.rs
+++ b/crates/core/src/actor/handle.rs
@@ -94,8 +94,8 @@
     ///
     /// # Errors
     ///
-    /// A [`ConfigError`] if the settings are not valid, remove a class or a plan, or the core has stopped.
-    /// The old settings then stay.
+    /// A [`ConfigError`] if the settings are not valid, remove or rename a class or a plan, or the core has
+    /// stopped. The old settings then stay.
     pub async fn update_settings(&self, deployment: Arc<Deployment>) -> Result<(), ConfigError> {
         let stopped = || ConfigError { field: "settings".to_owned(), reason: CoreStopped.to_string() };
         let (reply, result) = oneshot::channel();
--- a/crates/core/src/observe.rs
+++ b/crates/core/src/observe.rs
@@ -172,7 +172,7 @@
     Command,
     /// The state of the previous process.
     Handover,
-    /// The end of an attempt, which ended this way.
+    /// The end of an attempt, with how it ended.
     AttemptEnded(AttemptEnd),
     /// Only the passage of time.
     TimePassed,
