--- a/crates/discovery-pacing/src/call_pacer/tests.rs
+++ b/crates/discovery-pacing/src/call_pacer/tests.rs
@@ -40,7 +40,7 @@
     assert_eq!(pacer.estimated_cost().as_millis(), cost);
 }
 
-/// The fastest answer determines the estimate; a single late one changes it little.
+/// The fastest answer determines the estimate; a single late one raises it by at most [`COST_RAISE_FACTOR`].
 #[rstest]
 #[case::faster(&[11, 11, 11], 11)]
 #[case::one_late(&[1_900], 86)]
