--- a/crates/core/src/actor/open_requests.rs
+++ b/crates/core/src/actor/open_requests.rs
@@ -230,7 +230,7 @@
     }
 
     /// Prepares the answer to a request: cancels its attempt in flight, drops the request unless the end of
-    /// an attempt is still expected, and returns what is needed to answer it. Returns `None` if it was
+    /// an attempt is still expected, and returns the parts needed to answer it. Returns `None` if it was
     /// answered before.
     pub(super) fn take_for_answer(&mut self, id: RequestId) -> Option<AnsweredRequest> {
         let open_request = self.by_id.get_mut(&id)?;
--- a/crates/core/src/endpoint_lease.rs
+++ b/crates/core/src/endpoint_lease.rs
@@ -40,8 +40,8 @@
 /// last message is known. Each contact renews the lease. The cached list that a program starts with may be
 /// old; it is used only if the agent does not answer.
 ///
-/// The grace period that settings allow after an update is not used up here: it is reserved for a message
-/// that is read late and for a write that has already begun.
+/// The lease does not use up the drain grace that settings allow after an update: the grace is reserved for a
+/// message that is read late and for a write that has already begun.
 #[derive(Clone, Copy, Debug)]
 pub struct EndpointLease {
     /// Whether the settings limit the use of an old list; otherwise the lease never expires.
--- a/crates/core/src/observe.rs
+++ b/crates/core/src/observe.rs
@@ -38,7 +38,7 @@
         node: &'a str,
         /// The new treatment.
         treatment: NodeTreatment,
-        /// What caused the change.
+        /// Cause of the change.
         cause: TreatmentCause,
     },
     /// A request was received.
@@ -163,7 +163,7 @@
     }
 }
 
-/// What caused a change of a node's treatment.
+/// Cause of a change of a node's treatment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TreatmentCause {
     /// The endpoint list with this revision, or the expiry or renewal of the lease on it.
