--- a/crates/config/src/jsonnet.rs
+++ b/crates/config/src/jsonnet.rs
@@ -96,7 +96,7 @@
 ///
 /// # Errors
 /// The system's.
-pub fn limit_this_process() -> io::Result<()> {
+pub fn limit_process_resources() -> io::Result<()> {
     let limit = |max| Rlimit { current: Some(max), maximum: Some(max) };
     setrlimit(Resource::Cpu, limit(MAX_CPU_SECONDS))?;
     setrlimit(Resource::As, limit(MAX_MEMORY_MB << 20))?;
--- a/crates/config/src/jsonnet/child_process.rs
+++ b/crates/config/src/jsonnet/child_process.rs
@@ -18,7 +18,7 @@
 const REJECTED: i32 = 2;
 
 /// Evaluates an operator file to JSON in a child process: `program evaluate FILE`, which is to call
-/// [`limit_this_process`](super::limit_this_process) and [`evaluate_jsonnet`](super::evaluate_jsonnet).
+/// [`limit_process_resources`](super::limit_process_resources) and [`evaluate_jsonnet`](super::evaluate_jsonnet).
 ///
 /// # Errors
 /// What is wrong with the file, or that it needs more time or memory than is allowed.
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -15,5 +15,5 @@
 pub use check::{check_file, first_deployment, FileKind};
 pub use configuration::{parse_configuration, Config, LoadListing, LoadSource};
 pub use files::{load, read_text_file, FileArguments};
-pub use jsonnet::{current_executable, evaluate_jsonnet, limit_this_process};
+pub use jsonnet::{current_executable, evaluate_jsonnet, limit_process_resources};
 pub use operator::{LogSettings, OperatorSettings};
--- a/crates/logs/src/lib.rs
+++ b/crates/logs/src/lib.rs
@@ -137,14 +137,14 @@
 
 impl Logs {
     /// Changes the format and the filter of all further lines.
-    pub fn change(&self, format: Format, filter: Filter) {
+    pub fn reconfigure(&self, format: Format, filter: Filter) {
         // They fail only if the subscriber is gone, and with it all logs.
         let _ = self.filter.reload(filter.0);
         let _ = self.line_layer.reload(line_layer(format, self.writer.clone()));
     }
 
     /// The number of lines dropped so far.
-    pub fn dropped(&self) -> usize {
+    pub fn dropped_lines(&self) -> usize {
         self.dropped.dropped_lines()
     }
 }
--- a/crates/logs/src/tests.rs
+++ b/crates/logs/src/tests.rs
@@ -56,7 +56,7 @@
         tracing::info!(node = "s-1", "first");
         tracing::info!(target: "quiet", "never");
         tracing::debug!("never");
-        logs.change(Format::Json, "debug".parse().unwrap());
+        logs.reconfigure(Format::Json, "debug".parse().unwrap());
         tracing::debug!(node = "s-2", "second");
         tracing::info!(target: "quiet", "third");
     });
@@ -82,7 +82,7 @@
         (0..QUEUE_CAPACITY + excess).for_each(|at| tracing::info!(at, "line"));
         start.elapsed()
     });
-    assert_eq!(logs.dropped(), excess);
+    assert_eq!(logs.dropped_lines(), excess);
     // If it waited, it would take an hour; the bound allows for a loaded machine.
     assert!(elapsed < Duration::from_secs(5), "{elapsed:?}");
     drop(release);
--- a/crates/scheduler/src/file_commands.rs
+++ b/crates/scheduler/src/file_commands.rs
@@ -34,7 +34,7 @@
 /// `heathward evaluate`: prints an operator file as JSON, within limits on CPU time and memory. The
 /// scheduler starts this command as a child process, so that a file that needs too much harms nothing else.
 pub fn evaluate(file: &Path) -> ExitCode {
-    if let Err(error) = config::limit_this_process() {
+    if let Err(error) = config::limit_process_resources() {
         return reject(error);
     }
     match config::evaluate_jsonnet(file) {
--- a/crates/scheduler/src/serve.rs
+++ b/crates/scheduler/src/serve.rs
@@ -125,7 +125,7 @@
 
 /// Logs how many lines of the log were dropped since the last call.
 fn report_dropped_lines(logs: &Logs, reported: &mut usize) {
-    let dropped = logs.dropped();
+    let dropped = logs.dropped_lines();
     if dropped > *reported {
         tracing::warn!(lines = dropped - *reported, "log lines were dropped");
         *reported = dropped;
--- a/crates/scheduler/src/server.rs
+++ b/crates/scheduler/src/server.rs
@@ -124,14 +124,14 @@
             false => Some(sockets::bind(listen_address).map_err(listen_error)?),
         };
         self.core.update_settings(Arc::new(deployment)).await?;
-        self.logs.change(operator_settings.log.format, operator_settings.log.filter);
+        self.logs.reconfigure(operator_settings.log.format, operator_settings.log.filter);
         self.recording.apply(operator_settings.recorder, &name, &self.core).await;
         self.descriptors.max_descriptors = max_descriptors;
         self.apply_descriptor_budget();
         // Without a core the program ends.
         let _ = self.core.discovery_sender().send(CoreMessage::EndpointUpdate(cached_endpoints)).await;
         self.discovery_address
-            .send_replace(DiscoveryAddress { address: discovery_address, since: announced_at });
+            .send_replace(DiscoveryAddress { address: discovery_address, current_since: announced_at });
         if let Some(socket) = new_socket {
             let moved =
                 self.fronts.move_http(listen_address, socket, self.descriptors.nvme_host_connections());
--- a/crates/scheduler/tests/net/parsers.rs
+++ b/crates/scheduler/tests/net/parsers.rs
@@ -373,5 +373,5 @@
     }
     let told = |line: Vec<u8>| String::from_utf8(line).unwrap().split_whitespace().collect::<String>();
     assert_eq!(came.into_iter().map(told).collect::<Vec<_>>(), cut);
-    assert_eq!(lines.buffered(), 0);
+    assert_eq!(lines.buffered_bytes(), 0);
 }
--- a/crates/transport/src/discovery.rs
+++ b/crates/transport/src/discovery.rs
@@ -42,13 +42,13 @@
     pub address: SocketAddr,
     /// From when on it counts, for the lease on the endpoint list: when the move was announced, which may be
     /// before the program heard of it.
-    pub since: Instant,
+    pub current_since: Instant,
 }
 
 impl DiscoveryAddress {
     /// An address that counts from now on.
     pub fn from_now(address: SocketAddr) -> Self {
-        Self { address, since: Instant::now() }
+        Self { address, current_since: Instant::now() }
     }
 }
 
@@ -83,7 +83,7 @@
         tasks.spawn(task.run());
         let moved_at = tokio::select! {
             changed = addresses.wait_for(|current| current.address != address) => match changed {
-                Ok(current) => current.since,
+                Ok(current) => current.current_since,
                 Err(_) => return,
             },
             () = reporter.core_stopped() => return,
--- a/crates/transport/src/discovery/call.rs
+++ b/crates/transport/src/discovery/call.rs
@@ -105,7 +105,7 @@
                 return;
             }
         }
-        if splitter.buffered() > MAX_LIST_BYTES {
+        if splitter.buffered_bytes() > MAX_LIST_BYTES {
             tracing::warn!("discovery: watch closed: a line of over {MAX_LIST_BYTES} bytes");
             return;
         }
--- a/crates/transport/src/discovery/stream_splitter.rs
+++ b/crates/transport/src/discovery/stream_splitter.rs
@@ -28,7 +28,7 @@
     }
 
     /// The number of bytes that belong to no complete item yet.
-    pub fn buffered(&self) -> usize {
+    pub fn buffered_bytes(&self) -> usize {
         self.buffer.len()
     }
 
