--- a/crates/transport/src/admin/client.rs
+++ b/crates/transport/src/admin/client.rs
@@ -1,4 +1,4 @@
-//! A call at the admin interface, from the caller's side.
+//! The client of the admin interface.
 
 use std::net::SocketAddr;
 
@@ -9,16 +9,16 @@
 
 use super::codec::Request;
 
-/// No reply is longer.
+/// The maximum length of a reply; further bytes are not read.
 const MAX_REPLY_BYTES: u64 = 256 * 1024;
 
 /// Why a call was not carried out. The texts are part of the interface of the programs that print them.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum CallError {
-    /// The scheduler rejects the request; its reason.
+    /// The scheduler rejected the request, with this reason.
     #[error("refused: {0}")]
     Rejected(String),
-    /// The connection failed; the error of the system.
+    /// The connection failed with this error of the system.
     #[error("nobody answers: {0}")]
     Connection(String),
     /// There was no complete reply by the deadline.
@@ -27,12 +27,13 @@
     /// The connection was closed without a reply.
     #[error("nobody answers: closed without an answer")]
     NoReply,
-    /// What came is no reply to such a request.
+    /// The received text is not a valid reply to the request.
     #[error("the answer can't be read")]
     Malformed,
 }
 
-/// The lines of a list, without its `END`; no lines for any other request that was carried out.
+/// Sends a request and returns the lines of a list, without its `END`; no lines for any other request that
+/// was carried out.
 ///
 /// # Errors
 /// [`CallError`] if the scheduler rejects the request, cannot be reached, or does not reply by the deadline.
@@ -50,7 +51,7 @@
     parse_reply(&text, is_list)
 }
 
-/// Sends the request, and reads until the connection is closed.
+/// Sends the request and reads the reply until the connection is closed.
 async fn exchange(address: SocketAddr, request: &Request) -> std::io::Result<String> {
     let mut stream = TcpStream::connect(address).await?;
     stream.write_all(format!("{request}\n").as_bytes()).await?;
@@ -59,7 +60,7 @@
     Ok(text)
 }
 
-/// The lines of a reply: a list that ends with `END`, or the one line `OK`.
+/// Returns the lines of a reply, which is a list that ends with `END`, or the one line `OK`.
 fn parse_reply(text: &str, is_list: bool) -> Result<Vec<String>, CallError> {
     if let Some(reason) = text.strip_prefix("ERR") {
         return Err(CallError::Rejected(reason.trim().to_owned()));
--- a/crates/transport/src/admin/codec.rs
+++ b/crates/transport/src/admin/codec.rs
@@ -1,5 +1,5 @@
-//! Requests and replies of the admin interface, and their text. The names on the wire become this program's
-//! terms here.
+//! Requests and replies of the admin interface, and their text form. This module maps the names in the text
+//! to the names in the code.
 
 use std::fmt;
 
@@ -7,21 +7,21 @@
 
 use heathward_core::{CommandError, ConfigurationReloads, CoreMetrics, OperatorCommand};
 
-/// The longest id of a storage node.
+/// The maximum length of a storage node's id.
 const MAX_NODE_ID_BYTES: usize = 128;
 
-/// What an operator asks for.
+/// A request of an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Request {
-    /// Whether this process can serve.
+    /// Asks whether this process can serve.
     Status,
-    /// The metrics.
+    /// Asks for the metrics.
     Metrics,
-    /// To carry out a command.
+    /// Asks the process to carry out a command.
     Command(OperatorCommand),
 }
 
-/// Why a line is no request.
+/// Why a line cannot be decoded as a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum MalformedRequest {
     /// It is not UTF-8.
@@ -30,16 +30,16 @@
     /// It has more than two words.
     #[error("too many words")]
     TooManyWords,
-    /// It has a node's id that its request does not take.
+    /// It contains a node's id, which its request does not take.
     #[error("takes no id")]
     UnexpectedNodeId,
-    /// It lacks the node's id.
+    /// It lacks the node's id, which its request requires.
     #[error("takes the id of a storage node")]
     MissingNodeId,
     /// The node's id has more than 128 bytes.
     #[error("id too long")]
     NodeIdTooLong,
-    /// Its first word names no request.
+    /// Its first word is not the name of a request.
     #[error("unknown call")]
     UnknownRequest,
 }
@@ -48,7 +48,7 @@
     /// Decodes a line without its end.
     ///
     /// # Errors
-    /// [`MalformedRequest`] if the line is no request.
+    /// [`MalformedRequest`] if the line is not a valid request.
     pub fn parse(line: &[u8]) -> Result<Self, MalformedRequest> {
         let text = std::str::from_utf8(line).map_err(|_| MalformedRequest::NotUtf8)?;
         let mut words = text.split_ascii_whitespace();
@@ -100,17 +100,17 @@
 /// The reply to a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// Yes, or done.
+    /// The process can serve, or the command was carried out.
     Ok,
-    /// Not yet: there is no list of storage nodes.
+    /// The process cannot serve yet: it has no list of storage nodes.
     NotReady,
-    /// The request cannot be read.
+    /// The request cannot be decoded.
     Malformed(MalformedRequest),
     /// The command was not carried out, or not by both processes.
     CommandFailed(CommandError),
     /// The metrics.
     Metrics {
-        /// Their values.
+        /// The values of the metrics.
         metrics: Box<CoreMetrics>,
         /// The names of the request classes, in the order of their indices.
         class_names: Vec<String>,
--- a/crates/transport/src/admin/mod.rs
+++ b/crates/transport/src/admin/mod.rs
@@ -1,5 +1,5 @@
-//! The admin interface, at which operators ask how the scheduler is and give it commands. Each connection
-//! carries one line of request and one reply.
+//! The admin interface, where operators query the scheduler's status and metrics and send it commands. Each
+//! connection carries one request line and one reply.
 
 mod client;
 mod codec;
--- a/crates/transport/src/admin/server.rs
+++ b/crates/transport/src/admin/server.rs
@@ -11,17 +11,17 @@
 use super::codec::{Reply, Request};
 use heathward_core::CoreHandle;
 
-/// No request is longer.
+/// The maximum length of a request.
 const MAX_REQUEST_BYTES: usize = 512;
-/// Space that a request is expected to need.
+/// The initial capacity for a request, enough for a typical one.
 const USUAL_REQUEST_BYTES: usize = 64;
-/// A caller has this long to send its request, and as long again to take the reply.
+/// The time limit for a caller to send its request, and the same again to receive the reply.
 const CALLER_TIMEOUT: Duration = Duration::from_secs(5);
-/// The delay after a connection could not be accepted.
+/// The delay before the next attempt after a connection could not be accepted.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 /// Serves callers on at most `max_connections` connections at a time. When all are in use, the oldest is
-/// closed for a new one, so that callers that send nothing keep nobody out.
+/// closed for a new one, so that callers that send nothing do not block others.
 ///
 /// Runs until it is dropped, which closes all connections.
 pub async fn serve(listener: TcpListener, core: CoreHandle, max_connections: usize) {
@@ -50,13 +50,13 @@
         stream.write_all(reply.as_bytes()).await?;
         stream.shutdown().await
     };
-    // A caller that does not take its reply has disconnected.
+    // A caller that does not receive its reply has disconnected.
     let _ = timeout(CALLER_TIMEOUT, sending).await;
 }
 
-/// The line of a request without its end; `None` if the caller closes its side without any byte. A line
-/// without an end is returned as it is if the caller closes its side, or once it exceeds
-/// [`MAX_REQUEST_BYTES`]: the parser rejects what is no request.
+/// Reads the line of a request and returns it without its end; `None` if the caller closes its side without
+/// sending anything. A line without an end is returned as it is if the caller closes its side, or once it
+/// exceeds [`MAX_REQUEST_BYTES`]; the parser rejects invalid requests.
 async fn read_request_line(stream: &mut TcpStream) -> Option<Vec<u8>> {
     let mut line = Vec::with_capacity(USUAL_REQUEST_BYTES);
     let mut buffer = [0; MAX_REQUEST_BYTES];
--- a/crates/transport/src/backoff.rs
+++ b/crates/transport/src/backoff.rs
@@ -1,6 +1,6 @@
-//! How long to wait between two calls to discovery. Each machine may run a discovery agent of its own, which
-//! streams the endpoint list: calls to it follow an exponential backoff with jitter. Without agents all
-//! schedulers call one discovery service: their calls are paced. No I/O, no clock.
+//! The delays between calls to discovery. Each machine may run a discovery agent of its own, which streams
+//! the endpoint list: calls to it follow an exponential backoff with jitter. Without agents all schedulers
+//! call one discovery service: their calls are paced. No I/O, no clock.
 
 use std::time::Duration;
 
@@ -9,15 +9,15 @@
 
 /// The longest delay after the first failure; it doubles with each further one.
 const INITIAL_FAILURE_DELAY: Duration = Duration::from_millis(50);
-/// No delay after a failure is longer.
+/// The upper bound on the delay after a failure.
 const MAX_FAILURE_DELAY: Duration = Duration::from_millis(1000);
-/// A delay after a failure is at least this fraction of the longest possible one, so that calls never follow
+/// The shortest delay after a failure, as a fraction of the longest possible one, so that calls never follow
 /// each other without a pause.
 const MIN_DELAY_FRACTION: f64 = 0.1;
 /// The longest delay after a healthy watch has ended. It is short because changes that the agent already has
-/// count as delivered, whether they were asked for or not.
+/// count as delivered, whether or not this scheduler has requested them.
 const MAX_HEALTHY_DELAY: Duration = Duration::from_millis(50);
-/// Doublings of the delay are counted up to this.
+/// The largest number of times that the delay is doubled.
 const MAX_DOUBLINGS: u32 = 20;
 
 /// Exponential backoff with jitter, for calls to the agent on this machine: it serves this scheduler alone,
@@ -30,18 +30,18 @@
 }
 
 impl AgentBackoff {
-    /// A backoff without any failure. All its jitter comes from `seed`.
+    /// Returns a backoff without any failure. All its jitter comes from `seed`.
     pub fn new(seed: u64) -> Self {
         Self { rng: fastrand::Rng::with_seed(seed), failures: 0 }
     }
 
-    /// The delay before the next call after a healthy watch has ended, at most 50 ms.
+    /// Returns the delay before the next call after a healthy watch has ended, at most 50 ms.
     pub fn delay_after_healthy_watch(&mut self) -> Duration {
         self.failures = 0;
         MAX_HEALTHY_DELAY.mul_f64(self.rng.f64())
     }
 
-    /// The delay before the next call after a failure, at most 1 s.
+    /// Returns the delay before the next call after a failure, at most 1 s.
     pub fn delay_after_failure(&mut self) -> Duration {
         let doublings = self.failures.min(MAX_DOUBLINGS);
         let longest = INITIAL_FAILURE_DELAY.saturating_mul(1 << doublings).min(MAX_FAILURE_DELAY);
@@ -50,35 +50,35 @@
     }
 }
 
-/// How a watch ended that another one is to follow.
+/// How a watch ended, which determines the delay before the next one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchEnd {
-    /// It had brought an update, or had been open for a while.
+    /// It had received an update, or had been open long enough to count as working.
     Healthy {
-        /// From when the request was sent until its response began.
+        /// The time from sending the request to the start of the response.
         answered_in: Duration,
     },
     /// It failed.
     Failed {
-        /// How.
+        /// The kind of failure.
         failure: CallFailure,
-        /// From when the call was opened until it failed.
+        /// The time from opening the call to its failure.
         elapsed: Duration,
     },
 }
 
-/// When to make the next call for the endpoint list.
+/// Determines the delays between calls for the endpoint list.
 #[derive(Clone, Debug)]
 pub enum ReconnectPolicy {
-    /// At the agent on this machine.
+    /// For calls to the agent on this machine.
     LocalAgent(AgentBackoff),
-    /// At a service that all schedulers share.
+    /// For calls to a service that all schedulers share.
     SharedService(CallPacer),
 }
 
 impl ReconnectPolicy {
-    /// The policy for one scheduler of a fleet: streamed lists come from an agent on its machine, polled
-    /// lists from a shared service. All randomness comes from `seed`.
+    /// Returns the policy for one scheduler of a fleet: streamed lists come from an agent on its machine,
+    /// polled lists from a shared service. All randomness comes from `seed`.
     pub fn new(mode: EndpointListMode, position: FleetPosition, seed: u64) -> Self {
         match mode {
             EndpointListMode::Streamed => Self::LocalAgent(AgentBackoff::new(seed)),
@@ -86,7 +86,7 @@
         }
     }
 
-    /// A policy for another address, without any history and with random draws of its own.
+    /// Returns a policy for another address, without history and with a random sequence of its own.
     pub fn fork(&mut self) -> Self {
         match self {
             Self::LocalAgent(backoff) => Self::LocalAgent(AgentBackoff::new(backoff.rng.u64(..))),
@@ -94,7 +94,7 @@
         }
     }
 
-    /// The delay before the first call.
+    /// Returns the delay before the first call.
     pub fn first_delay(&mut self) -> Duration {
         match self {
             Self::LocalAgent(_) => Duration::ZERO,
@@ -102,7 +102,7 @@
         }
     }
 
-    /// The delay from the end of a watch to the next call.
+    /// Returns the delay from the end of a watch to the next call.
     pub fn next_delay(&mut self, end: WatchEnd) -> Duration {
         match (self, end) {
             (Self::LocalAgent(backoff), WatchEnd::Healthy { .. }) => backoff.delay_after_healthy_watch(),
--- a/crates/transport/src/backoff/tests.rs
+++ b/crates/transport/src/backoff/tests.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-/// A scheduler of a large fleet must not leave its agent uncalled for half a minute, as changes that the
-/// agent has count as delivered meanwhile; and it must not call a shared service as soon as its agent.
+/// In a large fleet, pacing delays a call by up to half a minute. Calls to a local agent must not be paced,
+/// because changes that the agent has count as delivered meanwhile; calls to a shared service must be.
 #[test]
 fn a_local_agent_is_called_at_once_and_a_shared_service_in_the_schedulers_slot() {
     let position = FleetPosition { scheduler_index: 299, schedulers: 300 };
--- a/crates/transport/src/discovery.rs
+++ b/crates/transport/src/discovery.rs
@@ -1,9 +1,10 @@
-//! Follows discovery, which lists the storage nodes. The list comes from a discovery agent on this machine,
-//! which streams it and each change of it, or from a service that all schedulers share and poll.
+//! Receives the endpoint list, the list of storage nodes, from discovery. The list comes from a discovery
+//! agent on this machine, which streams it and each change to it, or from a service that all schedulers share
+//! and poll.
 //!
 //! [`watch_endpoints`] runs one task (`watch_task`) for each address that discovery has had. The state
-//! machine in `supervisor` decides on calls and reports; its inputs and outputs are in `events`. `call` is
-//! one HTTP call, `stream_splitter` cuts its body into lists and lines, `wire` decodes them, and `report`
+//! machine in `supervisor` decides on calls and reports; its inputs and outputs are in `events`. `call` makes
+//! one HTTP call, `stream_splitter` splits its body into lists and lines, `wire` decodes them, and `report`
 //! passes updates and the state of the watches to the core.
 
 mod call;
@@ -35,30 +36,30 @@
 
 pub(crate) use wire::WireList;
 
-/// Where discovery is.
+/// The current address of discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DiscoveryAddress {
     /// The address.
     pub address: SocketAddr,
-    /// From when on it counts, for the lease on the endpoint list: when the move was announced, which may be
-    /// before the program heard of it.
+    /// The time from which this is the current address, which the endpoint lease depends on. It is the time
+    /// at which the move was announced, which may be before this process read the new address.
     pub current_since: Instant,
 }
 
 impl DiscoveryAddress {
-    /// An address that counts from now on.
+    /// Returns `address` as the current address from now on.
     pub fn from_now(address: SocketAddr) -> Self {
         Self { address, current_since: Instant::now() }
     }
 }
 
-/// Watches the endpoint list from revision `known_revision` on, and reports to the core, until that has
-/// stopped or the sender of `addresses` is dropped. Every task that it starts ends with it.
+/// Watches the endpoint list from revision `known_revision` on and reports to the core. Returns once the core
+/// has stopped or the sender of `addresses` is dropped; every task that it started then ends too.
 ///
 /// `addresses` holds discovery's current address. After a change, the watch at the new address opens while
 /// the one at the old address stays open, for 5 s at most; updates from either count.
 ///
-/// `policy` says how long to wait between calls at one address.
+/// `policy` sets the delays between calls to one address.
 pub async fn watch_endpoints(
     mut addresses: watch::Receiver<DiscoveryAddress>,
     known_revision: u64,
@@ -90,7 +91,7 @@
         };
         superseded.cancel();
         reporter.send_moved(moved_at).await;
-        // Tasks at former addresses that have ended.
+        // Removes the tasks for former addresses that have ended.
         while tasks.try_join_next().is_some() {}
     }
 }
--- a/crates/transport/src/discovery/call.rs
+++ b/crates/transport/src/discovery/call.rs
@@ -1,4 +1,4 @@
-//! One HTTP call for the endpoint list. A task of its own reads the response's body for as long as the
+//! One HTTP call for the endpoint list. A separate task reads the response body for as long as the
 //! [`ListCall`] exists.
 
 use std::future::Future;
@@ -24,9 +24,9 @@
 
 /// The path of the endpoint list.
 const LIST_PATH: &str = "/v1/servers";
-/// A call whose list is longer than this, on one line or on several, is broken off.
+/// The size above which a list, on one line or on several, ends its call.
 const MAX_LIST_BYTES: usize = 4 << 20;
-/// Lines that were read and are not handled yet.
+/// The number of lines that can be read before they are taken by [`ListCall::next_line`].
 const LINE_CHANNEL_CAPACITY: usize = 1;
 
 /// An open call. Dropping it closes its connection.
@@ -38,7 +38,7 @@
     milestones: Arc<Milestones>,
 }
 
-/// What the reading task has reached so far.
+/// The progress of the reading task.
 #[derive(Debug, Default)]
 struct Milestones {
     sent_at: OnceLock<Instant>,
@@ -46,7 +46,7 @@
 }
 
 impl ListCall {
-    /// Opens a call and returns at once; connecting goes on in the reading task.
+    /// Opens a call and returns at once; the reading task connects.
     pub(super) fn open(address: SocketAddr, request: ListRequest) -> Self {
         let (sender, lines) = mpsc::channel(LINE_CHANNEL_CAPACITY);
         let milestones = Arc::new(Milestones::default());
@@ -54,17 +54,17 @@
         Self { lines, reader, opened_at: Instant::now(), milestones }
     }
 
-    /// The next line without its end; `None` once the call has ended. Cancel safe.
+    /// Returns the next object or line; `None` once the call has ended. Cancel safe.
     pub(super) async fn next_line(&mut self) -> Option<Vec<u8>> {
         self.lines.recv().await
     }
 
-    /// A line has arrived and waits to be taken.
+    /// Returns whether a line has arrived and was not taken yet.
     pub(super) fn has_line(&self) -> bool {
         !self.lines.is_empty()
     }
 
-    /// How far it has come.
+    /// Returns the progress of the call.
     pub(super) fn progress(&self) -> CallProgress {
         CallProgress {
             opened_at: self.opened_at,
@@ -80,7 +80,7 @@
     }
 }
 
-/// Makes a call and passes on its lines, until it ends or nobody takes them any more.
+/// Makes a call and sends its lines to `lines`, until the call ends or the receiver is dropped.
 async fn read_call(
     address: SocketAddr,
     request: ListRequest,
@@ -91,7 +91,7 @@
     let mut reading = pin!(read_lines(body, lines));
     tokio::select! {
         () = reading.as_mut() => {}
-        // What arrived before the connection ended is still read.
+        // Data that arrived before the connection ended is still read.
         () = connection => reading.await,
     }
 }
@@ -106,14 +106,14 @@
             }
         }
         if splitter.buffered_bytes() > MAX_LIST_BYTES {
-            tracing::warn!("discovery: watch closed: a line of over {MAX_LIST_BYTES} bytes");
+            tracing::warn!("discovery: call closed: list exceeds {MAX_LIST_BYTES} bytes");
             return;
         }
     }
 }
 
-/// Connects and asks. Returns the response's body and the future that drives the connection; `None` when the
-/// call failed or was rejected, which `milestones` tells.
+/// Connects and sends the request. Returns the response body and the future that drives the connection;
+/// `None` if the call failed or was rejected. Records the progress in `milestones`.
 async fn send_request(
     address: SocketAddr,
     request: ListRequest,
@@ -125,7 +125,7 @@
     let mut connection = Box::pin(connection);
     let request = Request::get(path_and_query(request)).header(HOST, address.to_string());
     let response = sender.send_request(request.body(Empty::<Bytes>::new()).ok()?);
-    // The connection writes the request when it is polled for the first time, which is right now.
+    // The connection writes the request when it is first polled, which is right after this line.
     let _ = milestones.sent_at.set(Instant::now());
     let response = tokio::select! {
         response = response => response.ok()?,
@@ -135,9 +135,9 @@
     let _ = milestones.response.set(ResponseHead { received_at: Instant::now(), status });
     let body = (status == ResponseStatus::Ok).then(|| response.into_body())?;
     Some((body, async move {
-        // The connection would shut down without its sender.
+        // The connection would shut down if its sender were dropped.
         let _sender = sender;
-        // How it ended shows in the body.
+        // An error of the connection also ends the body.
         let _ = connection.await;
     }))
 }
@@ -156,7 +156,7 @@
     ResponseStatus::Rejected { retry_after: retry_after(response) }
 }
 
-/// The Retry-After hint in seconds, which may have decimals.
+/// Returns the Retry-After hint, which is in seconds and may have decimals.
 fn retry_after(response: &Response<Incoming>) -> Option<Duration> {
     let seconds = response.headers().get(RETRY_AFTER)?.to_str().ok()?.trim().parse().ok()?;
     Duration::try_from_secs_f64(seconds).ok()
--- a/crates/transport/src/discovery/events.rs
+++ b/crates/transport/src/discovery/events.rs
@@ -17,14 +17,14 @@
     Current,
     /// A watch that has sent no line in time and is kept until another one sends a line.
     TimedOut,
-    /// A call for the complete list, beside a current watch that says nothing.
+    /// A call for the complete list, open in addition to a current watch that was not answered.
     Confirmation,
 }
 
-/// What a call asks for.
+/// The request that a call sends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ListRequest {
-    /// All changes after that revision, as they happen.
+    /// All changes after a revision, as they happen.
     Watch {
         /// The last known revision.
         after: u64,
@@ -33,7 +33,7 @@
     Snapshot,
 }
 
-/// How far a call has come.
+/// The progress of a call.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct CallProgress {
     /// When the call was opened.
@@ -47,57 +47,57 @@
 /// The head of a response.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ResponseHead {
-    /// When it arrived.
+    /// When the head arrived.
     pub(super) received_at: Instant,
-    /// What it says.
+    /// Whether a list follows.
     pub(super) status: ResponseStatus,
 }
 
-/// Whether a response brings a list.
+/// Whether a call was accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ResponseStatus {
-    /// Its body brings lists or changes.
+    /// Status 200: the body contains lists or changes.
     Ok,
     /// Any status but 200.
     Rejected {
-        /// The Retry-After hint, if there is a readable one.
+        /// The Retry-After hint, if there is a valid one.
         retry_after: Option<Duration>,
     },
 }
 
-/// What one line of a call's body says.
+/// A decoded line of a call's body.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum Line {
-    /// It is empty: the connection works and there is nothing new.
+    /// An empty line: the connection works and there is nothing new.
     KeepAlive,
-    /// It brings a list or a change.
+    /// A complete list or a change to it.
     Update(EndpointUpdate),
-    /// It cannot be read, and is ignored.
+    /// A line that cannot be decoded and is ignored.
     Malformed,
 }
 
-/// What has happened.
+/// An input of the supervisor.
 #[derive(Debug)]
 pub(super) enum Event {
     /// Another address is the current one from now on.
     Superseded,
-    /// A call has brought a line.
+    /// A call has received a line.
     Line {
-        /// Which call.
+        /// The slot of the call.
         slot: CallSlot,
         /// The line.
         line: Line,
     },
     /// A call has ended.
     Ended {
-        /// Which call.
+        /// The slot of the call.
         slot: CallSlot,
-        /// How far it had come.
+        /// The progress that it had made.
         progress: CallProgress,
     },
     /// The answer deadline has passed.
     AnswerTimeout {
-        /// A line of the current watch or of the confirmation has arrived and is about to be handled.
+        /// Whether a line of the current watch or of the confirmation has arrived and is not handled yet.
         line_waiting: bool,
         /// Progress of the current watch, if it is open.
         current: Option<CallProgress>,
@@ -111,17 +111,17 @@
     },
 }
 
-/// What is to be done.
+/// An output of the supervisor: an operation that the task of the address carries out.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum Action {
     /// Open a call.
     Open {
         /// Its slot, which is empty.
         slot: CallSlot,
-        /// What it asks for.
+        /// The request to send.
         request: ListRequest,
     },
-    /// Close the call in that slot, if there is one.
+    /// Close the call in the given slot, if there is one.
     Close(CallSlot),
     /// Move the call in the current slot to the timed-out slot, which is empty.
     KeepTimedOut,
--- a/crates/transport/src/discovery/report.rs
+++ b/crates/transport/src/discovery/report.rs
@@ -1,4 +1,4 @@
-//! What the core learns from discovery, apart from which address is the current one.
+//! Reports from discovery to the scheduler core: updates of the endpoint list, and the state of the watches.
 
 use tokio::sync::mpsc;
 use tokio::time::Instant;
@@ -8,17 +8,17 @@
 /// A report of the watches at one address.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum Report {
-    /// The list has changed, or is sent completely.
+    /// A complete endpoint list, or a change to it.
     Update(EndpointUpdate),
-    /// Everything that discovery had to send by then has arrived.
+    /// Everything that discovery had to send by this time has arrived.
     Contact(Instant),
-    /// Discovery was asked, had time to answer, and has not by then.
+    /// Discovery was called, had time to answer, and had not answered by this time.
     Unanswered(Instant),
-    /// No watch is open, as none was opened yet or as one that brought lines has ended. Only for lists that
-    /// are polled.
+    /// No watch is open, because none was opened yet or because one that received lines has ended. Sent only
+    /// for polled lists.
     WatchClosed,
-    /// A call was rejected, ended before its first line, or was not answered in time. Only for lists that are
-    /// polled.
+    /// A call was rejected, ended before its first line, or was not answered in time. Sent only for polled
+    /// lists.
     CallFailed,
 }
 
@@ -47,14 +47,14 @@
 
     /// Sends a report, and waits while the core's channel is full.
     pub(super) async fn send(&self, report: Report) {
-        // A core that has stopped needs no list any more.
+        // A core that has stopped needs no reports.
         let _ = self.core.send(report.into()).await;
     }
 
-    /// Reports that discovery has another address since then.
-    pub(super) async fn send_moved(&self, at: Instant) {
-        // As above.
-        let _ = self.core.send(CoreMessage::DiscoveryMoved(at)).await;
+    /// Reports that discovery has been at another address since `moved_at`.
+    pub(super) async fn send_moved(&self, moved_at: Instant) {
+        // A core that has stopped needs no reports.
+        let _ = self.core.send(CoreMessage::DiscoveryMoved(moved_at)).await;
     }
 
     /// Returns once the core has stopped.
--- a/crates/transport/src/discovery/stream_splitter.rs
+++ b/crates/transport/src/discovery/stream_splitter.rs
@@ -1,23 +1,24 @@
-//! Cuts the body of a discovery response into lists and lines. No I/O.
+//! Splits the body of a discovery response into lists and lines. No I/O.
 
-/// Cuts a stream of bytes into JSON objects and lines that hold none. An object may stand on one line or on
+/// Splits a stream of bytes into JSON objects and lines that contain none. An object may span one line or
 /// several, indented or not, and arrive in any number of pieces.
 ///
-/// An object that breaks off is returned as it is, once an empty line or the next object shows that it has.
-/// It cannot be decoded; what follows it is read as usual.
+/// A truncated object is returned as it is, once an empty line or the next object shows that it is truncated.
+/// It cannot be decoded; the bytes after it are split as usual.
 #[derive(Debug, Default)]
 pub struct StreamSplitter {
-    /// What has arrived after the last item.
+    /// The bytes received after the last returned item.
     buffer: Vec<u8>,
-    /// How much of the buffer has been scanned.
+    /// The number of bytes of `buffer` that have been scanned.
     scanned: usize,
-    /// Objects that are open at that point.
+    /// The nesting depth of objects at the end of the scanned bytes.
     depth: u32,
-    /// That point is within a JSON string.
+    /// Whether the scanned bytes end within a JSON string.
     in_string: bool,
-    /// That point follows a backslash within a JSON string.
+    /// Whether the scanned bytes end with an escaping backslash within a JSON string.
     after_backslash: bool,
-    /// An object has ended, and the rest of its line is no line of its own.
+    /// Whether an object has ended whose line end has not been scanned; white space on the rest of its line
+    /// is not a line by itself.
     after_object: bool,
 }
 
@@ -27,12 +28,12 @@
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The number of bytes that belong to no complete item yet.
+    /// Returns the number of bytes that belong to no complete item yet.
     pub fn buffered_bytes(&self) -> usize {
         self.buffer.len()
     }
 
-    /// The next object, or line with its end, once it is complete.
+    /// Returns the next object, or the next line with its line end; `None` until it is complete.
     pub fn next_item(&mut self) -> Option<Vec<u8>> {
         while let Some(&byte) = self.buffer.get(self.scanned) {
             if self.object_breaks_off_before(byte) {
@@ -58,9 +59,9 @@
         None
     }
 
-    /// Whether the open object has broken off before this byte. No line within an object is empty, no string
-    /// goes on over the end of a line, and a line that begins with a brace is a new list unless an entry of
-    /// the open one is due.
+    /// Returns whether the open object is truncated before `byte`. No line within an object is empty, no
+    /// string spans lines, and a line that begins with a brace starts a new list unless the open list expects
+    /// an entry.
     fn object_breaks_off_before(&self, byte: u8) -> bool {
         let scanned = &self.buffer[..self.scanned];
         if self.depth == 0 || !scanned.ends_with(b"\n") {
@@ -72,7 +73,7 @@
         is_empty_line || self.in_string || (byte == b'{' && !entry_due)
     }
 
-    /// Takes a byte into account. Returns whether it is the last one of an object.
+    /// Updates the scan state with `byte`. Returns whether it is the last byte of an object.
     fn ends_object(&mut self, byte: u8) -> bool {
         match byte {
             _ if std::mem::take(&mut self.after_backslash) => {}
@@ -88,7 +89,7 @@
         false
     }
 
-    /// Removes what has been scanned from the buffer, and starts anew after it.
+    /// Removes the scanned bytes from the buffer, returns them, and resets the scan state.
     fn take_scanned(&mut self) -> Vec<u8> {
         self.depth = 0;
         self.in_string = false;
--- a/crates/transport/src/discovery/supervisor.rs
+++ b/crates/transport/src/discovery/supervisor.rs
@@ -7,23 +7,23 @@
 //! * the **current** watch is the one that was opened last, or that sent the last line;
 //! * the **timed-out** watch is the first one that has sent no line in time. It stays open while another one
 //!   is tried: an agent sends nothing while discovery is down, and a shared service answers its callers in
-//!   turn, so that closing a call would lose its turn. The first line from either watch closes the other one;
-//! * the **confirmation** is a call for the complete list, made beside a current watch that was sent and that
-//!   the agent has not answered. Only when it gets no answer either is the agent taken to have nothing new.
+//!   turn, so that a closed call would lose its place. The first line from either watch closes the other one;
+//! * the **confirmation** is a call for the complete list, made in addition to a current watch that was sent
+//!   and that the agent has not answered. Only if it is not answered either, the agent is assumed to have
+//!   nothing new.
 //!
-//! The states of the current watch, and what leads from one to the other:
+//! The states of the current watch and their transitions:
 //!
 //! ```text
 //! Waiting --reconnect time------------> Open     a watch is opened
-//! Open ----line-----------------------> Open     its timeout starts anew; the other calls are closed
+//! Open ----line-----------------------> Open     its timeout restarts; the other calls are closed
 //! Open ----no line in time------------> Waiting  it becomes the timed-out watch, or is closed
 //! Open ----end------------------------> Waiting
 //! either --line of timed-out watch----> Open     that watch becomes the current one
 //! ```
 //!
 //! The address is active until another one is the current address. Watches at a superseded address are not
-//! opened again, and end by themselves or after [`SUPERSEDED_WATCH_LIFETIME`]. Then the supervisor is
-//! finished.
+//! reopened; they end by themselves or after [`SUPERSEDED_WATCH_LIFETIME`]. Then the supervisor is finished.
 
 use std::time::Duration;
 
@@ -36,55 +36,55 @@
 use super::report::Report;
 use crate::backoff::{ReconnectPolicy, WatchEnd};
 
-/// An empty line arrives every 2 s. A watch without any line for this long has timed out.
+/// A watch that receives no line for this long has timed out. Discovery sends an empty line every 2 s.
 const LINE_TIMEOUT: Duration = Duration::from_millis(2750);
-/// An agent that has something to send has begun its answer within this time after a call was sent to it.
+/// An agent that has something to send begins its response within this time after the request was sent.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(250);
 /// A watch that was open for longer than this counts as healthy even if it brought no update.
 const HEALTHY_WATCH_AGE: Duration = Duration::from_millis(5500);
 /// A connection that breaks within this time after the call was opened belongs to a server that is not
-/// serving calls, so the call counts as one that was never made.
+/// serving calls, so the call counts as one that never reached it ([`CallFailure::Unreachable`]).
 const IMMEDIATE_END: Duration = Duration::from_millis(5);
 /// Watches at a superseded address are closed after this time.
 const SUPERSEDED_WATCH_LIFETIME: Duration = Duration::from_secs(5);
 
-/// Whether the supervised address is the current one.
+/// The phase of the supervised address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AddressPhase {
-    /// It is.
+    /// It is the current address.
     Active,
-    /// Another one is; watches that are open stay until then.
+    /// Another address is the current one; open watches stay open until `until`.
     Superseded { until: Instant },
-    /// Another one is, and the lifetime of the watches is over.
+    /// Another address is the current one, and the watches at this one have reached their lifetime.
     Expired,
 }
 
 /// An open watch.
 #[derive(Clone, Copy, Debug)]
 struct Watch {
-    /// The revision after which it was asked for changes.
+    /// The revision after which it requested changes.
     after: u64,
-    /// It has brought a readable line, if only an empty one.
+    /// Whether it has received a well-formed line, which may be empty.
     received_line: bool,
 }
 
 /// The state of the current watch.
 #[derive(Clone, Copy, Debug)]
 enum CurrentWatch {
-    /// There is none; the next one is opened then.
+    /// No watch is open; the next one is opened at `open_at`.
     Waiting { open_at: Instant },
-    /// It is open, and times out then unless it sends a line.
+    /// A watch is open; it times out at `times_out_at` unless a line arrives before.
     Open { watch: Watch, times_out_at: Instant },
 }
 
-/// Whether the request of a call was sent.
+/// The state of a call's request.
 #[derive(Clone, Copy, Debug)]
 enum RequestState {
-    /// There is no such call.
+    /// No call is open.
     NoCall,
-    /// Its connection is not established yet.
+    /// The connection is not established yet.
     Connecting,
-    /// It was sent then.
+    /// The request was sent at this time.
     Sent(Instant),
 }
 
@@ -109,14 +109,15 @@
     confirmation_open: bool,
     /// The last known revision.
     revision: u64,
-    /// When to judge that the agent has not answered. `None` once it has, or once that was judged.
+    /// When [`Event::AnswerTimeout`] is due. `None` once an answer has arrived or the timeout was handled.
     answer_deadline: Option<Instant>,
-    /// The core has not been told anything yet: neither that a line came, nor that none did.
+    /// Whether neither a line nor the lack of an answer has been recorded yet.
     awaits_first_report: bool,
 }
 
 impl WatchSupervisor {
-    /// Starts with a known revision, and opens the first watch after the policy's first delay.
+    /// Returns a supervisor that knows `revision`, and the first actions to carry out. The first watch is
+    /// opened after the policy's first delay.
     pub(super) fn start(
         mode: EndpointListMode,
         revision: u64,
@@ -137,18 +138,18 @@
         };
         let actions = match supervisor.is_streamed() {
             true => Vec::new(),
-            // No watch is open until the first call has had its turn.
+            // No watch is open until the policy's first delay has passed.
             false => vec![Action::Report(Report::WatchClosed)],
         };
         (supervisor, actions)
     }
 
-    /// The address is the current one.
+    /// Returns whether the address is the current one.
     pub(super) fn is_active(&self) -> bool {
         self.address == AddressPhase::Active
     }
 
-    /// The address is superseded, and all its watches have ended.
+    /// Returns whether the address is superseded and all its watches have ended.
     pub(super) fn is_finished(&self) -> bool {
         let watch_open = matches!(self.current, CurrentWatch::Open { .. }) || self.timed_out.is_some();
         match self.address {
@@ -158,12 +159,12 @@
         }
     }
 
-    /// When [`Event::AnswerTimeout`] is due, if it is.
+    /// Returns when [`Event::AnswerTimeout`] is due; `None` if no answer is awaited.
     pub(super) fn answer_deadline(&self) -> Option<Instant> {
         self.answer_deadline
     }
 
-    /// When [`Event::Timeout`] is due.
+    /// Returns when [`Event::Timeout`] is due.
     pub(super) fn deadline(&self) -> Instant {
         match (self.address, self.current) {
             (AddressPhase::Superseded { until }, _) => until,
@@ -172,7 +173,7 @@
         }
     }
 
-    /// Handles an event at that time.
+    /// Handles an event at the time `now` and returns the actions to carry out, in order.
     pub(super) fn handle(&mut self, event: Event, now: Instant) -> Vec<Action> {
         let mut actions = Vec::new();
         match event {
@@ -207,7 +208,8 @@
         self.mode == EndpointListMode::Streamed
     }
 
-    /// The watch that sent a line becomes the current and only one, with its full time for the next line.
+    /// Makes the watch that sent a line the current one, closes the other watch, and restarts the timeout. A
+    /// line of the confirmation only closes the confirmation.
     fn keep_only(&mut self, slot: CallSlot, now: Instant, actions: &mut Vec<Action>) {
         let next_timeout = now + LINE_TIMEOUT;
         match slot {
@@ -228,7 +230,7 @@
         }
     }
 
-    /// Reports what a line brings.
+    /// Reports the update in a line and, at the current address, the contact with discovery.
     fn record_line(&mut self, line: Line, now: Instant, actions: &mut Vec<Action>) {
         self.answer_deadline = None;
         self.awaits_first_report = false;
@@ -242,8 +244,8 @@
         if let CurrentWatch::Open { watch, .. } = &mut self.current {
             watch.received_line = true;
         }
-        // An empty line of a superseded address says nothing about what the current address has to send, so
-        // it must not renew the lease on the list.
+        // A line of a superseded address does not show whether the current address has anything to send, so
+        // it must not renew the endpoint lease.
         if self.is_active() {
             actions.push(Action::Report(Report::Contact(now)));
         }
@@ -255,22 +257,22 @@
         actions.push(Action::Close(CallSlot::Current));
         self.reconnect_after(watch, progress, now);
         if !self.is_streamed() {
-            // A watch that brought lines was the only one: its first line has closed the timed-out one.
+            // A watch that received lines is the only one: its first line closed the timed-out one.
             let report = if watch.received_line { Report::WatchClosed } else { Report::CallFailed };
             actions.push(Action::Report(report));
         }
-        // There is no answer left to wait for: that none came is judged in the next event.
+        // No answer can arrive on this call any more, so the answer timeout is due at once.
         self.answer_deadline = self.awaits_first_report.then_some(now);
     }
 
-    /// The confirmation has ended without a list.
+    /// Handles the end of a confirmation that received no list.
     fn on_confirmation_ended(&mut self, now: Instant, actions: &mut Vec<Action>) {
         self.close_confirmation(actions);
         self.answer_deadline = None;
         self.report_first_unanswered(now, actions);
     }
 
-    /// Judges that the agent has nothing to send, once neither the current watch nor a confirmation was
+    /// Reports that the agent has nothing to send once neither the current watch nor the confirmation was
     /// answered in time.
     fn on_answer_timeout(
         &mut self,
@@ -279,11 +281,11 @@
         now: Instant,
         actions: &mut Vec<Action>,
     ) {
-        // A shared service that has not answered may just not have come to this call yet.
+        // A shared service answers its callers in turn, so it may not have reached this call yet.
         let current = current.filter(|_| self.is_streamed() && self.is_active());
         match (RequestState::of(current), RequestState::of(confirmation)) {
             (RequestState::Sent(sent_at), RequestState::NoCall) if sent_at + ANSWER_TIMEOUT <= now => {
-                // A watch whose connection was broken from the beginning would look the same.
+                // A watch whose connection broke at the start would look the same.
                 self.open_confirmation(now, actions);
                 return;
             }
@@ -293,7 +295,7 @@
                 self.close_confirmation(actions);
                 actions.push(Action::Report(Report::Contact(watch_sent_at)));
             }
-            // The confirmation has not had its time yet.
+            // The answer timeout of the confirmation has not passed yet.
             (RequestState::Sent(_), RequestState::Sent(sent_at)) => {
                 self.answer_deadline = Some(sent_at + ANSWER_TIMEOUT);
                 return;
@@ -302,14 +304,15 @@
                 self.answer_deadline = Some(now + ANSWER_TIMEOUT);
                 return;
             }
-            // The watch has not had its time yet: that it was not answered so far is reported all the same.
+            // The answer timeout of the watch has not passed yet. That no answer has arrived is reported
+            // nevertheless.
             (RequestState::Sent(sent_at), RequestState::NoCall) => {
                 self.answer_deadline = Some(sent_at + ANSWER_TIMEOUT);
             }
             (RequestState::Connecting, RequestState::NoCall) => {
                 self.answer_deadline = Some(now + ANSWER_TIMEOUT);
             }
-            // There is no watch whose silence would mean anything.
+            // Without a watch whose request was sent, a missing answer says nothing about the agent.
             (RequestState::NoCall, _) | (RequestState::Connecting, _) => {}
         }
         self.report_first_unanswered(now, actions);
@@ -327,7 +330,7 @@
         }
     }
 
-    /// The current watch is kept as the timed-out one, unless there is one already.
+    /// Keeps the current watch as the timed-out one, or closes it if there is a timed-out one already.
     fn on_current_timed_out(
         &mut self,
         watch: Watch,
@@ -336,7 +339,7 @@
         actions: &mut Vec<Action>,
     ) {
         self.reconnect_after(watch, progress, now);
-        // A watch that brought lines has not failed: the lease on the list runs from its last line.
+        // A watch that received lines has not failed: the endpoint lease runs from its last line.
         if !self.is_streamed() && !watch.received_line {
             actions.push(Action::Report(Report::CallFailed));
         }
@@ -376,7 +379,7 @@
         }
     }
 
-    /// The next watch is opened after a delay that depends on how this one ended.
+    /// Schedules the next watch after a delay that depends on how this one ended.
     fn reconnect_after(&mut self, watch: Watch, progress: &CallProgress, now: Instant) {
         let end = classify_end(watch, progress, self.revision, now);
         self.current = CurrentWatch::Waiting { open_at: now + self.policy.next_delay(end) };
@@ -389,7 +392,7 @@
     }
 }
 
-/// How a watch counts now that another one is to follow it; `revision` is the one known by now.
+/// Classifies how a watch has ended or timed out. `revision` is the last known revision at `now`.
 fn classify_end(watch: Watch, progress: &CallProgress, revision: u64, now: Instant) -> WatchEnd {
     let elapsed = now.saturating_duration_since(progress.opened_at);
     let brought_update = revision != watch.after;
--- a/crates/transport/src/discovery/watch_task.rs
+++ b/crates/transport/src/discovery/watch_task.rs
@@ -1,4 +1,4 @@
-//! The task that carries out what a [`WatchSupervisor`] decides: it opens and closes calls, reads their
+//! The task that carries out the actions of a [`WatchSupervisor`]: it opens and closes calls, reads their
 //! lines, waits for deadlines, and sends reports to the core.
 
 use std::future::pending;
@@ -19,33 +19,33 @@
 use super::wire::parse_update;
 use crate::backoff::ReconnectPolicy;
 
-/// After this many turns of all tasks, the tasks that read the calls have passed on what had arrived: more
-/// turns than a connection and its reader need.
+/// The number of yields after which the tasks that read the calls have passed on all received lines: more
+/// than a connection and its reader need.
 const READER_YIELDS: u32 = 8;
 
 /// Watches the list at one address.
 pub(super) struct WatchTask {
     /// The address.
     pub(super) address: SocketAddr,
-    /// How lists are delivered there.
+    /// How lists are delivered at the address.
     pub(super) mode: EndpointListMode,
-    /// When to reconnect.
+    /// The delays between calls.
     pub(super) policy: ReconnectPolicy,
-    /// The last known revision, which the watches at all addresses share.
+    /// The last known revision, shared by the watches at all addresses.
     pub(super) revision: Arc<AtomicU64>,
-    /// The way to the core.
+    /// Sends reports to the core.
     pub(super) reporter: Reporter,
     /// Cancelled once another address is the current one.
     pub(super) superseded: CancellationToken,
 }
 
-/// What comes next of a call.
+/// The next output of a call.
 enum CallOutput {
     Line(Vec<u8>),
     End(CallProgress),
 }
 
-/// Why the task goes on.
+/// The cause of a wakeup of the task.
 enum Wakeup {
     Superseded,
     Call(CallSlot, CallOutput),
@@ -77,7 +77,7 @@
     }
 }
 
-/// The order of the branches decides which of two things that have both happened comes first.
+/// Waits for the next wakeup. If several causes are present, the first branch takes precedence.
 async fn next_wakeup(
     supervisor: &WatchSupervisor,
     calls: &mut OpenCalls,
@@ -98,7 +98,7 @@
     }
 }
 
-/// Never returns where there is no call. Cancel safe.
+/// Waits for the next output of a call; never completes if there is no call. Cancel safe.
 async fn next_output(call: &mut Option<ListCall>) -> CallOutput {
     let Some(call) = call else { return pending().await };
     match call.next_line().await {
@@ -107,7 +107,7 @@
     }
 }
 
-/// Lets the reading tasks pass on what arrived while this process was slow.
+/// Lets the reading tasks pass on the lines that arrived while this process was delayed.
 async fn let_readers_run() {
     for _ in 0..READER_YIELDS {
         yield_now().await;
@@ -158,7 +158,7 @@
         }
     }
 
-    /// What the supervisor is told of a wakeup.
+    /// Returns the supervisor's event for a wakeup.
     fn event(&self, wakeup: Wakeup) -> Event {
         match wakeup {
             Wakeup::Superseded => Event::Superseded,
@@ -177,7 +177,7 @@
     }
 }
 
-/// Decodes a line. One that cannot be read is logged; the list stays as it is.
+/// Decodes a line. A malformed line is logged and leaves the list unchanged.
 fn read_line(line: &[u8]) -> Line {
     let text = String::from_utf8_lossy(line);
     let text = text.trim();
--- a/crates/transport/src/discovery/wire.rs
+++ b/crates/transport/src/discovery/wire.rs
@@ -1,5 +1,5 @@
-//! The endpoint list on the wire: discovery's lines, and the list within the state that a handover passes on.
-//! The wire's names become this program's terms here and nowhere else.
+//! The JSON form of the endpoint list, in discovery's responses and in the state that a handover passes on.
+//! This module alone maps the names in the JSON to the names in the code.
 
 use miniserde::{json, Deserialize, Serialize};
 use thiserror::Error;
@@ -18,7 +18,7 @@
     InvalidAddress {
         /// The endpoint's id.
         endpoint: String,
-        /// What stands there.
+        /// The invalid value.
         value: String,
     },
     /// An endpoint's phase is none of the known ones.
@@ -26,16 +26,16 @@
     UnknownPhase {
         /// The endpoint's id.
         endpoint: String,
-        /// What stands there.
+        /// The invalid value.
         value: String,
     },
 }
 
-/// Decodes a list or a change of it from JSON.
+/// Decodes a complete list or a change to it from JSON.
 ///
 /// # Errors
-/// [`InvalidEndpointList`] if the text is no list, or if one of its endpoints makes no sense; then none of it
-/// is used.
+/// [`InvalidEndpointList`] if the text is not a list, or if one of its endpoints is invalid; then no endpoint
+/// of it is used.
 pub fn parse_update(text: &str) -> Result<EndpointUpdate, InvalidEndpointList> {
     let list: WireList = json::from_str(text).map_err(|_| InvalidEndpointList::NotAList)?;
     list.try_into()
@@ -65,7 +65,7 @@
     shard: u32,
     #[serde(rename = "phase")]
     phase: String,
-    /// Milliseconds since 1970, with decimals.
+    /// The start time of the node, milliseconds since 1970, with decimals.
     #[serde(rename = "up_since_ms")]
     started_at_ms: Option<f64>,
 }
@@ -87,7 +87,7 @@
     fn from(update: EndpointUpdate) -> Self {
         Self {
             revision: update.revision,
-            // Whatever a complete list was read from, it is passed on as a complete list.
+            // A cached list is a complete list too.
             is_snapshot: update.kind != EndpointUpdateKind::Changes,
             endpoints: update.endpoints.into_iter().map(WireEndpoint::from).collect(),
         }
--- a/crates/transport/src/handover/codec.rs
+++ b/crates/transport/src/handover/codec.rs
@@ -1,5 +1,5 @@
-//! The state that a handover passes on, as one line of JSON. Its names on the wire become this program's
-//! terms here.
+//! Encodes and decodes the state that a handover passes on, as one line of JSON. This module maps the names
+//! in the JSON to the names in the code.
 
 use miniserde::{json, Deserialize, Serialize};
 use thiserror::Error;
@@ -7,7 +7,7 @@
 use crate::discovery::{InvalidEndpointList, WireList};
 use heathward_core::{HandoverState, SlowStartNode};
 
-/// Why a line is no handover state.
+/// Why a line cannot be decoded as a handover state.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum InvalidHandoverState {
     /// It is not UTF-8.
@@ -38,12 +38,12 @@
 struct WireSlowStart {
     #[serde(rename = "id")]
     node: String,
-    /// Microseconds since 1970.
+    /// The start of its slow start, microseconds since 1970.
     #[serde(rename = "since_us")]
     since: u64,
 }
 
-/// Encodes the state, without an end of line.
+/// Encodes the state as a line without its end.
 pub fn encode(state: HandoverState) -> String {
     let HandoverState { endpoint_list, suspended, slow_start, paused } = state;
     let slow_start =
@@ -59,7 +59,7 @@
 /// Decodes a line without its end.
 ///
 /// # Errors
-/// [`InvalidHandoverState`] if the line is no state, or if an endpoint in it makes no sense.
+/// [`InvalidHandoverState`] if the line is not a state, or if an endpoint in it is invalid.
 pub fn decode(line: &[u8]) -> Result<HandoverState, InvalidHandoverState> {
     let text = std::str::from_utf8(line).map_err(|_| InvalidHandoverState::NotUtf8)?;
     let WireState { endpoint_list, suspended, slow_start, paused } =
--- a/crates/transport/src/handover/command_exchange.rs
+++ b/crates/transport/src/handover/command_exchange.rs
@@ -1,5 +1,6 @@
-//! Passes operators' commands between two processes of one scheduler while both run, in the lines of the
-//! admin interface: a command that one has carried out, the other one carries out too and answers.
+//! Passes operators' commands between two processes of one scheduler while both run, as lines in the format
+//! of the admin interface. Each process carries out the commands that the other one has carried out, and
+//! answers them.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -11,16 +12,16 @@
 use crate::admin::{Reply, Request};
 use heathward_core::{CommandError, CoreHandle, ForwardedCommand};
 
-/// The peer process has this long to answer a command: the operator expects an answer within 1 s.
+/// The time within which the peer process must answer a command: the operator expects an answer within 1 s.
 const PEER_ANSWER_TIMEOUT: Duration = Duration::from_millis(600);
 /// A line that cannot be sent within this time ends the exchange.
 const SEND_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// A command that was sent to the peer process and is not answered yet.
 struct PendingCommand {
-    /// When the operator is told that the peer process does not answer.
+    /// When the command fails with [`CommandError::PeerUnresponsive`].
     deadline: Instant,
-    /// The way to the operator, until it was answered.
+    /// Sends the result to the operator; `None` once it was sent.
     reply: Option<oneshot::Sender<Result<(), CommandError>>>,
 }
 
@@ -39,7 +40,8 @@
     core: &'a CoreHandle,
     /// The commands that this process has carried out.
     commands: mpsc::Receiver<ForwardedCommand>,
-    /// In the order in which they were sent, which is also that of the answers.
+    /// The commands that the peer process has not answered, in the order in which they were sent. The answers
+    /// arrive in the same order.
     pending: VecDeque<PendingCommand>,
 }
 
@@ -52,7 +54,7 @@
         Self { link, core, commands, pending: VecDeque::new() }
     }
 
-    /// Exchanges commands until the peer process exits, stops reading, or the core of this one stops.
+    /// Exchanges commands until the peer process exits or stops reading, or the core of this process stops.
     pub(super) async fn run(mut self) {
         loop {
             let deadline = self.next_deadline();
@@ -76,11 +78,11 @@
                 break;
             }
         }
-        // The peer process has exited and sends nothing to any node, so the commands hold.
+        // The peer process has exited and sends nothing to any node, so the commands are in effect.
         self.pending.iter_mut().for_each(|pending| pending.answer(Ok(())));
     }
 
-    /// When the oldest command without an answer to its operator is given up.
+    /// Returns the deadline of the oldest command whose operator has no result yet.
     fn next_deadline(&self) -> Option<Instant> {
         self.pending.iter().find(|pending| pending.reply.is_some()).map(|pending| pending.deadline)
     }
@@ -92,7 +94,7 @@
         }
     }
 
-    /// Notes a command of this process. Returns the line to send.
+    /// Records a command that this process has carried out. Returns the line to send.
     fn on_command(&mut self, forwarded: ForwardedCommand) -> String {
         let ForwardedCommand { command, reply } = forwarded;
         let deadline = Instant::now() + PEER_ANSWER_TIMEOUT;
@@ -104,8 +106,8 @@
     async fn on_line(&mut self, line: &[u8]) -> Option<String> {
         if line.starts_with(b"OK") || line.starts_with(b"ERR") {
             if let Some(mut answered) = self.pending.pop_front() {
-                // An error says that the peer process does not know the node. It sends nothing there, which
-                // is what the command was to achieve.
+                // An error means that the peer process does not know the node. It sends nothing there, which
+                // is the purpose of the command.
                 answered.answer(Ok(()));
             }
             return None;
@@ -116,7 +118,7 @@
                 Ok(Err(error)) => Reply::CommandFailed(error),
                 Err(_) => Reply::NotReady,
             },
-            // They are no commands, and no peer process sends them: there is nothing to carry out.
+            // These are not commands and no peer process sends them, so there is nothing to carry out.
             Ok(Request::Status | Request::Metrics) => Reply::Ok,
             Err(malformed) => Reply::Malformed(malformed),
         };
--- a/crates/transport/src/handover/link.rs
+++ b/crates/transport/src/handover/link.rs
@@ -1,5 +1,5 @@
-//! The connection between two processes of one scheduler: lines of text, and once the listening sockets that
-//! one hands to the other.
+//! The connection between two processes of one scheduler. It carries lines of text and, once, the listening
+//! sockets that one process hands over to the other.
 
 use std::io::{self, IoSlice, IoSliceMut};
 use std::mem::MaybeUninit;
@@ -12,18 +12,18 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt, Interest};
 use tokio::net::UnixStream;
 
-/// No line is longer. The longest one holds a list of some ten thousand nodes.
+/// The maximum length of a line, enough for a list of some ten thousand nodes.
 const MAX_LINE_BYTES: usize = 4 << 20;
-/// The most sockets that are passed: one listener for each front.
+/// The maximum number of sockets that are passed: one listener for each front.
 const MAX_SOCKETS: usize = 2;
-/// The byte that the sockets accompany, as a message on a stream needs one.
+/// The payload that the sockets accompany: a message on a stream socket needs at least one byte.
 const SOCKET_CARRIER: &[u8] = b"+";
 
 /// One end of the connection.
 #[derive(Debug)]
 pub(super) struct Link {
     stream: UnixStream,
-    /// What has arrived after the last line that was taken.
+    /// The bytes received after the last returned line.
     received: Vec<u8>,
 }
 
@@ -32,13 +32,13 @@
         Self { stream, received: Vec::new() }
     }
 
-    /// Sends a line, to which this adds its end.
+    /// Sends a line and appends its end.
     pub(super) async fn send_line(&mut self, line: &str) -> io::Result<()> {
         self.stream.write_all(format!("{line}\n").as_bytes()).await
     }
 
-    /// The next line without its end; `None` once the other side has closed the connection or has sent too
-    /// long a line. Cancel safe: what has arrived of a line stays.
+    /// Returns the next line without its end; `None` once the other process has closed the connection or has
+    /// sent a line that is too long. Cancel safe: received parts of a line are kept.
     pub(super) async fn next_line(&mut self) -> Option<Vec<u8>> {
         let mut searched = 0;
         loop {
@@ -69,7 +69,7 @@
         sent.await.map(drop)
     }
 
-    /// Receives the sockets that the other process sends; none if its first byte comes without any.
+    /// Receives the sockets that the other process sends; returns none if its first byte carries none.
     pub(super) async fn receive_sockets(&mut self) -> io::Result<Vec<OwnedFd>> {
         let received = self.stream.async_io(Interest::READABLE, || {
             let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_SOCKETS))];
--- a/crates/transport/src/handover/mod.rs
+++ b/crates/transport/src/handover/mod.rs
@@ -1,10 +1,10 @@
 //! Handover between two processes of one scheduler: the running process passes its listening sockets and its
-//! state to the one that starts beside it. While both run, each carries out the operators' commands that the
-//! other one gets.
+//! state to the starting one. While both run, each carries out the operators' commands that the other one
+//! receives.
 //!
 //! The running process listens on a Unix socket in `$TMPDIR` whose name contains the address for clients. The
 //! starting process sends a greeting, the running one answers with the sockets and the state, and the
-//! starting one says when it serves. Whatever is wrong with the peer process, a start goes on without it.
+//! starting one reports when it serves. If the handover fails for any reason, the start continues without it.
 
 mod codec;
 mod command_exchange;
@@ -30,14 +30,14 @@
 
 /// The first line of the starting process, with the version of the protocol.
 const GREETING: &str = "HEATHWARD 1";
-/// The line with which the starting process says that it serves.
+/// The line with which the starting process reports that it serves.
 const SERVING: &str = "READY";
-/// Each step of a handover but the start itself takes no longer.
+/// The timeout of each step of a handover except the start itself.
 const STEP_TIMEOUT: Duration = Duration::from_millis(1500);
-/// The starting process serves within this time after it was given the state.
+/// The timeout from sending the state until the starting process serves.
 const START_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What the peer process is doing.
+/// The phase of the peer process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerPhase {
     /// It is starting. From now on both processes count against one limit of file descriptors, so each of
@@ -59,8 +59,8 @@
     }
 }
 
-/// Why a handover was not completed. It is not logged: a start without a running process is the usual one,
-/// and a running process learns from [`PeerPhase::Exited`] that the other one is gone.
+/// Why a handover was not completed. It is not logged: most starts have no running process to take over from,
+/// and a running process learns from [`PeerPhase::Exited`] that the other one has exited.
 #[derive(Debug, Error)]
 enum HandoverError {
     #[error("the peer process did not answer in time")]
@@ -79,26 +79,26 @@
     CoreStopped,
 }
 
-/// The path at which the processes of the scheduler with that client address meet; `None` if the system
-/// chooses the port.
+/// Returns the path of the Unix socket for handovers of the scheduler that listens for clients at that
+/// address; `None` if the system chooses the port.
 pub fn socket_path(listen: SocketAddr) -> Option<PathBuf> {
     (listen.port() != 0).then(|| std::env::temp_dir().join(format!("heathward-{listen}.sock")))
 }
 
-/// Listens at that path, in place of any other process.
+/// Listens at `path`, in place of any process that listened there before.
 ///
 /// # Errors
 /// The error of the system if the socket cannot be bound or moved to the path.
 pub fn bind(path: &Path) -> io::Result<UnixListener> {
     let own_path = path.with_extension(std::process::id().to_string());
-    // A process with the same id may have left one.
+    // An earlier process with the same id may have left a socket at this path.
     let _ = std::fs::remove_file(&own_path);
     let listener = UnixListener::bind(&own_path)?;
     std::fs::rename(&own_path, path)?;
     Ok(listener)
 }
 
-/// What the starting process has received.
+/// The state and the sockets that the starting process has received.
 #[derive(Debug)]
 pub struct ReceivedHandover {
     /// The state of the running process.
@@ -108,10 +108,10 @@
     link: Link,
 }
 
-/// Asks the running process for its sockets and its state. `None` if there is no such process, or if it does
-/// not answer in time and in a form that can be read.
+/// Requests the sockets and the state of the running process. Returns `None` if there is no such process, or
+/// if it does not send a valid answer in time.
 pub async fn receive(path: &Path) -> Option<ReceivedHandover> {
-    // Without a handover the start goes on, whatever the reason.
+    // The start continues without a handover, whatever the error.
     timeout(STEP_TIMEOUT, request_state(path)).await.ok()?.ok()
 }
 
@@ -127,9 +127,10 @@
 }
 
 impl ReceivedHandover {
-    /// Restores the state, and tells the running process that this one serves; to be called once it accepts
-    /// connections. Then spawns a task that exchanges commands with the peer process; the task ends by itself
-    /// when the peer process exits or the core stops, and sends [`PeerPhase::Exited`] to `phases`.
+    /// Restores the state and notifies the running process that this one serves; must be called once this
+    /// process accepts connections. Then spawns a task that exchanges commands with the peer process. The
+    /// task ends when the peer process exits or the core stops, and then sends [`PeerPhase::Exited`] to
+    /// `phases`.
     pub async fn complete(mut self, core: CoreHandle, phases: mpsc::Sender<PeerPhase>) {
         let commands = core.take_over(self.state).await;
         let sent = timeout(STEP_TIMEOUT, self.link.send_line(SERVING)).await;
@@ -142,8 +143,9 @@
     }
 }
 
-/// Serves a process that has connected: passes it everything if its greeting is understood, and exchanges
-/// commands with it until it exits. Each of its phases is sent to `phases`, and [`PeerPhase::Exited`] last.
+/// Serves a starting process that has connected: sends it the sockets and the state if its greeting is valid,
+/// and exchanges commands with it until it exits. Sends each of its phases to `phases`, and
+/// [`PeerPhase::Exited`] last.
 pub async fn send(
     stream: UnixStream,
     core: CoreHandle,
@@ -154,7 +156,7 @@
     let greeting = timeout(STEP_TIMEOUT, link.next_line()).await;
     if greeting.is_ok_and(|line| line.as_deref() == Some(GREETING.as_bytes())) {
         report_phase(&phases, PeerPhase::Starting).await;
-        // A peer process that ends before it serves changes nothing here.
+        // A peer process that ends before it serves leaves this process unchanged.
         let _ = hand_over(&mut link, &core, sockets, &phases).await;
     }
     report_phase(&phases, PeerPhase::Exited).await;
@@ -177,8 +179,8 @@
     Ok(())
 }
 
-/// Closes the duplicates of the sockets once they are sent, so that they are not held while the peer process
-/// starts.
+/// Sends the sockets and the state. Closes the sockets, which are duplicates, once they are sent, so that
+/// they are not held while the peer process starts.
 async fn send_state(link: &mut Link, sockets: Vec<OwnedFd>, state: HandoverState) -> io::Result<()> {
     link.send_sockets(&sockets).await?;
     drop(sockets);
@@ -186,6 +188,6 @@
 }
 
 async fn report_phase(phases: &mpsc::Sender<PeerPhase>, phase: PeerPhase) {
-    // Nobody receives phases once the program ends.
+    // The receiver is dropped when the program ends.
     let _ = phases.send(phase).await;
 }
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,5 +1,5 @@
-//! Everything that speaks over a network or a socket: the HTTP front and the NVMe over TCP front for clients,
-//! the connections to storage nodes, discovery, the admin interface, and the handover between two processes.
+//! Network and socket I/O: the HTTP front and the NVMe over TCP front for clients, the connections to storage
+//! nodes, discovery, the admin interface, and the handover between two processes.
 
 pub mod admin;
 pub mod backoff;
--- a/crates/transport/tests/stored/admin.rs
+++ b/crates/transport/tests/stored/admin.rs
@@ -1,4 +1,4 @@
-//! The admin interface: each command line, each reply, and what its caller prints of a call that failed.
+//! The admin interface: each request line, each reply, and the text of each error of a call.
 
 use heathward_core::{
     AnswerCounts, CommandError, ConfigurationReloads, CoreMetrics, Counters, OperatorCommand,
--- a/crates/transport/tests/stored/counters.rs
+++ b/crates/transport/tests/stored/counters.rs
@@ -1,4 +1,4 @@
-//! The counters line, which is logged at the end and when it is asked for.
+//! The counters line, which is logged at the end and on request.
 
 use heathward_core::{AnswerCounts, ConfigurationReloads, Counters};
 
--- a/crates/transport/tests/stored/handover.rs
+++ b/crates/transport/tests/stored/handover.rs
@@ -1,4 +1,4 @@
-//! The state that one process hands to the next, as one line.
+//! The state that one process hands over to the next, as one line of JSON.
 
 use heathward_core::{Endpoint, EndpointUpdate, HandoverState, SlowStartNode};
 use heathward_policy::{EndpointUpdateKind, NodeState, ShardId};
@@ -24,7 +24,8 @@
     }
 }
 
-/// Every field filled: nodes in every state, with and without a start, a zone, and of both kinds of address.
+/// Returns a state with every field set: nodes in every state, with and without a start time, with and
+/// without a zone, and with IPv4 and IPv6 addresses.
 fn state() -> HandoverState {
     HandoverState {
         endpoint_list: EndpointUpdate {
--- a/crates/transport/tests/stored/main.rs
+++ b/crates/transport/tests/stored/main.rs
@@ -1,5 +1,6 @@
-//! What two versions of the program say to each other, what operators type and read, and the counters line,
-//! as bytes in files: each is compared or read byte for byte.
+//! Compatibility tests of external text formats: the handover state that two versions of the program
+//! exchange, the requests and replies of the admin interface, and the counters line. Each must match its
+//! fixture byte for byte.
 #![cfg(test)]
 
 mod admin;
