--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -1,4 +1,4 @@
-//! Checks files without applying any: whether a file would be accepted, and which field is at fault if not.
+//! Checks files without applying them: whether a file would be accepted, and which field is at fault if not.
 
 use std::path::Path;
 
@@ -12,7 +12,7 @@
 use crate::jsonnet::current_executable;
 use crate::operator::OperatorSettings;
 
-/// The kind of a file, told by its name or its fields.
+/// The kind of a file, recognized by its extension or its fields.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FileKind {
     /// The platform's configuration.
@@ -26,7 +26,7 @@
 }
 
 impl FileKind {
-    /// The name that messages use.
+    /// Returns the name of the kind in messages.
     pub fn display_name(self) -> &'static str {
         match self {
             Self::Configuration => "configuration",
@@ -36,7 +36,7 @@
         }
     }
 
-    /// The kind of JSON file that has such fields; `None` if there is no such kind or the text is not JSON.
+    /// Returns the kind of a JSON file, by its fields; `None` if no kind has them or the text is not JSON.
     fn detect(text: &str) -> Option<Self> {
         let Ok(Value::Object(object)) = json::from_str(text) else { return None };
         if object.contains_key("settings") {
@@ -51,11 +51,11 @@
     }
 }
 
-/// Checks one file and says of which kind it is. Names of classes and plans in it are looked up in
-/// `deployment`; without a deployment, rules are checked by themselves.
+/// Checks one file and returns its kind. Names of classes and plans in it are looked up in `deployment`;
+/// without a deployment, rules may contain any names.
 ///
 /// # Errors
-/// The field at fault; or that a configuration is needed to check the file.
+/// The field at fault, or a missing configuration that is needed to check the file.
 pub fn check_file(path: &Path, deployment: Option<&Deployment>) -> Result<FileKind, ConfigError> {
     if path.extension().is_some_and(|extension| extension == "jsonnet") {
         OperatorSettings::load(&current_executable(), path, deployment)?;
@@ -77,13 +77,13 @@
             Some(deployment) => Rules::parse(&text, deployment.clone().into()).map(drop)?,
             None => Rules::alone(&text).map(drop)?,
         },
-        // An operator file is told by its name, above.
+        // Operator files are recognized by their extension, above.
         FileKind::Operator => {}
     }
     Ok(kind)
 }
 
-/// The deployment of the first valid configuration among these files, if there is one.
+/// Returns the deployment of the first valid configuration among the files, if there is one.
 pub fn first_deployment<'a>(paths: impl IntoIterator<Item = &'a Path>) -> Option<Deployment> {
     let deployment_of = |path: &Path| {
         let text = read_text_file("file", path).ok()?;
--- a/crates/config/src/configuration.rs
+++ b/crates/config/src/configuration.rs
@@ -12,14 +12,14 @@
 
 use crate::operator::OperatorSettings;
 
-/// File descriptors that the process may hold if the file sets no limit.
+/// The limit on the process's file descriptors if the file sets none.
 const DEFAULT_MAX_DESCRIPTORS: usize = 1024;
-/// With fewer file descriptors there is no room for clients and nodes.
+/// The smallest valid limit on file descriptors: a lower one would leave none for clients and nodes.
 const MIN_DESCRIPTORS: usize = 64;
 
-/// Everything that the program is configured with.
+/// The complete configuration of the program.
 pub struct Config {
-    /// The scheduler's name, the same after a restart.
+    /// The scheduler's name, which stays the same after a restart.
     pub name: String,
     /// The address that clients connect to.
     pub listen_address: SocketAddr,
@@ -29,7 +29,7 @@
     pub discovery_address: SocketAddr,
     /// The seed of all random numbers; in the file as a hexadecimal number.
     pub seed: u64,
-    /// File descriptors that the process may hold, at least 64.
+    /// The limit on the process's file descriptors, at least 64.
     pub max_descriptors: usize,
     /// The endpoint list that the platform wrote into the configuration, for the time until discovery
     /// answers.
@@ -40,15 +40,15 @@
     pub nvme_map: Option<Map>,
     /// The operator file's settings; the defaults if there is no such file.
     pub operator_settings: OperatorSettings,
-    /// A load source to be listed in place of serving.
+    /// A load source whose entries are to be listed instead of serving clients.
     pub load_listing: Option<LoadListing>,
 }
 
-/// A load source that is to be listed.
+/// A load source whose entries are to be listed.
 pub struct LoadListing {
     /// The source.
     pub source: LoadSource,
-    /// How its entries become requests.
+    /// The rules that map its entries to requests.
     pub rules: Rules,
 }
 
@@ -60,7 +60,7 @@
     AccessLog(String),
 }
 
-/// Decodes the platform's configuration. What other files set is at its default.
+/// Decodes the platform's configuration. Settings of other files have their defaults.
 ///
 /// # Errors
 /// The first field that is missing or invalid.
@@ -94,7 +94,7 @@
     ConfigError { field: "configuration".to_owned(), reason: "not JSON".to_owned() }
 }
 
-/// A section that must be there.
+/// Returns a required section.
 fn section<'a>(value: &'a Value, name: &str) -> Result<&'a Value, ConfigError> {
     match value {
         Value::Object(object) => object.get(name).ok_or_else(|| ConfigError::missing(name)),
@@ -102,7 +102,7 @@
     }
 }
 
-/// The section `known`, which has the form that discovery's updates have.
+/// Decodes the section `known`, which has the format of discovery's updates.
 fn parse_cached_endpoints(known: &Value) -> Result<EndpointUpdate, ConfigError> {
     let update = discovery::parse_update(&json::to_string(known));
     let update =
@@ -110,7 +110,7 @@
     Ok(EndpointUpdate { kind: EndpointUpdateKind::Cached, ..update })
 }
 
-/// The section `settings`.
+/// Decodes and checks the section `settings`.
 fn parse_deployment(settings: &Value) -> Result<Deployment, ConfigError> {
     let deployment = Deployment::read(&JsonSource(settings))
         .map_err(|error| ConfigError { field: format!("settings.{}", error.field), ..error })?;
--- a/crates/config/src/files.rs
+++ b/crates/config/src/files.rs
@@ -11,7 +11,7 @@
 use crate::jsonnet::current_executable;
 use crate::operator::OperatorSettings;
 
-/// The largest file that is read, bytes.
+/// The maximum size of a file, bytes.
 const MAX_FILE_BYTES: u64 = 16 << 20;
 
 /// The files that the command line names.
@@ -21,9 +21,9 @@
     pub operator: Option<PathBuf>,
     /// The map of the NVMe front, JSON.
     pub nvme_map: Option<PathBuf>,
-    /// A load source to be listed, HAR.
+    /// A HAR file, as a load source to be listed.
     pub har: Option<PathBuf>,
-    /// A load source to be listed, an access log.
+    /// An access log, as a load source to be listed.
     pub access_log: Option<PathBuf>,
     /// The rules for a load source, JSON.
     pub load_rules: Option<PathBuf>,
@@ -50,7 +50,7 @@
     Ok(config)
 }
 
-/// The load source that the command line names, with its rules.
+/// Reads the load source that the command line names, with its rules.
 fn read_load_listing(files: &FileArguments, config: &Config) -> Result<Option<LoadListing>, ConfigError> {
     let source = match (&files.har, &files.access_log) {
         (Some(path), _) => Some(LoadSource::Har(read_text_file("--har", path)?)),
@@ -81,10 +81,11 @@
     Ok(config)
 }
 
-/// The text of a file that a field or an argument names.
+/// Reads the text of a file that a field or an argument names.
 ///
 /// # Errors
-/// The field, with the path and the system's message; or that the file is larger than 16 MiB.
+/// A [`ConfigError`] for `field` with the path and the reason: the system's message, or that the file is
+/// larger than 16 MiB.
 pub fn read_text_file(field: &str, path: &Path) -> Result<String, ConfigError> {
     let error = |reason: String| ConfigError {
         field: field.to_owned(),
--- a/crates/config/src/jsonnet.rs
+++ b/crates/config/src/jsonnet.rs
@@ -1,6 +1,6 @@
-//! Evaluates operator files, which are Jsonnet.
+//! Evaluates operator files, which are written in Jsonnet.
 //!
-//! A file that loops, grows without bound or reaches outside its folder must not harm the process that
+//! A file that loops, grows without bound or imports from outside its folder must not harm the process that
 //! reads it. Therefore its source and its imports are checked before anything is evaluated, and it is
 //! evaluated in a child process whose CPU time and memory the system limits. (The library limits the call
 //! depth but not the number of steps, and a thread cannot be stopped.)
@@ -21,19 +21,20 @@
 pub use child_process::evaluate_in_child_process;
 use imports::{find_imports, ImportError};
 
-/// The size of an operator file with all its imports, bytes.
+/// The maximum size of an operator file with all its imports, bytes.
 const MAX_SOURCE_BYTES: u64 = 256 * 1024;
-/// The number of files that an operator file consists of.
+/// The maximum number of files: the operator file and its imports.
 const MAX_SOURCE_FILES: usize = 32;
-/// The size of the JSON that it evaluates to, bytes.
+/// The maximum size of the JSON that an operator file evaluates to, bytes.
 const MAX_RESULT_BYTES: u64 = 256 * 1024;
-/// The depth of nested calls.
+/// The maximum depth of nested calls.
 const MAX_CALL_DEPTH: usize = 200;
-/// CPU time of an evaluation, seconds.
+/// The limit on the CPU time of an evaluation, seconds.
 const MAX_CPU_SECONDS: u64 = 2;
-/// Memory of an evaluation, MB.
+/// The limit on the memory of an evaluation, MB.
 const MAX_MEMORY_MB: u64 = 512;
-/// Lines of the evaluator's message that are passed on: the error and its place, without the call stack.
+/// The number of lines of the evaluator's message that are reported: the error and its location, without the
+/// call stack.
 const MAX_MESSAGE_LINES: usize = 2;
 
 /// Why an operator file cannot be evaluated.
@@ -43,10 +44,10 @@
     TooManyFiles,
     #[error("over {MAX_SOURCE_BYTES} bytes with what it imports")]
     SourceTooLarge,
-    /// The operator file itself cannot be used.
+    /// The operator file itself is invalid.
     #[error(transparent)]
     Source(SourceError),
-    /// A file that it imports cannot be used.
+    /// A file that it imports is invalid.
     #[error("{}: {error}", name.display())]
     ImportedSource { name: OsString, error: SourceError },
     /// The evaluator's message.
@@ -76,26 +77,25 @@
 }
 
 impl JsonnetError {
-    /// The same, with the path of the operator file.
+    /// Converts this error to one that names the path of the operator file.
     fn at(self, path: &Path) -> ConfigError {
         ConfigError { field: format!("operator file {}", path.display()), reason: self.to_string() }
     }
 }
 
-/// Evaluates an operator file to JSON in this process, which is to be started for it and to do nothing
-/// else.
+/// Evaluates an operator file to JSON in this process, which must have been started for this purpose alone.
 ///
 /// # Errors
-/// What is wrong with the file, in one line.
+/// The reason why the file cannot be evaluated, in one line.
 pub fn evaluate_jsonnet(path: &Path) -> Result<String, ConfigError> {
     check_sources(path).and_then(|()| evaluate_checked(path)).map_err(|error| error.at(path))
 }
 
-/// Limits the CPU time and the memory of this process to those of an evaluation. To be called before
+/// Limits the CPU time and the memory of this process to those of an evaluation. Must be called before
 /// [`evaluate_jsonnet`].
 ///
 /// # Errors
-/// The system's.
+/// The error of the system if a limit cannot be set.
 pub fn limit_process_resources() -> io::Result<()> {
     let limit = |max| Rlimit { current: Some(max), maximum: Some(max) };
     setrlimit(Resource::Cpu, limit(MAX_CPU_SECONDS))?;
@@ -105,7 +105,7 @@
     Ok(())
 }
 
-/// The executable of this process, which stays reachable after its file has been replaced.
+/// Returns a path to the executable of this process that stays valid after the file has been replaced.
 pub fn current_executable() -> PathBuf {
     PathBuf::from("/proc/self/exe")
 }
@@ -157,8 +157,9 @@
     Ok(())
 }
 
-/// The text of a source file, up to one byte more than all files together may have; the caller checks the
-/// sum. A symbolic link could lead out of the folder, and a pipe might never end.
+/// Reads a source file, up to one byte more than the limit for all files together; the caller checks the sum.
+/// Rejects symbolic links, which could lead out of the folder, unless `may_be_link`, and rejects pipes, which
+/// might never end.
 fn read_source(file: &Path, may_be_link: bool) -> Result<String, SourceError> {
     let is_plain = file.symlink_metadata()?.is_file() || (may_be_link && file.is_file());
     if !is_plain {
--- a/crates/config/src/jsonnet/child_process.rs
+++ b/crates/config/src/jsonnet/child_process.rs
@@ -1,4 +1,4 @@
-//! Evaluates an operator file in a child process, and ends that process if it takes too long.
+//! Evaluates an operator file in a child process, and kills that process if it takes too long.
 
 use std::io::Read;
 use std::path::Path;
@@ -10,18 +10,20 @@
 
 use super::{JsonnetError, MAX_RESULT_BYTES};
 
-/// The time that an evaluation may take on a busy machine. The limit on CPU time is far lower.
+/// The maximum duration of an evaluation, which allows for a busy machine. The limit on CPU time is far
+/// lower.
 const MAX_ELAPSED: Duration = Duration::from_secs(10);
-/// How often the end of the child process is polled.
+/// The interval at which the end of the child process is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 /// The exit code of a child process that rejects the file.
 const REJECTED: i32 = 2;
 
-/// Evaluates an operator file to JSON in a child process: `program evaluate FILE`, which is to call
-/// [`limit_process_resources`](super::limit_process_resources) and [`evaluate_jsonnet`](super::evaluate_jsonnet).
+/// Evaluates an operator file to JSON in a child process, `program evaluate FILE`, which must call
+/// [`limit_process_resources`](super::limit_process_resources) and
+/// [`evaluate_jsonnet`](super::evaluate_jsonnet).
 ///
 /// # Errors
-/// What is wrong with the file, or that it needs more time or memory than is allowed.
+/// The reason why the file cannot be evaluated, such as that it needs more time or memory than is allowed.
 pub fn evaluate_in_child_process(program: &Path, path: &Path) -> Result<String, ConfigError> {
     run(program, path).map_err(|error| error.at(path))
 }
@@ -60,18 +62,18 @@
     }
 }
 
-/// Reads a pipe on a thread, so that a child process that writes much does not wait for its reader. What
-/// exceeds twice the largest result is left unread.
+/// Reads a pipe on a separate thread, so that a child process that writes much is not blocked. Text beyond
+/// twice the maximum size of a result is not read.
 fn read_in_background(pipe: impl Read + Send + 'static) -> JoinHandle<String> {
     std::thread::spawn(move || {
         let mut text = String::new();
-        // An incomplete text is rejected where it is decoded.
+        // An incomplete text is rejected when it is decoded.
         let _ = pipe.take(2 * MAX_RESULT_BYTES).read_to_string(&mut text);
         text
     })
 }
 
-/// The text that was read, empty if there was no pipe.
+/// Waits for a reader and returns the text that it has read; empty if there was no pipe.
 fn join(reader: Option<JoinHandle<String>>) -> String {
     reader.and_then(|reader| reader.join().ok()).unwrap_or_default()
 }
--- a/crates/config/src/jsonnet/imports.rs
+++ b/crates/config/src/jsonnet/imports.rs
@@ -1,4 +1,4 @@
-//! Finds the imports of a Jsonnet source without parsing all of it: skips comments and strings, and takes
+//! Finds the imports of a Jsonnet source without parsing all of it: skips comments and strings, and extracts
 //! the string that follows an import keyword.
 
 use thiserror::Error;
@@ -12,19 +12,19 @@
     /// A string has no closing quote.
     #[error("a text without end")]
     UnterminatedString,
-    /// The name leads out of the folder, or may be read as another name.
+    /// The name leads out of the folder, or could be interpreted as another name.
     #[error("import {0:?}: only files in its own folder, by their plain names")]
     OutsideFolder(String),
 }
 
-/// The file names in a source's imports, in order.
+/// Returns the file names in a source's imports, in order.
 ///
 /// # Errors
-/// An import that may not be followed, or a string without end.
+/// [`ImportError`] if an import may not be followed, or if a string has no closing quote.
 pub fn find_imports(source: &str) -> Result<Vec<String>, ImportError> {
     let mut names = Vec::new();
     let mut rest = source;
-    // Whether the last word was an import keyword with only white space or comments behind it.
+    // Whether the last word was an import keyword that only white space or comments have followed.
     let mut after_keyword = false;
     while let Some(first) = rest.chars().next() {
         let is_verbatim = rest.starts_with("@\"") || rest.starts_with("@'");
@@ -59,7 +59,7 @@
     Ok(names)
 }
 
-/// What follows a text block, which ends at the first `|||` that only white space stands before in its
+/// Returns the source after a text block, which ends at the first `|||` that only white space precedes on its
 /// line.
 fn after_text_block(body: &str) -> &str {
     let end = body.match_indices("|||").find(|(index, _)| {
@@ -69,8 +69,8 @@
     end.map_or("", |(index, _)| &body[index + 3..])
 }
 
-/// The index of the quote that closes a string. In a verbatim string a doubled quote stands for one, in any
-/// other a backslash escapes the next character.
+/// Returns the index of the quote that closes a string. In a verbatim string two quotes encode one; in any
+/// other string a backslash escapes the next character.
 fn closing_quote(body: &str, quote: char, is_verbatim: bool) -> Option<usize> {
     let mut index = 0;
     while let Some(c) = body[index..].chars().next() {
@@ -88,7 +88,7 @@
     None
 }
 
-/// The name of a file in the same folder, without escapes.
+/// Checks that an import names a file in the same folder, without escapes, and returns the name.
 fn plain_file_name(text: &str) -> Result<String, ImportError> {
     let is_plain =
         !text.is_empty() && !text.contains(['/', '\\', '\0', '"', '\'']) && !text.starts_with("..");
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,8 +1,8 @@
 //! The program's configuration: the platform's JSON file, which `GW_CONFIG` names, and the files that the
 //! command line names. Each is read and checked as a whole before any of it is applied.
 //!
-//! The names of the settings are part of the interface and stay as they are; they become the code's terms
-//! here and in `heathward_policy::settings`. Every error is a
+//! The names of the settings are part of the interface and must not change; this crate and
+//! `heathward_policy::settings` map them to the names in the code. Every error is a
 //! [`ConfigError`](heathward_policy::settings::ConfigError), which names the field at fault by its path in
 //! the file.
 
--- a/crates/config/src/operator.rs
+++ b/crates/config/src/operator.rs
@@ -1,5 +1,6 @@
-//! The operator file, `deploy/heathward.jsonnet`: what the operators of an installation set beside the
-//! platform's configuration. It is evaluated, decoded and checked as a whole before any of it is applied.
+//! The operator file, `deploy/heathward.jsonnet`: the settings that the operators of an installation make in
+//! addition to the platform's configuration. It is evaluated, decoded and checked as a whole before any of it
+//! is applied.
 
 use std::path::{Path, PathBuf};
 
@@ -13,12 +14,12 @@
 
 use crate::jsonnet;
 
-/// Bytes in a megabyte of the file's settings.
+/// The number of bytes in a megabyte, the unit of sizes in the file.
 const BYTES_PER_MB: u64 = 1 << 20;
 /// Microseconds in a second.
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
-/// A whole number that the file may set, with its bounds; both bounds are allowed.
+/// An integer setting of the file, with its inclusive bounds.
 struct BoundedSetting {
     /// The path in the file.
     path: &'static str,
@@ -33,21 +34,21 @@
 /// The age of a segment at which the next one is begun, seconds.
 const SEGMENT_SECONDS: BoundedSetting =
     BoundedSetting { path: "records.segmentSeconds", default: 600, min: 1, max: 86_400 };
-/// The size of all segments, MB; the oldest are deleted above it.
+/// The total size of all segments above which the oldest are deleted, MB.
 const TOTAL_MB: BoundedSetting =
     BoundedSetting { path: "records.totalMb", default: 512, min: 2, max: 1 << 20 };
-/// Events that may wait for the disk.
+/// The number of events that may wait to be written to the disk.
 const WAITING_EVENTS: BoundedSetting =
     BoundedSetting { path: "records.waiting", default: 8192, min: 64, max: 65_536 };
 
 /// The settings of the operator file.
 #[derive(Clone, Debug, Default)]
 pub struct OperatorSettings {
-    /// The log.
+    /// The settings of the log.
     pub log: LogSettings,
     /// The map of the NVMe front, if that front is on.
     pub nvme_map: Option<Map>,
-    /// The event recorder, if it is on.
+    /// The settings of the event recorder, if it is on.
     pub recorder: Option<Settings>,
 }
 
@@ -61,7 +62,7 @@
 }
 
 impl OperatorSettings {
-    /// Reads and checks the file. It is evaluated in a child process that runs `program evaluate FILE`.
+    /// Evaluates, decodes and checks the file. A child process, `program evaluate FILE`, evaluates it.
     ///
     /// # Errors
     /// The field at fault, or the reason why the file cannot be evaluated.
@@ -69,8 +70,8 @@
         Self::parse(&jsonnet::evaluate_in_child_process(program, path)?, deployment)
     }
 
-    /// Decodes the JSON that the file evaluates to. Names of classes and plans are looked up in the
-    /// deployment.
+    /// Decodes and checks the JSON that the file evaluates to. Names of classes and plans are looked up in
+    /// the deployment.
     ///
     /// # Errors
     /// The field at fault.
@@ -99,7 +100,7 @@
 }
 
 impl BoundedSetting {
-    /// The value in the file, or the default.
+    /// Returns the value in the file, or the default.
     fn read(&self, source: &JsonSource<'_>) -> Result<u64, ConfigError> {
         let Self { path, default, min, max } = *self;
         let value: u64 = source.number_or(path, default)?;
@@ -146,7 +147,7 @@
     })
 }
 
-/// The recorder's clock, which is wrong on purpose in rehearsals.
+/// Decodes the settings of the recorder's clock, which is wrong on purpose in rehearsals.
 fn recorder_clock(source: &JsonSource<'_>, records: &Value) -> Result<Clock, ConfigError> {
     let Some(clock) = section(records, "clock") else { return Ok(Clock::default()) };
     reject_unknown_fields(clock, "records.clock.", &["offsetMs", "stepAfterMs", "stepMs"])?;
@@ -157,7 +158,7 @@
     })
 }
 
-/// The value of a field; null counts as absent.
+/// Returns the value of a field; null counts as absent.
 fn section<'a>(value: &'a Value, name: &str) -> Option<&'a Value> {
     match value {
         Value::Object(object) => object.get(name).filter(|value| !matches!(value, Value::Null)),
@@ -165,8 +166,8 @@
     }
 }
 
-/// Rejects a value that is no object, or that has a field of no meaning: a misspelt name must not pass for
-/// a setting. `prefix` is the path of the object with a dot behind it, or empty.
+/// Rejects a value that is not an object or that has an unknown field, so that a misspelt setting is not
+/// ignored. `prefix` is the path of the object followed by a dot, or empty.
 fn reject_unknown_fields(value: &Value, prefix: &str, known: &[&str]) -> Result<(), ConfigError> {
     let Value::Object(object) = value else {
         let path = prefix.trim_end_matches('.');
--- a/crates/config/tests/operator_file.rs
+++ b/crates/config/tests/operator_file.rs
@@ -1,5 +1,5 @@
-//! An operator file with every setting, as it is evaluated and as it is read. The files under `fixtures/` do
-//! not change with the code's names.
+//! An operator file with every setting, evaluated and decoded. The files under `fixtures/` contain no
+//! identifiers of the code and must stay as they are when those are renamed.
 #![cfg(test)]
 
 use std::fmt::Write;
@@ -13,7 +13,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/operator").join(name)
 }
 
-/// Compares with the fixture of that name. What differs is left in the target folder, to be looked at.
+/// Compares a text with the fixture of that name. A text that differs is written to the target folder.
 fn assert_matches_fixture(name: &str, actual: &str) {
     let expected = std::fs::read(fixture(name)).unwrap_or_default();
     if expected != actual.as_bytes() {
@@ -23,7 +23,7 @@
     }
 }
 
-/// The settings as text, each by the name that it has in the file.
+/// Formats the settings as text, each under its name in the file.
 fn print(operator: &OperatorSettings) -> String {
     let mut text = String::new();
     let format = match operator.log.format {
@@ -74,7 +74,7 @@
     assert_eq!(format!("{:?}", operator.log.filter), format!("{filter:?}"));
 }
 
-/// What is absent or null stands at its default.
+/// Settings that are absent or null have their defaults.
 #[rstest]
 #[case("{}")]
 #[case(r#"{"log":null,"nvme":null,"records":null}"#)]
--- a/crates/logs/src/lib.rs
+++ b/crates/logs/src/lib.rs
@@ -1,7 +1,7 @@
 //! Structured logs on tracing: text or JSON lines on standard error, filtered by target and level.
 //!
-//! A thread of its own writes them from a queue of [`QUEUE_CAPACITY`] lines. While standard error is full or
-//! blocked, further lines are dropped and counted; logging never waits.
+//! A separate thread writes them from a queue of [`QUEUE_CAPACITY`] lines. If standard error is blocked and
+//! the queue is full, further lines are dropped and counted; logging never waits.
 
 use std::fmt;
 use std::io::Write;
@@ -13,10 +13,10 @@
 use tracing_subscriber::reload::{self, Handle};
 use tracing_subscriber::{Layer, Registry};
 
-/// The number of lines that can wait to be written.
+/// The maximum number of lines that wait to be written.
 pub const QUEUE_CAPACITY: usize = 1024;
 
-/// Former targets of crates that log, and what they are called now. Filters in the operators' files may name
+/// Former names of log targets, each with its current name. Filters in the operators' files may contain
 /// either.
 const RENAMED_TARGETS: [(&str, &str); 1] = [("heathward_wires", "heathward_transport")];
 
@@ -53,7 +53,7 @@
     }
 }
 
-/// A text that is not a filter, or not the name of a format.
+/// An error for a text that is neither a valid filter nor the name of a format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FilterError;
 
@@ -80,7 +80,7 @@
     }
 }
 
-/// A part of a filter, under the present name of its target.
+/// Returns a directive of a filter with a former target replaced by its current name.
 fn with_current_target(part: &str) -> String {
     let renamed = RENAMED_TARGETS.iter().find_map(|(former, current)| {
         let rest = part.strip_prefix(former)?;
@@ -94,7 +94,7 @@
 /// Formats and writes lines; replaced when the format changes.
 type LineLayer = Box<dyn Layer<FilteredRegistry> + Send + Sync>;
 
-/// The logs of this process. When it is dropped, lines in the queue are written, for a second at most.
+/// The logs of this process. Dropping it writes the queued lines, for at most 1 s.
 pub struct Logs {
     filter: Handle<Targets, Registry>,
     line_layer: Handle<LineLayer, FilteredRegistry>,
@@ -111,7 +111,7 @@
     }
 }
 
-/// The logs and the subscriber that feeds them.
+/// Returns the logs and the subscriber that formats and queues their lines.
 fn set_up(
     format: Format,
     filter: Filter,
@@ -126,24 +126,24 @@
     (Logs { filter, line_layer, writer, dropped, _worker: worker }, subscriber)
 }
 
-/// Writes the logs of this process to standard error. To be called once: the logs of a second call are not
-/// written.
+/// Starts writing the logs of this process to standard error. Must be called only once: the logs of a second
+/// call are not written.
 pub fn start(format: Format, filter: Filter) -> Logs {
     let (logs, subscriber) = set_up(format, filter, std::io::stderr());
-    // It fails if a subscriber has been set before, which then stays.
+    // This fails if a subscriber has been set before, which then stays in place.
     let _ = tracing::subscriber::set_global_default(subscriber);
     logs
 }
 
 impl Logs {
-    /// Changes the format and the filter of all further lines.
+    /// Changes the format and the filter for all further lines.
     pub fn reconfigure(&self, format: Format, filter: Filter) {
-        // They fail only if the subscriber is gone, and with it all logs.
+        // Both calls fail only if the subscriber has been dropped, and with it all logs.
         let _ = self.filter.reload(filter.0);
         let _ = self.line_layer.reload(line_layer(format, self.writer.clone()));
     }
 
-    /// The number of lines dropped so far.
+    /// Returns the number of lines dropped so far.
     pub fn dropped_lines(&self) -> usize {
         self.dropped.dropped_lines()
     }
--- a/crates/logs/src/tests.rs
+++ b/crates/logs/src/tests.rs
@@ -21,7 +21,7 @@
     }
 }
 
-/// Reports that a write has begun, and completes it when it is released.
+/// A writer that reports the start of each write and blocks until it is released.
 struct BlockedWriter(Sender<()>, Receiver<()>);
 
 impl Write for BlockedWriter {
@@ -69,7 +69,7 @@
     assert!(lines[2].contains(r#""message":"third""#), "{text}");
 }
 
-/// Each line that is lost is counted.
+/// Lines that do not fit into the queue are dropped and counted.
 #[test]
 fn logging_does_not_wait_for_a_blocked_reader() {
     let ((begun, beginning), (release, released)) = (channel(), channel());
@@ -83,12 +83,12 @@
         start.elapsed()
     });
     assert_eq!(logs.dropped_lines(), excess);
-    // If it waited, it would take an hour; the bound allows for a loaded machine.
+    // A blocking logger would take an hour; the bound allows for a loaded machine.
     assert!(elapsed < Duration::from_secs(5), "{elapsed:?}");
     drop(release);
 }
 
-/// A filter in an operator's file must not lose its effect because a crate was renamed.
+/// A filter in an operator's file must keep its effect when a crate, and thus its target, was renamed.
 #[rstest::rstest]
 #[case::crate_name("warn,heathward_wires=debug", "warn,heathward_transport=debug")]
 #[case::module("info,heathward_wires::discovery=trace", "info,heathward_transport::discovery=trace")]
