--- a/crates/transport/src/discovery/call.rs
+++ b/crates/transport/src/discovery/call.rs
@@ -35,12 +35,12 @@
     lines: mpsc::Receiver<Vec<u8>>,
     reader: JoinHandle<()>,
     opened_at: Instant,
-    milestones: Arc<Milestones>,
+    reader_progress: Arc<ReaderProgress>,
 }
 
 /// The progress of the reading task.
 #[derive(Debug, Default)]
-struct Milestones {
+struct ReaderProgress {
     sent_at: OnceLock<Instant>,
     response: OnceLock<ResponseHead>,
 }
@@ -49,9 +49,9 @@
     /// Opens a call and returns at once; the reading task connects.
     pub(super) fn open(address: SocketAddr, request: ListRequest) -> Self {
         let (sender, lines) = mpsc::channel(LINE_CHANNEL_CAPACITY);
-        let milestones = Arc::new(Milestones::default());
-        let reader = tokio::spawn(read_call(address, request, Arc::clone(&milestones), sender));
-        Self { lines, reader, opened_at: Instant::now(), milestones }
+        let reader_progress = Arc::new(ReaderProgress::default());
+        let reader = tokio::spawn(read_call(address, request, Arc::clone(&reader_progress), sender));
+        Self { lines, reader, opened_at: Instant::now(), reader_progress }
     }
 
     /// Returns the next object or line; `None` once the call has ended. Cancel safe.
@@ -68,8 +68,8 @@
     pub(super) fn progress(&self) -> CallProgress {
         CallProgress {
             opened_at: self.opened_at,
-            sent_at: self.milestones.sent_at.get().copied(),
-            response: self.milestones.response.get().copied(),
+            sent_at: self.reader_progress.sent_at.get().copied(),
+            response: self.reader_progress.response.get().copied(),
         }
     }
 }
@@ -84,10 +84,10 @@
 async fn read_call(
     address: SocketAddr,
     request: ListRequest,
-    milestones: Arc<Milestones>,
+    reader_progress: Arc<ReaderProgress>,
     lines: mpsc::Sender<Vec<u8>>,
 ) {
-    let Some((body, connection)) = send_request(address, request, &milestones).await else { return };
+    let Some((body, connection)) = send_request(address, request, &reader_progress).await else { return };
     let mut reading = pin!(read_lines(body, lines));
     tokio::select! {
         () = reading.as_mut() => {}
@@ -113,11 +113,11 @@
 }
 
 /// Connects and sends the request. Returns the response body and the future that drives the connection;
-/// `None` if the call failed or was rejected. Records the progress in `milestones`.
+/// `None` if the call failed or was rejected. Records the progress in `reader_progress`.
 async fn send_request(
     address: SocketAddr,
     request: ListRequest,
-    milestones: &Milestones,
+    reader_progress: &ReaderProgress,
 ) -> Option<(Incoming, impl Future<Output = ()> + Send + 'static)> {
     let stream = TcpStream::connect(address).await.ok()?;
     stream.set_nodelay(true).ok()?;
@@ -126,13 +126,13 @@
     let request = Request::get(path_and_query(request)).header(HOST, address.to_string());
     let response = sender.send_request(request.body(Empty::<Bytes>::new()).ok()?);
     // The connection writes the request when it is first polled, which is right after this line.
-    let _ = milestones.sent_at.set(Instant::now());
+    let _ = reader_progress.sent_at.set(Instant::now());
     let response = tokio::select! {
         response = response => response.ok()?,
         _ = connection.as_mut() => return None,
     };
     let status = response_status(&response);
-    let _ = milestones.response.set(ResponseHead { received_at: Instant::now(), status });
+    let _ = reader_progress.response.set(ResponseHead { received_at: Instant::now(), status });
     let body = (status == ResponseStatus::Ok).then(|| response.into_body())?;
     Some((body, async move {
         // The connection would shut down if its sender were dropped.
@@ -144,7 +144,7 @@
 
 fn path_and_query(request: ListRequest) -> String {
     match request {
-        ListRequest::Watch { after } => format!("{LIST_PATH}?watch=1&after={after}"),
+        ListRequest::Watch { after_revision } => format!("{LIST_PATH}?watch=1&after={after_revision}"),
         ListRequest::Snapshot => LIST_PATH.to_owned(),
     }
 }
--- a/crates/transport/src/discovery/events.rs
+++ b/crates/transport/src/discovery/events.rs
@@ -27,7 +27,7 @@
     /// All changes after a revision, as they happen.
     Watch {
         /// The last known revision.
-        after: u64,
+        after_revision: u64,
     },
     /// The complete list, once.
     Snapshot,
--- a/crates/transport/src/discovery/stream_splitter.rs
+++ b/crates/transport/src/discovery/stream_splitter.rs
@@ -10,7 +10,7 @@
     /// The bytes received after the last returned item.
     buffer: Vec<u8>,
     /// The number of bytes of `buffer` that have been scanned.
-    scanned: usize,
+    scanned_bytes: usize,
     /// The nesting depth of objects at the end of the scanned bytes.
     depth: u32,
     /// Whether the scanned bytes end within a JSON string.
@@ -35,11 +35,11 @@
 
     /// Returns the next object, or the next line with its line end; `None` until it is complete.
     pub fn next_item(&mut self) -> Option<Vec<u8>> {
-        while let Some(&byte) = self.buffer.get(self.scanned) {
+        while let Some(&byte) = self.buffer.get(self.scanned_bytes) {
             if self.object_breaks_off_before(byte) {
                 return Some(self.take_scanned());
             }
-            self.scanned += 1;
+            self.scanned_bytes += 1;
             match byte {
                 b'\n' if self.after_object => {
                     self.after_object = false;
@@ -63,12 +63,12 @@
     /// string spans lines, and a line that begins with a brace starts a new list unless the open list expects
     /// an entry.
     fn object_breaks_off_before(&self, byte: u8) -> bool {
-        let scanned = &self.buffer[..self.scanned];
+        let scanned = &self.buffer[..self.scanned_bytes];
         if self.depth == 0 || !scanned.ends_with(b"\n") {
             return false;
         }
-        let last = scanned.iter().rfind(|byte| !byte.is_ascii_whitespace());
-        let entry_due = last.is_some_and(|last| matches!(last, b'[' | b',' | b':'));
+        let last_visible = scanned.iter().rfind(|byte| !byte.is_ascii_whitespace());
+        let entry_due = last_visible.is_some_and(|visible| matches!(visible, b'[' | b',' | b':'));
         let is_empty_line = matches!(byte, b'\n' | b'\r');
         is_empty_line || self.in_string || (byte == b'{' && !entry_due)
     }
@@ -94,6 +94,6 @@
         self.depth = 0;
         self.in_string = false;
         self.after_backslash = false;
-        self.buffer.drain(..std::mem::take(&mut self.scanned)).collect()
+        self.buffer.drain(..std::mem::take(&mut self.scanned_bytes)).collect()
     }
 }
--- a/crates/transport/src/discovery/supervisor.rs
+++ b/crates/transport/src/discovery/supervisor.rs
@@ -41,10 +41,10 @@
 /// An agent that has something to send begins its response within this time after the request was sent.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(250);
 /// A watch that was open for longer than this counts as healthy even if it brought no update.
-const HEALTHY_WATCH_AGE: Duration = Duration::from_millis(5500);
+const MIN_HEALTHY_WATCH_AGE: Duration = Duration::from_millis(5500);
 /// A connection that breaks within this time after the call was opened belongs to a server that is not
 /// serving calls, so the call counts as one that never reached it ([`CallFailure::Unreachable`]).
-const IMMEDIATE_END: Duration = Duration::from_millis(5);
+const IMMEDIATE_END_LIMIT: Duration = Duration::from_millis(5);
 /// Watches at a superseded address are closed after this time.
 const SUPERSEDED_WATCH_LIFETIME: Duration = Duration::from_secs(5);
 
@@ -63,7 +63,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Watch {
     /// The revision after which it requested changes.
-    after: u64,
+    after_revision: u64,
     /// Whether it has received a well-formed line, which may be empty.
     received_line: bool,
 }
@@ -89,7 +89,7 @@
 }
 
 impl RequestState {
-    fn of(call: Option<CallProgress>) -> Self {
+    fn from_progress(call: Option<CallProgress>) -> Self {
         match call {
             None => Self::NoCall,
             Some(CallProgress { sent_at: None, .. }) => Self::Connecting,
@@ -103,7 +103,7 @@
 pub(super) struct WatchSupervisor {
     mode: EndpointListMode,
     policy: ReconnectPolicy,
-    address: AddressPhase,
+    address_phase: AddressPhase,
     current: CurrentWatch,
     timed_out: Option<Watch>,
     confirmation_open: bool,
@@ -128,7 +128,7 @@
         let supervisor = Self {
             mode,
             policy,
-            address: AddressPhase::Active,
+            address_phase: AddressPhase::Active,
             current: CurrentWatch::Waiting { open_at },
             timed_out: None,
             confirmation_open: false,
@@ -146,13 +146,13 @@
 
     /// Returns whether the address is the current one.
     pub(super) fn is_active(&self) -> bool {
-        self.address == AddressPhase::Active
+        self.address_phase == AddressPhase::Active
     }
 
     /// Returns whether the address is superseded and all its watches have ended.
     pub(super) fn is_finished(&self) -> bool {
         let watch_open = matches!(self.current, CurrentWatch::Open { .. }) || self.timed_out.is_some();
-        match self.address {
+        match self.address_phase {
             AddressPhase::Active => false,
             AddressPhase::Superseded { .. } => !watch_open,
             AddressPhase::Expired => true,
@@ -166,7 +166,7 @@
 
     /// Returns when [`Event::Timeout`] is due.
     pub(super) fn deadline(&self) -> Instant {
-        match (self.address, self.current) {
+        match (self.address_phase, self.current) {
             (AddressPhase::Superseded { until }, _) => until,
             (_, CurrentWatch::Waiting { open_at }) => open_at,
             (_, CurrentWatch::Open { times_out_at, .. }) => times_out_at,
@@ -178,10 +178,10 @@
         let mut actions = Vec::new();
         match event {
             Event::Superseded => {
-                self.address = AddressPhase::Superseded { until: now + SUPERSEDED_WATCH_LIFETIME };
+                self.address_phase = AddressPhase::Superseded { until: now + SUPERSEDED_WATCH_LIFETIME };
             }
             Event::Line { slot, line } => {
-                self.keep_only(slot, now, &mut actions);
+                self.make_sender_current(slot, now, &mut actions);
                 self.record_line(line, now, &mut actions);
             }
             Event::Ended { slot: CallSlot::Current, progress } => {
@@ -210,7 +210,7 @@
 
     /// Makes the watch that sent a line the current one, closes the other watch, and restarts the timeout. A
     /// line of the confirmation only closes the confirmation.
-    fn keep_only(&mut self, slot: CallSlot, now: Instant, actions: &mut Vec<Action>) {
+    fn make_sender_current(&mut self, slot: CallSlot, now: Instant, actions: &mut Vec<Action>) {
         let next_timeout = now + LINE_TIMEOUT;
         match slot {
             CallSlot::Current => {
@@ -255,7 +255,7 @@
         self.close_confirmation(actions);
         let CurrentWatch::Open { watch, .. } = self.current else { return };
         actions.push(Action::Close(CallSlot::Current));
-        self.reconnect_after(watch, progress, now);
+        self.schedule_reconnect(watch, progress, now);
         if !self.is_streamed() {
             // A watch that received lines is the only one: its first line closed the timed-out one.
             let report = if watch.received_line { Report::WatchClosed } else { Report::CallFailed };
@@ -283,7 +283,7 @@
     ) {
         // A shared service answers its callers in turn, so it may not have reached this call yet.
         let current = current.filter(|_| self.is_streamed() && self.is_active());
-        match (RequestState::of(current), RequestState::of(confirmation)) {
+        match (RequestState::from_progress(current), RequestState::from_progress(confirmation)) {
             (RequestState::Sent(sent_at), RequestState::NoCall) if sent_at + ANSWER_TIMEOUT <= now => {
                 // A watch whose connection broke at the start would look the same.
                 self.open_confirmation(now, actions);
@@ -319,9 +319,9 @@
     }
 
     fn on_timeout(&mut self, progress: Option<CallProgress>, now: Instant, actions: &mut Vec<Action>) {
-        match (self.address, self.current, progress) {
+        match (self.address_phase, self.current, progress) {
             (AddressPhase::Superseded { .. } | AddressPhase::Expired, _, _) => {
-                self.address = AddressPhase::Expired;
+                self.address_phase = AddressPhase::Expired;
             }
             (AddressPhase::Active, CurrentWatch::Open { watch, .. }, Some(progress)) => {
                 self.on_current_timed_out(watch, &progress, now, actions);
@@ -338,7 +338,7 @@
         now: Instant,
         actions: &mut Vec<Action>,
     ) {
-        self.reconnect_after(watch, progress, now);
+        self.schedule_reconnect(watch, progress, now);
         // A watch that received lines has not failed: the endpoint lease runs from its last line.
         if !self.is_streamed() && !watch.received_line {
             actions.push(Action::Report(Report::CallFailed));
@@ -353,11 +353,11 @@
 
     fn open_watch(&mut self, now: Instant, actions: &mut Vec<Action>) {
         self.close_confirmation(actions);
-        let watch = Watch { after: self.revision, received_line: false };
+        let watch = Watch { after_revision: self.revision, received_line: false };
         self.current = CurrentWatch::Open { watch, times_out_at: now + LINE_TIMEOUT };
         let awaits_answer = self.awaits_first_report || self.is_streamed();
         self.answer_deadline = awaits_answer.then(|| now + ANSWER_TIMEOUT);
-        let request = ListRequest::Watch { after: self.revision };
+        let request = ListRequest::Watch { after_revision: self.revision };
         actions.push(Action::Open { slot: CallSlot::Current, request });
     }
 
@@ -380,7 +380,7 @@
     }
 
     /// Schedules the next watch after a delay that depends on how this one ended.
-    fn reconnect_after(&mut self, watch: Watch, progress: &CallProgress, now: Instant) {
+    fn schedule_reconnect(&mut self, watch: Watch, progress: &CallProgress, now: Instant) {
         let end = classify_end(watch, progress, self.revision, now);
         self.current = CurrentWatch::Waiting { open_at: now + self.policy.next_delay(end) };
     }
@@ -395,16 +395,16 @@
 /// Classifies how a watch has ended or timed out. `revision` is the last known revision at `now`.
 fn classify_end(watch: Watch, progress: &CallProgress, revision: u64, now: Instant) -> WatchEnd {
     let elapsed = now.saturating_duration_since(progress.opened_at);
-    let brought_update = revision != watch.after;
+    let brought_update = revision != watch.after_revision;
     if let Some(sent_at) = progress.sent_at {
-        if brought_update || elapsed > HEALTHY_WATCH_AGE {
+        if brought_update || elapsed > MIN_HEALTHY_WATCH_AGE {
             let answer_time = |head: ResponseHead| head.received_at.saturating_duration_since(sent_at);
             return WatchEnd::Healthy { answered_in: progress.response.map_or(elapsed, answer_time) };
         }
     }
     let failure = match progress.response.map(|head| head.status) {
         Some(ResponseStatus::Rejected { retry_after }) => CallFailure::Rejected { retry_after },
-        _ if progress.sent_at.is_some() && elapsed > IMMEDIATE_END => CallFailure::TimedOut,
+        _ if progress.sent_at.is_some() && elapsed > IMMEDIATE_END_LIMIT => CallFailure::TimedOut,
         _ => CallFailure::Unreachable,
     };
     WatchEnd::Failed { failure, elapsed }
--- a/crates/transport/src/discovery/watch_task.rs
+++ b/crates/transport/src/discovery/watch_task.rs
@@ -162,7 +162,7 @@
     fn event(&self, wakeup: Wakeup) -> Event {
         match wakeup {
             Wakeup::Superseded => Event::Superseded,
-            Wakeup::Call(slot, CallOutput::Line(line)) => Event::Line { slot, line: read_line(&line) },
+            Wakeup::Call(slot, CallOutput::Line(line)) => Event::Line { slot, line: decode_line(&line) },
             Wakeup::Call(slot, CallOutput::End(progress)) => Event::Ended { slot, progress },
             Wakeup::AnswerTimeout => Event::AnswerTimeout {
                 line_waiting: [&self.current, &self.confirmation]
@@ -178,7 +178,7 @@
 }
 
 /// Decodes a line. A malformed line is logged and leaves the list unchanged.
-fn read_line(line: &[u8]) -> Line {
+fn decode_line(line: &[u8]) -> Line {
     let text = String::from_utf8_lossy(line);
     let text = text.trim();
     if text.is_empty() {
