--- a/crates/transport/src/admin/server.rs
+++ b/crates/transport/src/admin/server.rs
@@ -14,7 +14,7 @@
 /// The maximum length of a request.
 const MAX_REQUEST_BYTES: usize = 512;
 /// The initial capacity for a request, enough for a typical one.
-const USUAL_REQUEST_BYTES: usize = 64;
+const TYPICAL_REQUEST_BYTES: usize = 64;
 /// The time limit for a caller to send its request, and the same again to receive the reply.
 const CALLER_TIMEOUT: Duration = Duration::from_secs(5);
 /// The delay before the next attempt after a connection could not be accepted.
@@ -58,16 +58,16 @@
 /// sending anything. A line without an end is returned as it is if the caller closes its side, or once it
 /// exceeds [`MAX_REQUEST_BYTES`]; the parser rejects invalid requests.
 async fn read_request_line(stream: &mut TcpStream) -> Option<Vec<u8>> {
-    let mut line = Vec::with_capacity(USUAL_REQUEST_BYTES);
+    let mut line = Vec::with_capacity(TYPICAL_REQUEST_BYTES);
     let mut buffer = [0; MAX_REQUEST_BYTES];
     loop {
-        let size = stream.read(&mut buffer).await.ok()?;
-        line.extend_from_slice(&buffer[..size]);
+        let read_bytes = stream.read(&mut buffer).await.ok()?;
+        line.extend_from_slice(&buffer[..read_bytes]);
         if let Some(end) = line.iter().position(|byte| *byte == b'\n') {
             line.truncate(end);
             return Some(line);
         }
-        if size == 0 || line.len() > MAX_REQUEST_BYTES {
+        if read_bytes == 0 || line.len() > MAX_REQUEST_BYTES {
             return (!line.is_empty()).then_some(line);
         }
     }
--- a/crates/transport/src/backoff.rs
+++ b/crates/transport/src/backoff.rs
@@ -44,9 +44,9 @@
     /// Returns the delay before the next call after a failure, at most 1 s.
     pub fn delay_after_failure(&mut self) -> Duration {
         let doublings = self.failures.min(MAX_DOUBLINGS);
-        let longest = INITIAL_FAILURE_DELAY.saturating_mul(1 << doublings).min(MAX_FAILURE_DELAY);
+        let max_delay = INITIAL_FAILURE_DELAY.saturating_mul(1 << doublings).min(MAX_FAILURE_DELAY);
         self.failures = self.failures.saturating_add(1);
-        longest.mul_f64(MIN_DELAY_FRACTION + (1.0 - MIN_DELAY_FRACTION) * self.rng.f64())
+        max_delay.mul_f64(MIN_DELAY_FRACTION + (1.0 - MIN_DELAY_FRACTION) * self.rng.f64())
     }
 }
 
--- a/crates/transport/src/backoff/tests.rs
+++ b/crates/transport/src/backoff/tests.rs
@@ -8,15 +8,15 @@
 fn a_local_agent_is_called_at_once_and_a_shared_service_in_the_schedulers_slot() {
     let position = FleetPosition { scheduler_index: 299, schedulers: 300 };
     let failed = WatchEnd::Failed { failure: CallFailure::Unreachable, elapsed: Duration::ZERO };
-    let longest = |mode, end| {
+    let longest_delay = |mode, end| {
         let mut policy = ReconnectPolicy::new(mode, position, 7);
         (0..100).map(|_| policy.next_delay(end)).max().unwrap()
     };
     let polled = EndpointListMode::Polled { max_interval: 10_000_000 };
     let healthy = WatchEnd::Healthy { answered_in: Duration::from_millis(54) };
-    assert!(longest(EndpointListMode::Streamed, failed) <= Duration::from_secs(1));
-    assert!(longest(EndpointListMode::Streamed, healthy) <= Duration::from_millis(50));
-    assert!(longest(polled, failed) > Duration::from_secs(10));
+    assert!(longest_delay(EndpointListMode::Streamed, failed) <= Duration::from_secs(1));
+    assert!(longest_delay(EndpointListMode::Streamed, healthy) <= Duration::from_millis(50));
+    assert!(longest_delay(polled, failed) > Duration::from_secs(10));
     assert_eq!(ReconnectPolicy::new(EndpointListMode::Streamed, position, 7).first_delay(), Duration::ZERO);
     assert!(ReconnectPolicy::new(polled, position, 7).first_delay() > Duration::from_secs(10));
 }
--- a/crates/transport/src/handover/link.rs
+++ b/crates/transport/src/handover/link.rs
@@ -40,16 +40,16 @@
     /// Returns the next line without its end; `None` once the other process has closed the connection or has
     /// sent a line that is too long. Cancel safe: received parts of a line are kept.
     pub(super) async fn next_line(&mut self) -> Option<Vec<u8>> {
-        let mut searched = 0;
+        let mut searched_bytes = 0;
         loop {
-            if let Some(end) = self.received[searched..].iter().position(|byte| *byte == b'\n') {
-                let rest = self.received.split_off(searched + end + 1);
+            if let Some(end) = self.received[searched_bytes..].iter().position(|byte| *byte == b'\n') {
+                let rest = self.received.split_off(searched_bytes + end + 1);
                 let mut line = std::mem::replace(&mut self.received, rest);
                 line.pop();
                 return Some(line);
             }
-            searched = self.received.len();
-            if searched > MAX_LINE_BYTES || self.stream.read_buf(&mut self.received).await.ok()? == 0 {
+            searched_bytes = self.received.len();
+            if searched_bytes > MAX_LINE_BYTES || self.stream.read_buf(&mut self.received).await.ok()? == 0 {
                 return None;
             }
         }
@@ -59,12 +59,12 @@
     pub(super) async fn send_sockets(&mut self, sockets: &[OwnedFd]) -> io::Result<()> {
         let descriptors: Vec<_> = sockets.iter().map(AsFd::as_fd).collect();
         let sent = self.stream.async_io(Interest::WRITABLE, || {
-            let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_SOCKETS))];
-            let mut control = SendAncillaryBuffer::new(&mut space);
+            let mut ancillary_space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_SOCKETS))];
+            let mut control = SendAncillaryBuffer::new(&mut ancillary_space);
             control.push(SendAncillaryMessage::ScmRights(&descriptors));
             let carrier = [IoSlice::new(SOCKET_CARRIER)];
-            let size = sendmsg(&self.stream, &carrier, &mut control, SendFlags::NOSIGNAL)?;
-            Ok(size)
+            let sent_bytes = sendmsg(&self.stream, &carrier, &mut control, SendFlags::NOSIGNAL)?;
+            Ok(sent_bytes)
         });
         sent.await.map(drop)
     }
@@ -72,8 +72,8 @@
     /// Receives the sockets that the other process sends; returns none if its first byte carries none.
     pub(super) async fn receive_sockets(&mut self) -> io::Result<Vec<OwnedFd>> {
         let received = self.stream.async_io(Interest::READABLE, || {
-            let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_SOCKETS))];
-            let mut control = RecvAncillaryBuffer::new(&mut space);
+            let mut ancillary_space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_SOCKETS))];
+            let mut control = RecvAncillaryBuffer::new(&mut ancillary_space);
             let mut carrier = [0; SOCKET_CARRIER.len()];
             let buffers = &mut [IoSliceMut::new(&mut carrier)];
             recvmsg(&self.stream, buffers, &mut control, RecvFlags::CMSG_CLOEXEC)?;
--- a/crates/transport/src/handover/mod.rs
+++ b/crates/transport/src/handover/mod.rs
@@ -31,7 +31,7 @@
 /// The first line of the starting process, with the version of the protocol.
 const GREETING: &str = "HEATHWARD 1";
 /// The line with which the starting process reports that it serves.
-const SERVING: &str = "READY";
+const SERVING_LINE: &str = "READY";
 /// The timeout of each step of a handover except the start itself.
 const STEP_TIMEOUT: Duration = Duration::from_millis(1500);
 /// The timeout from sending the state until the starting process serves.
@@ -81,8 +81,9 @@
 
 /// Returns the path of the Unix socket for handovers of the scheduler that listens for clients at that
 /// address; `None` if the system chooses the port.
-pub fn socket_path(listen: SocketAddr) -> Option<PathBuf> {
-    (listen.port() != 0).then(|| std::env::temp_dir().join(format!("heathward-{listen}.sock")))
+pub fn socket_path(listen_address: SocketAddr) -> Option<PathBuf> {
+    (listen_address.port() != 0)
+        .then(|| std::env::temp_dir().join(format!("heathward-{listen_address}.sock")))
 }
 
 /// Listens at `path`, in place of any process that listened there before.
@@ -90,11 +91,11 @@
 /// # Errors
 /// The error of the system if the socket cannot be bound or moved to the path.
 pub fn bind(path: &Path) -> io::Result<UnixListener> {
-    let own_path = path.with_extension(std::process::id().to_string());
+    let temporary_path = path.with_extension(std::process::id().to_string());
     // An earlier process with the same id may have left a socket at this path.
-    let _ = std::fs::remove_file(&own_path);
-    let listener = UnixListener::bind(&own_path)?;
-    std::fs::rename(&own_path, path)?;
+    let _ = std::fs::remove_file(&temporary_path);
+    let listener = UnixListener::bind(&temporary_path)?;
+    std::fs::rename(&temporary_path, path)?;
     Ok(listener)
 }
 
@@ -133,7 +134,7 @@
     /// `phases`.
     pub async fn complete(mut self, core: CoreHandle, phases: mpsc::Sender<PeerPhase>) {
         let commands = core.take_over(self.state).await;
-        let sent = timeout(STEP_TIMEOUT, self.link.send_line(SERVING)).await;
+        let sent = timeout(STEP_TIMEOUT, self.link.send_line(SERVING_LINE)).await;
         tokio::spawn(async move {
             if let (Some(commands), Ok(Ok(()))) = (commands, sent) {
                 CommandExchange::new(&mut self.link, &core, commands).run().await;
@@ -171,7 +172,7 @@
     let Handover { state, commands } = core.hand_over().await.ok_or(HandoverError::CoreStopped)?;
     timeout(STEP_TIMEOUT, send_state(link, sockets, state)).await??;
     let line = timeout(START_TIMEOUT, link.next_line()).await?.ok_or(HandoverError::Closed)?;
-    if line != SERVING.as_bytes() {
+    if line != SERVING_LINE.as_bytes() {
         return Err(HandoverError::UnknownLine);
     }
     report_phase(phases, PeerPhase::Serving).await;
--- a/crates/transport/tests/stored/admin.rs
+++ b/crates/transport/tests/stored/admin.rs
@@ -7,7 +7,7 @@
 
 const REQUESTS: &str = include_str!("fixtures/ops-requests.txt");
 const REPLIES: &str = include_str!("fixtures/ops-replies.txt");
-const UNREADABLE: &str = include_str!("fixtures/ops-unreadable.txt");
+const MALFORMED_REPLIES: &str = include_str!("fixtures/ops-unreadable.txt");
 const METRICS: &str = include_str!("fixtures/ops-metrics.txt");
 const CALL_ERRORS: &str = include_str!("fixtures/ops-call-errors.txt");
 
@@ -30,8 +30,8 @@
 
 #[test]
 fn each_stored_line_is_read_as_its_request() {
-    let read: Vec<_> = REQUESTS.lines().map(|line| Request::parse(line.as_bytes())).collect();
-    assert_eq!(read, requests().map(Ok));
+    let parsed: Vec<_> = REQUESTS.lines().map(|line| Request::parse(line.as_bytes())).collect();
+    assert_eq!(parsed, requests().map(Ok));
 }
 
 #[test]
@@ -48,7 +48,7 @@
 
 #[test]
 fn each_reason_for_a_malformed_request_is_written_as_stored() {
-    let long = format!("SUSPEND {}", "s".repeat(129));
+    let overlong = format!("SUSPEND {}", "s".repeat(129));
     let lines: [&[u8]; 9] = [
         b"\xff",
         b"SUSPEND s0 s1",
@@ -57,11 +57,11 @@
         b"PAUSE s0",
         b"RESUME s0",
         b"RESTORE",
-        long.as_bytes(),
+        overlong.as_bytes(),
         b"status",
     ];
     let replies = lines.map(|line| Reply::Malformed(Request::parse(line).unwrap_err()).to_string());
-    assert_eq!(replies.concat(), UNREADABLE);
+    assert_eq!(replies.concat(), MALFORMED_REPLIES);
 }
 
 #[test]
--- a/crates/transport/tests/stored/handover.rs
+++ b/crates/transport/tests/stored/handover.rs
@@ -6,13 +6,13 @@
 
 const STATE: &str = include_str!("fixtures/handover-state.json");
 
-fn member(
+fn endpoint(
     id: &str,
     address: &str,
     zone: &str,
     shard: u32,
     state: NodeState,
-    started: Option<u64>,
+    started_at: Option<u64>,
 ) -> Endpoint {
     Endpoint {
         id: id.into(),
@@ -20,20 +20,20 @@
         zone: zone.into(),
         shard: ShardId(shard),
         state,
-        started_at: started,
+        started_at,
     }
 }
 
 /// Returns a state with every field set: nodes in every state, with and without a start time, with and
 /// without a zone, and with IPv4 and IPv6 addresses.
-fn state() -> HandoverState {
+fn handover_state() -> HandoverState {
     HandoverState {
         endpoint_list: EndpointUpdate {
             revision: 9_007_199_254_740_993,
             kind: EndpointUpdateKind::Snapshot,
             endpoints: vec![
-                member("s-ready", "127.0.0.1:9001", "a", 0, NodeState::Ready, None),
-                member(
+                endpoint("s-ready", "127.0.0.1:9001", "a", 0, NodeState::Ready, None),
+                endpoint(
                     "s-draining",
                     "10.1.0.18:8080",
                     "b",
@@ -41,7 +41,7 @@
                     NodeState::Draining,
                     Some(1_700_000_000_123_456),
                 ),
-                member(
+                endpoint(
                     "s-gone",
                     "[::1]:65535",
                     "",
@@ -49,7 +49,7 @@
                     NodeState::Removed,
                     Some(1_700_000_000_123_000),
                 ),
-                member("s-\"quoted\"\\\u{e9}\n", "127.0.0.1:9002", "a", 1, NodeState::Ready, Some(1)),
+                endpoint("s-\"quoted\"\\\u{e9}\n", "127.0.0.1:9002", "a", 1, NodeState::Ready, Some(1)),
             ],
         },
         suspended: vec!["s-ready".into(), "s-unlisted".into()],
@@ -63,10 +63,10 @@
 
 #[test]
 fn a_handover_state_is_encoded_to_the_stored_bytes() {
-    assert_eq!(encode(state()), STATE.strip_suffix('\n').unwrap());
+    assert_eq!(encode(handover_state()), STATE.strip_suffix('\n').unwrap());
 }
 
 #[test]
 fn the_stored_bytes_of_a_handover_decode_to_the_same_state() {
-    assert_eq!(decode(STATE.strip_suffix('\n').unwrap().as_bytes()), Ok(state()));
+    assert_eq!(decode(STATE.strip_suffix('\n').unwrap().as_bytes()), Ok(handover_state()));
 }
