--- a/crates/config/src/files.rs
+++ b/crates/config/src/files.rs
@@ -87,13 +87,13 @@
 /// A [`ConfigError`] for `field` with the path and the reason: the system's message, or that the file is
 /// larger than 16 MiB.
 pub fn read_text_file(field: &str, path: &Path) -> Result<String, ConfigError> {
-    let error = |reason: String| ConfigError {
+    let file_error = |reason: String| ConfigError {
         field: field.to_owned(),
         reason: format!("{}: {reason}", path.display()),
     };
-    let size = std::fs::metadata(path).map_err(|e| error(e.to_string()))?.len();
+    let size = std::fs::metadata(path).map_err(|error| file_error(error.to_string()))?.len();
     if size > MAX_FILE_BYTES {
-        return Err(error(format!("{size} bytes, {MAX_FILE_BYTES} at most")));
+        return Err(file_error(format!("{size} bytes, {MAX_FILE_BYTES} at most")));
     }
-    std::fs::read_to_string(path).map_err(|e| error(e.to_string()))
+    std::fs::read_to_string(path).map_err(|error| file_error(error.to_string()))
 }
--- a/crates/config/src/jsonnet.rs
+++ b/crates/config/src/jsonnet.rs
@@ -71,14 +71,14 @@
     #[error(transparent)]
     Read(#[from] io::Error),
     #[error("no plain file")]
-    NotAPlainFile,
+    NotARegularFile,
     #[error(transparent)]
     Import(#[from] ImportError),
 }
 
 impl JsonnetError {
     /// Converts this error to one that names the path of the operator file.
-    fn at(self, path: &Path) -> ConfigError {
+    fn with_path(self, path: &Path) -> ConfigError {
         ConfigError { field: format!("operator file {}", path.display()), reason: self.to_string() }
     }
 }
@@ -88,7 +88,7 @@
 /// # Errors
 /// The reason why the file cannot be evaluated, in one line.
 pub fn evaluate_jsonnet(path: &Path) -> Result<String, ConfigError> {
-    check_sources(path).and_then(|()| evaluate_checked(path)).map_err(|error| error.at(path))
+    check_sources(path).and_then(|()| evaluate_checked(path)).map_err(|error| error.with_path(path))
 }
 
 /// Limits the CPU time and the memory of this process to those of an evaluation. Must be called before
@@ -131,14 +131,14 @@
 /// Checks an operator file and everything that it imports, without evaluating any of it.
 fn check_sources(path: &Path) -> Result<(), JsonnetError> {
     let folder = path.parent().unwrap_or(Path::new(""));
-    let mut seen = BTreeSet::new();
+    let mut visited = BTreeSet::new();
     let mut pending = vec![path.to_owned()];
     let mut total_bytes = 0;
     while let Some(file) = pending.pop() {
-        if !seen.insert(file.clone()) {
+        if !visited.insert(file.clone()) {
             continue;
         }
-        if seen.len() > MAX_SOURCE_FILES {
+        if visited.len() > MAX_SOURCE_FILES {
             return Err(JsonnetError::TooManyFiles);
         }
         let in_file = |error: SourceError| match file.file_name() {
@@ -158,12 +158,12 @@
 }
 
 /// Reads a source file, up to one byte more than the limit for all files together; the caller checks the sum.
-/// Rejects symbolic links, which could lead out of the folder, unless `may_be_link`, and rejects pipes, which
-/// might never end.
-fn read_source(file: &Path, may_be_link: bool) -> Result<String, SourceError> {
-    let is_plain = file.symlink_metadata()?.is_file() || (may_be_link && file.is_file());
-    if !is_plain {
-        return Err(SourceError::NotAPlainFile);
+/// Rejects symbolic links, which could lead out of the folder, unless `allow_symlink`, and rejects pipes,
+/// which might never end.
+fn read_source(file: &Path, allow_symlink: bool) -> Result<String, SourceError> {
+    let is_regular_file = file.symlink_metadata()?.is_file() || (allow_symlink && file.is_file());
+    if !is_regular_file {
+        return Err(SourceError::NotARegularFile);
     }
     let mut source = String::new();
     std::fs::File::open(file)?.take(MAX_SOURCE_BYTES + 1).read_to_string(&mut source)?;
--- a/crates/config/src/jsonnet/child_process.rs
+++ b/crates/config/src/jsonnet/child_process.rs
@@ -12,11 +12,11 @@
 
 /// The maximum duration of an evaluation, which allows for a busy machine. The limit on CPU time is far
 /// lower.
-const MAX_ELAPSED: Duration = Duration::from_secs(10);
+const MAX_EVALUATION_TIME: Duration = Duration::from_secs(10);
 /// The interval at which the end of the child process is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 /// The exit code of a child process that rejects the file.
-const REJECTED: i32 = 2;
+const REJECTED_EXIT_CODE: i32 = 2;
 
 /// Evaluates an operator file to JSON in a child process, `program evaluate FILE`, which must call
 /// [`limit_process_resources`](super::limit_process_resources) and
@@ -25,7 +25,7 @@
 /// # Errors
 /// The reason why the file cannot be evaluated, such as that it needs more time or memory than is allowed.
 pub fn evaluate_in_child_process(program: &Path, path: &Path) -> Result<String, ConfigError> {
-    run(program, path).map_err(|error| error.at(path))
+    run(program, path).map_err(|error| error.with_path(path))
 }
 
 fn run(program: &Path, path: &Path) -> Result<String, JsonnetError> {
@@ -35,10 +35,10 @@
     let stdout = child.stdout.take().map(read_in_background);
     let stderr = child.stderr.take().map(read_in_background);
     let status = wait_or_kill(&mut child);
-    let (json, message) = (join(stdout), join(stderr));
+    let (json, message) = (join_reader(stdout), join_reader(stderr));
     match status.and_then(|status| status.code()) {
         Some(0) => Ok(json),
-        Some(REJECTED) => {
+        Some(REJECTED_EXIT_CODE) => {
             Err(JsonnetError::Rejected(message.lines().next().unwrap_or("can't be read").to_owned()))
         }
         _ => Err(JsonnetError::LimitsExceeded),
@@ -47,7 +47,7 @@
 
 /// Waits for the child process to end; `None` if it took too long and was killed.
 fn wait_or_kill(child: &mut Child) -> Option<ExitStatus> {
-    let deadline = Instant::now() + MAX_ELAPSED;
+    let deadline = Instant::now() + MAX_EVALUATION_TIME;
     loop {
         match child.try_wait() {
             Ok(Some(status)) => return Some(status),
@@ -74,6 +74,6 @@
 }
 
 /// Waits for a reader and returns the text that it has read; empty if there was no pipe.
-fn join(reader: Option<JoinHandle<String>>) -> String {
+fn join_reader(reader: Option<JoinHandle<String>>) -> String {
     reader.and_then(|reader| reader.join().ok()).unwrap_or_default()
 }
--- a/crates/config/src/jsonnet/imports.rs
+++ b/crates/config/src/jsonnet/imports.rs
@@ -26,9 +26,9 @@
     let mut rest = source;
     // Whether the last word was an import keyword that only white space or comments have followed.
     let mut after_keyword = false;
-    while let Some(first) = rest.chars().next() {
+    while let Some(first_char) = rest.chars().next() {
         let is_verbatim = rest.starts_with("@\"") || rest.starts_with("@'");
-        if rest.starts_with("//") || first == '#' {
+        if rest.starts_with("//") || first_char == '#' {
             rest = rest.find('\n').map_or("", |end| &rest[end..]);
         } else if rest.starts_with("/*") {
             rest = rest.find("*/").map_or("", |end| &rest[end + 2..]);
@@ -37,23 +37,23 @@
                 return Err(ImportError::TextBlock);
             }
             rest = after_text_block(&rest[3..]);
-        } else if is_verbatim || first == '"' || first == '\'' {
+        } else if is_verbatim || first_char == '"' || first_char == '\'' {
             let body = &rest[usize::from(is_verbatim) + 1..];
-            let quote = if is_verbatim { rest[1..].chars().next().unwrap_or('"') } else { first };
+            let quote = if is_verbatim { rest[1..].chars().next().unwrap_or('"') } else { first_char };
             let end = closing_quote(body, quote, is_verbatim).ok_or(ImportError::UnterminatedString)?;
             if after_keyword {
                 names.push(plain_file_name(&body[..end])?);
             }
             after_keyword = false;
             rest = &body[end + 1..];
-        } else if first.is_alphanumeric() || first == '_' {
+        } else if first_char.is_alphanumeric() || first_char == '_' {
             let end = rest.find(|c: char| !c.is_alphanumeric() && c != '_').unwrap_or(rest.len());
             after_keyword = matches!(&rest[..end], "import" | "importstr" | "importbin");
             rest = &rest[end..];
         } else {
             // The parser rejects everything but white space and comments between an import and its name.
-            after_keyword &= first.is_whitespace();
-            rest = &rest[first.len_utf8()..];
+            after_keyword &= first_char.is_whitespace();
+            rest = &rest[first_char.len_utf8()..];
         }
     }
     Ok(names)
@@ -73,13 +73,13 @@
 /// other string a backslash escapes the next character.
 fn closing_quote(body: &str, quote: char, is_verbatim: bool) -> Option<usize> {
     let mut index = 0;
-    while let Some(c) = body[index..].chars().next() {
-        let next = index + c.len_utf8();
-        if c == quote && is_verbatim && body[next..].starts_with(quote) {
-            index = next + c.len_utf8();
-        } else if c == quote {
+    while let Some(character) = body[index..].chars().next() {
+        let next = index + character.len_utf8();
+        if character == quote && is_verbatim && body[next..].starts_with(quote) {
+            index = next + character.len_utf8();
+        } else if character == quote {
             return Some(index);
-        } else if c == '\\' && !is_verbatim {
+        } else if character == '\\' && !is_verbatim {
             index = next + body[next..].chars().next().map_or(0, char::len_utf8);
         } else {
             index = next;
--- a/crates/config/src/operator.rs
+++ b/crates/config/src/operator.rs
@@ -168,12 +168,12 @@
 
 /// Rejects a value that is not an object or that has an unknown field, so that a misspelt setting is not
 /// ignored. `prefix` is the path of the object followed by a dot, or empty.
-fn reject_unknown_fields(value: &Value, prefix: &str, known: &[&str]) -> Result<(), ConfigError> {
+fn reject_unknown_fields(value: &Value, prefix: &str, known_fields: &[&str]) -> Result<(), ConfigError> {
     let Value::Object(object) = value else {
         let path = prefix.trim_end_matches('.');
         return Err(invalid(if path.is_empty() { "operator file" } else { path }, "no object"));
     };
-    match object.keys().find(|name| !known.contains(&name.as_str())) {
+    match object.keys().find(|name| !known_fields.contains(&name.as_str())) {
         None => Ok(()),
         Some(name) => Err(invalid(&format!("{prefix}{name}"), "no such setting")),
     }
--- a/crates/logs/src/lib.rs
+++ b/crates/logs/src/lib.rs
@@ -31,13 +31,13 @@
 }
 
 impl FromStr for Format {
-    type Err = FilterError;
+    type Err = InvalidLogSetting;
 
-    fn from_str(text: &str) -> Result<Self, FilterError> {
+    fn from_str(text: &str) -> Result<Self, InvalidLogSetting> {
         match text {
             "text" => Ok(Self::Text),
             "json" => Ok(Self::Json),
-            _ => Err(FilterError),
+            _ => Err(InvalidLogSetting),
         }
     }
 }
@@ -55,38 +55,38 @@
 
 /// An error for a text that is neither a valid filter nor the name of a format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct FilterError;
+pub struct InvalidLogSetting;
 
-impl fmt::Display for FilterError {
+impl fmt::Display for InvalidLogSetting {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("neither a level nor a list of target=level")
     }
 }
 
-impl std::error::Error for FilterError {}
+impl std::error::Error for InvalidLogSetting {}
 
 impl FromStr for Filter {
-    type Err = FilterError;
+    type Err = InvalidLogSetting;
 
-    fn from_str(text: &str) -> Result<Self, FilterError> {
+    fn from_str(text: &str) -> Result<Self, InvalidLogSetting> {
         // The library would accept a misspelt level as a target.
-        let is_level = |word: &str| ["off", "error", "warn", "info", "debug", "trace"].contains(&word);
-        let ends_with_level = |part: &str| is_level(part.rsplit('=').next().unwrap_or_default());
+        let is_level = |level: &str| ["off", "error", "warn", "info", "debug", "trace"].contains(&level);
+        let ends_with_level = |directive: &str| is_level(directive.rsplit('=').next().unwrap_or_default());
         if !text.split(',').all(ends_with_level) {
-            return Err(FilterError);
+            return Err(InvalidLogSetting);
         }
-        let parts = text.split(',').map(with_current_target).collect::<Vec<_>>();
-        parts.join(",").parse().map(Self).map_err(|_| FilterError)
+        let directives = text.split(',').map(with_current_target).collect::<Vec<_>>();
+        directives.join(",").parse().map(Self).map_err(|_| InvalidLogSetting)
     }
 }
 
 /// Returns a directive of a filter with a former target replaced by its current name.
-fn with_current_target(part: &str) -> String {
+fn with_current_target(directive: &str) -> String {
     let renamed = RENAMED_TARGETS.iter().find_map(|(former, current)| {
-        let rest = part.strip_prefix(former)?;
-        rest.starts_with(['=', ':']).then(|| format!("{current}{rest}"))
+        let suffix = directive.strip_prefix(former)?;
+        suffix.starts_with(['=', ':']).then(|| format!("{current}{suffix}"))
     });
-    renamed.unwrap_or_else(|| part.to_owned())
+    renamed.unwrap_or_else(|| directive.to_owned())
 }
 
 /// The registry of spans behind the filter.
@@ -115,10 +115,10 @@
 fn set_up(
     format: Format,
     filter: Filter,
-    out: impl Write + Send + 'static,
+    output: impl Write + Send + 'static,
 ) -> (Logs, impl tracing::Subscriber + Send + Sync) {
     let builder = NonBlockingBuilder::default().lossy(true).buffered_lines_limit(QUEUE_CAPACITY);
-    let (writer, worker) = builder.thread_name("logs").finish(out);
+    let (writer, worker) = builder.thread_name("logs").finish(output);
     let (reloadable_filter, filter) = reload::Layer::new(filter.0);
     let (reloadable_lines, line_layer) = reload::Layer::new(line_layer(format, writer.clone()));
     let subscriber = Registry::default().with(reloadable_filter).with(reloadable_lines);
--- a/crates/logs/src/tests.rs
+++ b/crates/logs/src/tests.rs
@@ -72,20 +72,21 @@
 /// Lines that do not fit into the queue are dropped and counted.
 #[test]
 fn logging_does_not_wait_for_a_blocked_reader() {
-    let ((begun, beginning), (release, released)) = (channel(), channel());
-    let (logs, subscriber) = set_up(Format::Text, Filter::default(), BlockedWriter(begun, released));
-    let excess = 500;
+    let ((begun_sender, begun_receiver), (release_sender, release_receiver)) = (channel(), channel());
+    let (logs, subscriber) =
+        set_up(Format::Text, Filter::default(), BlockedWriter(begun_sender, release_receiver));
+    let excess_lines = 500;
     let elapsed = tracing::subscriber::with_default(subscriber, || {
         tracing::info!("stuck");
-        beginning.recv().unwrap();
+        begun_receiver.recv().unwrap();
         let start = Instant::now();
-        (0..QUEUE_CAPACITY + excess).for_each(|at| tracing::info!(at, "line"));
+        (0..QUEUE_CAPACITY + excess_lines).for_each(|index| tracing::info!(index, "line"));
         start.elapsed()
     });
-    assert_eq!(logs.dropped_lines(), excess);
+    assert_eq!(logs.dropped_lines(), excess_lines);
     // A blocking logger would take an hour; the bound allows for a loaded machine.
     assert!(elapsed < Duration::from_secs(5), "{elapsed:?}");
-    drop(release);
+    drop(release_sender);
 }
 
 /// A filter in an operator's file must keep its effect when a crate, and thus its target, was renamed.
@@ -93,7 +94,7 @@
 #[case::crate_name("warn,heathward_wires=debug", "warn,heathward_transport=debug")]
 #[case::module("info,heathward_wires::discovery=trace", "info,heathward_transport::discovery=trace")]
 #[case::another_target("info,heathward_wires_of_others=trace", "info,heathward_wires_of_others=trace")]
-fn a_former_target_is_taken_for_its_current_one(#[case] former: &str, #[case] current: &str) {
+fn a_former_target_is_replaced_by_its_current_name(#[case] former: &str, #[case] current: &str) {
     assert_eq!(former.parse::<Filter>(), current.parse::<Filter>());
     assert!(former.parse::<Filter>().is_ok());
 }
