--- a/crates/transport/src/discovery/supervisor.rs
+++ b/crates/transport/src/discovery/supervisor.rs
@@ -9,7 +9,7 @@
 //!   is tried: an agent sends nothing while discovery is down, and a shared service answers its callers in
 //!   turn, so that a closed call would lose its place. The first line from either watch closes the other one;
 //! * the **confirmation** is a call for the complete list, made in addition to a current watch that was sent
-//!   and that the agent has not answered. Only if it is not answered either, the agent is assumed to have
+//!   and that the agent has not answered. Only if it is not answered either is the agent assumed to have
 //!   nothing new.
 //!
 //! The states of the current watch and their transitions:
--- a/crates/transport/src/handover/command_exchange.rs
+++ b/crates/transport/src/handover/command_exchange.rs
@@ -19,7 +19,7 @@
 
 /// A command that was sent to the peer process and is not answered yet.
 struct PendingCommand {
-    /// When the command fails with [`CommandError::PeerUnresponsive`].
+    /// The time at which the command fails with [`CommandError::PeerUnresponsive`] if no answer has arrived.
     deadline: Instant,
     /// Sends the result to the operator; `None` once it was sent.
     reply: Option<oneshot::Sender<Result<(), CommandError>>>,
