--- a/crates/config/src/operator.rs
+++ b/crates/config/src/operator.rs
@@ -6,10 +6,10 @@
 
 use heathward_event_log::segment::Rotation;
 use heathward_event_log::StorageLimits;
-use heathward_event_recorder::{Clock, Settings};
+use heathward_event_recorder::{ClockSkew, RecorderSettings};
 use heathward_logs::{Filter, Format};
 use heathward_policy::settings::{ConfigError, Deployment, JsonSource, SettingsSource};
-use heathward_transport::nvme::Map;
+use heathward_transport::nvme::NvmeMap;
 use miniserde::json::{self, Value};
 
 use crate::jsonnet;
@@ -47,9 +47,9 @@
     /// The settings of the log.
     pub log: LogSettings,
     /// The map of the NVMe front, if that front is on.
-    pub nvme_map: Option<Map>,
+    pub nvme_map: Option<NvmeMap>,
     /// The settings of the event recorder, if it is on.
-    pub recorder: Option<Settings>,
+    pub recorder: Option<RecorderSettings>,
 }
 
 /// The format of the log, and which lines are written.
@@ -116,13 +116,13 @@
     ConfigError { field: path.to_owned(), reason: reason.into() }
 }
 
-fn nvme_map(map: &Value, deployment: Option<&Deployment>) -> Result<Map, ConfigError> {
+fn nvme_map(map: &Value, deployment: Option<&Deployment>) -> Result<NvmeMap, ConfigError> {
     let no_configuration = || ConfigError::missing("a configuration that the section nvme goes with");
     let in_section = |error: ConfigError| ConfigError { field: format!("nvme.{}", error.field), ..error };
-    Map::parse(&json::to_string(map), deployment.ok_or_else(no_configuration)?).map_err(in_section)
+    NvmeMap::parse(&json::to_string(map), deployment.ok_or_else(no_configuration)?).map_err(in_section)
 }
 
-fn recorder(source: &JsonSource<'_>, section: &Value) -> Result<Settings, ConfigError> {
+fn recorder(source: &JsonSource<'_>, section: &Value) -> Result<RecorderSettings, ConfigError> {
     let fields = ["folder", "segmentMb", "segmentSeconds", "totalMb", "waiting", "requests", "clock"];
     reject_unknown_fields(section, "records.", &fields)?;
     let folder = source.required("records.folder")?;
@@ -135,23 +135,23 @@
     if total_bytes < 2 * segment_bytes {
         return Err(invalid("records.totalMb", "less than two segments"));
     }
-    Ok(Settings {
+    Ok(RecorderSettings {
         folder: PathBuf::from(&*folder),
         limits: StorageLimits {
             rotation: Rotation { max_bytes: segment_bytes, max_age: segment_micros },
             max_total_bytes: total_bytes,
         },
-        waiting: WAITING_EVENTS.read(source)? as usize,
-        requests: source.flag("records.requests")?,
-        clock: recorder_clock(source, section)?,
+        queue_capacity: WAITING_EVENTS.read(source)? as usize,
+        records_requests: source.flag("records.requests")?,
+        clock_skew: recorder_clock_skew(source, section)?,
     })
 }
 
 /// Decodes the settings of the recorder's clock, which is wrong on purpose in rehearsals.
-fn recorder_clock(source: &JsonSource<'_>, records: &Value) -> Result<Clock, ConfigError> {
-    let Some(clock) = section(records, "clock") else { return Ok(Clock::default()) };
+fn recorder_clock_skew(source: &JsonSource<'_>, records: &Value) -> Result<ClockSkew, ConfigError> {
+    let Some(clock) = section(records, "clock") else { return Ok(ClockSkew::default()) };
     reject_unknown_fields(clock, "records.clock.", &["offsetMs", "stepAfterMs", "stepMs"])?;
-    Ok(Clock {
+    Ok(ClockSkew {
         offset_ms: source.number_or("records.clock.offsetMs", 0)?,
         step_after_ms: source.number_or("records.clock.stepAfterMs", 0)?,
         step_ms: source.number_or("records.clock.stepMs", 0)?,
--- a/crates/config/tests/operator_file.rs
+++ b/crates/config/tests/operator_file.rs
@@ -48,16 +48,16 @@
         writeln!(text, "target node={} subsystem={}", target.node, target.subsystem).unwrap();
     }
     let Some(recorder) = &operator.recorder else { panic!("no records") };
-    let (rotation, clock) = (&recorder.limits.rotation, &recorder.clock);
+    let (rotation, clock) = (&recorder.limits.rotation, &recorder.clock_skew);
     writeln!(text, "records.folder={}", recorder.folder.display()).unwrap();
     writeln!(text, "records.segment bytes={} micros={}", rotation.max_bytes, rotation.max_age).unwrap();
     writeln!(
         text,
         "records.total bytes={}\nrecords.waiting={}",
-        recorder.limits.max_total_bytes, recorder.waiting
+        recorder.limits.max_total_bytes, recorder.queue_capacity
     )
     .unwrap();
-    writeln!(text, "records.requests={}", recorder.requests).unwrap();
+    writeln!(text, "records.requests={}", recorder.records_requests).unwrap();
     write!(text, "records.clock offset_ms={} ", clock.offset_ms).unwrap();
     writeln!(text, "step_after_ms={} step_ms={}", clock.step_after_ms, clock.step_ms).unwrap();
     text
@@ -89,7 +89,7 @@
         (16 << 20, 600_000_000)
     );
     assert_eq!(
-        (defaults.limits.max_total_bytes, defaults.waiting, defaults.requests),
+        (defaults.limits.max_total_bytes, defaults.queue_capacity, defaults.records_requests),
         (512 << 20, 8192, false)
     );
 }
--- a/crates/policy/src/volume_table.rs
+++ b/crates/policy/src/volume_table.rs
@@ -1,4 +1,4 @@
-//! The volumes that this scheduler knows, with an index by their latest request.
+//! The volumes known to this scheduler, with an index by their latest request.
 
 use std::collections::BTreeMap;
 
@@ -26,14 +26,14 @@
         self.volumes.get_mut(id)
     }
 
-    /// The volume of a request that arrives now, made by `new` if it is not known yet.
+    /// Returns the volume of a request that arrives now, created by `create` if it is not known yet.
     pub(crate) fn on_request(
         &mut self,
         now: Micros,
         id: VolumeId,
-        new: impl FnOnce() -> Volume,
+        create: impl FnOnce() -> Volume,
     ) -> &mut Volume {
-        let volume = self.volumes.entry(id).or_insert_with(new);
+        let volume = self.volumes.entry(id).or_insert_with(create);
         self.by_last_request.touch(volume.requested_at, now, id);
         volume.requested_at = now;
         volume
@@ -41,7 +41,7 @@
 
     /// Removes volumes that were last requested at `until` or before, except those to keep. Only these
     /// volumes are visited.
-    pub(crate) fn forget_idle(&mut self, until: Micros, keep: impl Fn(&Volume) -> bool) {
+    pub(crate) fn remove_idle(&mut self, until: Micros, keep: impl Fn(&Volume) -> bool) {
         let idle: Vec<LastUse<VolumeId>> = self.by_last_request.until(until).collect();
         for last_request in idle {
             if !self.volumes.get(&last_request.key).is_some_and(&keep) {
--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! A hundred schedulers and sixty storage nodes in virtual time: what the schedulers do must add up. Seeded;
-//! the totals are compared with plain arithmetic for one node.
+//! A hundred schedulers and sixty storage nodes in virtual time: the total load from all schedulers is
+//! compared with the capacity of a node. The runs are seeded.
 #![cfg(test)]
 
 mod common;
@@ -10,24 +10,24 @@
 
 const SCHEDULERS: u32 = 100;
 const NODES: u32 = 60;
-/// Nodes that start at the same time.
+/// Number of nodes that start at the same time.
 const STARTING_NODES: u32 = NODES * 6 / 10;
 const WINDOW: Micros = 2_000_000;
-const SLOW_START: Micros = 16_000_000;
+const SLOW_START_DURATION: Micros = 16_000_000;
 /// Fraction of its capacity that a node starts with.
 const START_FRACTION: f64 = 0.2;
 /// Units that a node can serve within the window when it starts.
 const START_UNITS: f64 = 24.0;
 /// Multiple of its capacity at which a node in slow start fails.
 const OVERLOAD_MULTIPLE: f64 = 4.0;
-/// What a node may be sent at most, as a multiple of its capacity: four fifths of N + 2 x root of N + 2
-/// requests of two units, at which it fails, N being 48 when it starts, and more later.
+/// Maximum load that a node may be sent, as a multiple of its capacity: four fifths of N + 2 x root of N + 2
+/// requests of two units, at which it fails, where N is 48 when the node starts, and more later.
 const MAX_LOAD: f64 = 4.2;
 const SCHEDULERS_START: Micros = 10_000_000;
 const START: Micros = 20_000_000;
 const STEP: Micros = 20_000;
 
-/// A scheduler through which a volume's requests for a shard come.
+/// A scheduler that receives a volume's requests for a shard.
 #[derive(Clone, Copy, Debug)]
 struct Source {
     scheduler: usize,
@@ -43,9 +43,9 @@
     units: f64,
 }
 
-/// How an attempt ends.
+/// The end of an attempt.
 #[derive(Clone, Copy, Debug)]
-struct Ending {
+struct SimulatedEnd {
     end: AttemptEnd,
     latency: Micros,
 }
@@ -58,7 +58,8 @@
 }
 
 impl Fleet {
-    /// Twenty volumes to a node, each through one to three schedulers, as on the platform.
+    /// Creates a fleet with seven volumes per node, each with requests through one to three schedulers for
+    /// three shards per scheduler, as on the platform.
     fn new(seed: u64) -> Self {
         let settings = |scheduler_index| Settings {
             schedulers: SCHEDULERS,
@@ -92,9 +93,14 @@
         }
     }
 
-    /// One step in which each source has a request with a probability; returns what was sent. Each attempt
-    /// ends at once as `ending` has it for its scheduler and shard.
-    fn step(&mut self, now: Micros, probability: f64, ending: impl Fn(usize, u32) -> Ending) -> Vec<Sent> {
+    /// Runs one step in which each source has a request with a probability. Returns the requests that were
+    /// sent. Each attempt ends at once as `simulated_end` returns for its scheduler and shard.
+    fn step(
+        &mut self,
+        now: Micros,
+        probability: f64,
+        simulated_end: impl Fn(usize, u32) -> SimulatedEnd,
+    ) -> Vec<Sent> {
         let (mut sent, mut actions) = (Vec::new(), Vec::new());
         for index in 0..self.sources.len() {
             let Source { scheduler, volume, shard } = self.sources[index];
@@ -103,7 +109,7 @@
             }
             self.next_id += 1;
             let units = self.random.u32(1..=3);
-            let Ending { end, latency } = ending(scheduler, shard);
+            let SimulatedEnd { end, latency } = simulated_end(scheduler, shard);
             let (volume, shard_id) = (VolumeId(volume), Some(ShardId(shard)));
             let request =
                 Request { units, volume, shard: shard_id, schedulers: 2, ..sample_request(self.next_id) };
@@ -117,7 +123,7 @@
                     sent.push(Sent { scheduler, shard, units: f64::from(units) });
                     Event::AttemptEnded(AttemptOutcome { end, ..served(request.id, node, latency) })
                 }
-                // Queued or shed: its client disconnects.
+                // The request was queued or shed: its client disconnects.
                 None => Event::ClientDisconnected { request: request.id },
             };
             self.schedulers[scheduler].handle(now, event, &mut actions);
@@ -127,11 +133,11 @@
     }
 }
 
-fn served_fast(_: usize, _: u32) -> Ending {
-    Ending { end: AttemptEnd::Served, latency: 10_000 }
+fn served_fast(_: usize, _: u32) -> SimulatedEnd {
+    SimulatedEnd { end: AttemptEnd::Served, latency: 10_000 }
 }
 
-/// A fleet that has run until [`START`].
+/// Returns a fleet that has run until [`START`].
 fn running_fleet(seed: u64, probability: f64) -> Fleet {
     let mut fleet = Fleet::new(seed);
     let all: Vec<_> = (0..NODES).map(endpoint).collect();
@@ -142,8 +148,8 @@
     fleet
 }
 
-/// Six in ten nodes start at once while all schedulers have requests; returns what these are sent in each
-/// step.
+/// Starts six in ten nodes at once while all schedulers have requests. Returns the requests sent to these
+/// nodes in each step.
 fn start_nodes(seed: u64, probability: f64) -> Vec<Vec<Sent>> {
     let mut fleet = running_fleet(seed, probability);
     let starting: Vec<_> =
@@ -154,10 +160,10 @@
         sent.retain(|sent| sent.shard < STARTING_NODES);
         sent
     };
-    (0..SLOW_START / 2 / STEP).map(&mut step).collect()
+    (0..SLOW_START_DURATION / 2 / STEP).map(&mut step).collect()
 }
 
-/// Load on the starting nodes within a window, relative to their capacity.
+/// Maximum and mean load on the starting nodes within a window, relative to their capacity.
 struct Loads {
     max: f64,
     mean: f64,
@@ -167,7 +173,7 @@
     let (mut max, mut sum, mut count) = (0.0_f64, 0.0, 0);
     let steps_per_window = (WINDOW / STEP) as usize;
     for first in (0..steps.len() - steps_per_window).step_by(10) {
-        let age = (first as u64 * STEP) as f64 / SLOW_START as f64;
+        let age = (first as u64 * STEP) as f64 / SLOW_START_DURATION as f64;
         let capacity = START_UNITS * (START_FRACTION + (1.0 - START_FRACTION) * age) / START_FRACTION;
         let mut units = [0.0; STARTING_NODES as usize];
         for sent in steps[first..first + steps_per_window].iter().flatten() {
@@ -182,26 +188,26 @@
     Loads { max, mean: sum / f64::from(count) }
 }
 
-/// Guards against parts so small, or turns so rare, that nodes with capacity are idle; and against a total
-/// beyond the rule if many schedulers have more than enough requests.
+/// Guards against parts of the allowance so small, or tokens so rare, that nodes with capacity are idle; and
+/// against a total load above the limit if many schedulers have more than enough requests.
 #[test]
-fn a_hundred_schedulers_use_nodes_in_slow_start_and_overload_none() {
+fn a_hundred_schedulers_use_nodes_in_slow_start_without_overloading_any() {
     for seed in [1, 2, 3] {
         let Loads { max, mean } = loads(&start_nodes(seed, 0.05));
-        println!("seed {seed}: at most {max:.2}, in the mean {mean:.2} of a node's capacity");
+        println!("seed {seed}: at most {max:.2}, on average {mean:.2} of a node's capacity");
         assert!(max < MAX_LOAD, "seed {seed}: {max} times a node's capacity");
         assert!(mean > 0.48 * OVERLOAD_MULTIPLE, "seed {seed}: nodes get {mean} of their capacity");
     }
 }
 
-/// Guards against a node that accepted no connections for a moment, and that a scheduler of many, which
-/// rarely has a request for it, then takes for one that is down and does not try again for long.
+/// Guards against a node that accepted no connections for a short time and is then not tried again for long:
+/// a scheduler of a large fleet rarely has a request for it and counts it as down.
 #[test]
 fn schedulers_use_a_node_again_that_accepted_no_connections_for_a_while() {
     let mut fleet = running_fleet(4, 0.02);
     let no_connection = |_: usize, shard: u32| {
         if shard == 0 {
-            Ending { end: AttemptEnd::NotConnected, latency: 300 }
+            SimulatedEnd { end: AttemptEnd::NotConnected, latency: 300 }
         } else {
             served_fast(0, 0)
         }
@@ -211,64 +217,71 @@
     }
     let of_node = fleet.sources.iter().filter(|source| source.shard == 0);
     let with_requests: BTreeSet<_> = of_node.map(|source| source.scheduler).collect();
-    let (mut back, mut units) = (BTreeSet::new(), 0.0);
+    let (mut recovered, mut units) = (BTreeSet::new(), 0.0);
     let restart = START + 3_000_000;
     for step in 0..8_000_000 / STEP {
         let sent = fleet.step(restart + step * STEP, 0.02, served_fast);
         for sent in sent.into_iter().filter(|sent| sent.shard == 0) {
-            back.insert(sent.scheduler);
-            // As far as these schedulers know, it has just started.
+            recovered.insert(sent.scheduler);
+            // As far as these schedulers know, the node has just started.
             units += if step < WINDOW / STEP { sent.units } else { 0.0 };
         }
     }
-    let (back, all) = (back.len(), with_requests.len());
-    println!("{back} of {all} schedulers back, {units} units in the first window");
-    // Four windows, in each of which the node can serve twelve requests.
-    assert!(back * 10 >= all * 8, "{back} of {all} schedulers back");
+    let (recovered, all) = (recovered.len(), with_requests.len());
+    println!("{recovered} of {all} schedulers recovered, {units} units in the first window");
+    // The observed time is four windows, in each of which the node can serve twelve requests.
+    assert!(recovered * 10 >= all * 8, "{recovered} of {all} schedulers recovered");
     assert!(units < OVERLOAD_MULTIPLE * START_UNITS, "{units} units at once on a node that may be starting");
 }
 
-/// Sends and sources, by whether they are for the slow node and for one of the few schedulers.
+/// Numbers of requests or sources, by whether they are for the slow node and whether they come from one of
+/// the few schedulers.
 #[derive(Clone, Copy, Debug, Default)]
 struct Counts {
     counts: [[f64; 2]; 2],
 }
 
 impl Counts {
-    fn add(&mut self, is_slow_node: bool, is_of_few: bool) {
-        self.counts[usize::from(is_slow_node)][usize::from(is_of_few)] += 1.0;
+    fn add(&mut self, is_slow_node: bool, is_affected: bool) {
+        self.counts[usize::from(is_slow_node)][usize::from(is_affected)] += 1.0;
     }
 
-    fn get(&self, is_slow_node: bool, is_of_few: bool) -> f64 {
-        self.counts[usize::from(is_slow_node)][usize::from(is_of_few)]
+    fn get(&self, is_slow_node: bool, is_affected: bool) -> f64 {
+        self.counts[usize::from(is_slow_node)][usize::from(is_affected)]
     }
 }
 
-/// Guards against a node that is slow for a few schedulers and that others then leave idle.
+/// Guards against a node that is slow for a few schedulers and is then left idle by the others.
 #[test]
 fn a_node_that_is_slow_for_a_few_schedulers_is_used_by_the_others() {
     let mut fleet = running_fleet(5, 0.02);
-    let is_of_few = |scheduler: usize| scheduler < SCHEDULERS as usize / 10;
-    let slow_for_few = move |scheduler: usize, shard: u32| {
-        if shard == 0 && is_of_few(scheduler) {
-            Ending { end: AttemptEnd::Served, latency: 700_000 }
+    let is_affected = |scheduler: usize| scheduler < SCHEDULERS as usize / 10;
+    let slow_for_affected = move |scheduler: usize, shard: u32| {
+        if shard == 0 && is_affected(scheduler) {
+            SimulatedEnd { end: AttemptEnd::Served, latency: 700_000 }
         } else {
             served_fast(0, 0)
         }
     };
     let (mut sources, mut sent) = (Counts::default(), Counts::default());
     for source in &fleet.sources {
-        sources.add(source.shard == 0, is_of_few(source.scheduler));
+        sources.add(source.shard == 0, is_affected(source.scheduler));
     }
     for step in 0..6_000_000 / STEP {
-        for request in fleet.step(START + step * STEP, 0.02, slow_for_few) {
-            sent.add(request.shard == 0, is_of_few(request.scheduler));
+        for request in fleet.step(START + step * STEP, 0.02, slow_for_affected) {
+            sent.add(request.shard == 0, is_affected(request.scheduler));
         }
     }
-    let per_source = |slow: bool, few: bool| sent.get(slow, few) / sources.get(slow, few);
+    let per_source = |slow: bool, affected: bool| sent.get(slow, affected) / sources.get(slow, affected);
     println!("sends for each source: {sent:?} of {sources:?}");
     let (others, others_elsewhere) = (per_source(true, false), per_source(false, false));
-    assert!(others > 0.8 * others_elsewhere, "others at the slow node: {others} of {others_elsewhere}");
-    let (few, few_elsewhere) = (per_source(true, true), per_source(false, true));
-    assert!(few < 0.8 * few_elsewhere, "the few there: {few} of {few_elsewhere}");
+    assert!(
+        others > 0.8 * others_elsewhere,
+        "other schedulers at the slow node: {others} of {others_elsewhere}"
+    );
+    let (affected, affected_elsewhere) = (per_source(true, true), per_source(false, true));
+    assert!(
+        affected < 0.8 * affected_elsewhere,
+        "affected schedulers at the slow node: {affected} of {affected_elsewhere}"
+    );
 }
--- a/crates/policy/tests/period_budget.rs
+++ b/crates/policy/tests/period_budget.rs
@@ -6,10 +6,10 @@
 use heathward_policy::*;
 use rstest::rstest;
 
-/// Length of a budget period with the tests' settings.
+/// Length of a budget period with the tests' settings, in microseconds.
 const PERIOD: Micros = 150_000;
 
-/// Submits requests until no more are sent at once; returns how many are in flight.
+/// Submits sixty requests, more than are sent at once. Returns the number in flight.
 fn fill(harness: &mut Harness, first_id: u64) -> usize {
     for id in first_id..first_id + 60 {
         harness.submit(sample_request(id));
@@ -17,8 +17,8 @@
     harness.in_flight.len()
 }
 
-/// Serves all attempts in flight, then those of the queued requests, until nothing is left.
-fn drain(harness: &mut Harness) {
+/// Serves all attempts in flight, including those of queued requests that follow, until none is left.
+fn serve_until_idle(harness: &mut Harness) {
     while !harness.in_flight.is_empty() {
         harness.serve_all();
     }
@@ -27,14 +27,14 @@
 #[test]
 fn the_budget_starts_at_its_minimum_grows_when_filled_in_time_and_stops_at_its_maximum() {
     let mut harness = Harness::with_nodes(settings(), &[1]);
-    let mut seen = vec![fill(&mut harness, 1)];
+    let mut in_flight_counts = vec![fill(&mut harness, 1)];
     for round in 1..60 {
-        drain(&mut harness);
+        serve_until_idle(&mut harness);
         harness.advance(PERIOD);
-        seen.push(fill(&mut harness, 1 + 100 * round));
+        in_flight_counts.push(fill(&mut harness, 1 + 100 * round));
     }
-    assert_eq!(seen[0], 4, "four mean requests");
-    assert_eq!(seen.iter().max(), Some(&32), "{seen:?}");
+    assert_eq!(in_flight_counts[0], 4, "four mean requests");
+    assert_eq!(in_flight_counts.iter().max(), Some(&32), "{in_flight_counts:?}");
 }
 
 #[test]
@@ -44,7 +44,7 @@
         assert_eq!(harness.submit(sample_request(id)).len(), 1);
     }
     harness.advance(50_000);
-    drain(&mut harness);
+    serve_until_idle(&mut harness);
     harness.advance(PERIOD);
     assert_eq!(fill(&mut harness, 10), 5);
 }
@@ -55,7 +55,7 @@
     let mut before = 0;
     for round in 0..8 {
         before = fill(&mut harness, 1 + 100 * round);
-        drain(&mut harness);
+        serve_until_idle(&mut harness);
         harness.advance(PERIOD);
     }
     harness.advance(20_000_000);
@@ -82,8 +82,8 @@
     harness.submit(sample_request(1));
     harness.advance(10_000);
     harness.end_attempt(1, 0, 1, AttemptEnd::Served, true, 200_000);
-    // There is a queueing delay: a first request within the reserved rate is sent, a late retry is shed at
-    // once.
+    // There is a queueing delay: a first request within the reserved rate is sent, but a late retry is shed
+    // at once.
     harness.submit(Request { time_budget: 500_000, is_client_retry, ..sample_request(2) });
     assert_eq!(harness.shed_count(2), 1);
     assert_eq!(harness.submit(sample_request(3)).len(), 1);
@@ -106,7 +106,7 @@
     harness.end_attempt(2, 0, 1, AttemptEnd::Served, true, 1_000);
     harness.advance(PERIOD);
     assert!(harness.submit(unreserved(3, 2)).is_empty());
-    assert_eq!(harness.shed_count(3), 1, "one session filled the node: no room for a second");
+    assert_eq!(harness.shed_count(3), 1, "one session filled the node: no capacity for a second");
     assert_eq!(harness.submit(unreserved(4, 1)).len(), 1, "an open session continues");
     harness.serve_all();
     let reserved = Request { volume: VolumeId(3), ..sample_request(5) };
--- a/crates/policy/tests/retries.rs
+++ b/crates/policy/tests/retries.rs
@@ -1,11 +1,11 @@
-//! Which requests are sent again after an attempt that did not serve them.
+//! Retries after an attempt that did not serve its request.
 #![cfg(test)]
 
 mod common;
 use common::*;
 use heathward_policy::*;
 
-/// Settings with at most so many retries in any 5 s.
+/// Returns settings with at most `free_retries` retries in any 5 s.
 fn settings_with_retries(free_retries: f64) -> Settings {
     let budget = RetryBudget { free_retries, retries_per_request: 0.0, window: 5_000_000 };
     Settings { retry_budget: Some(budget), ..settings() }
@@ -82,7 +82,7 @@
     let mut harness = Harness::with_nodes(settings, &[1]);
     harness.submit(sample_request(1));
     harness.end_attempt(1, 0, 1, AttemptEnd::Error, false, 1_000);
-    assert_eq!(harness.last_sent_requests(), vec![1], "one is free");
+    assert_eq!(harness.last_sent_requests(), vec![1], "one retry is free");
     harness.end_attempt(1, 1, 1, AttemptEnd::Error, false, 1_000);
     assert!(harness.last_sent_requests().is_empty());
     assert_eq!(harness.answer_count(1), 1);
--- a/crates/transport/src/nvme/map.rs
+++ b/crates/transport/src/nvme/map.rs
@@ -1,15 +1,15 @@
-//! The file that ties namespaces to volumes: `deploy/nvme.json`.
+//! Reads the file that maps namespaces to volumes: `deploy/nvme.json`.
 
 use std::net::SocketAddr;
 
 use miniserde::{json, Deserialize};
 
-use super::command::Blocks;
-use super::pdu::MOST_DATA;
+use super::command::BlockRange;
+use super::pdu::MAX_DATA_BYTES;
 use heathward_policy::settings::{ConfigError, Deployment};
 use heathward_policy::{ClassId, KeyId, PlanId, ShardId, VolumeId};
 
-/// As the file has it.
+/// The fields of the file.
 #[derive(Deserialize)]
 struct File {
     listen: String,
@@ -35,125 +35,125 @@
     shards: Vec<u32>,
 }
 
-/// A storage node that is itself a target.
+/// A storage node that is an NVMe target.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq)]
 pub struct Target {
-    /// Its name in the list of nodes.
+    /// Id of the node in the endpoint list.
     pub node: String,
-    /// Its subsystem.
+    /// NQN of its subsystem.
     pub subsystem: String,
 }
 
-/// A namespace is a volume.
+/// A namespace, which is a volume.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Namespace {
-    /// Its number.
+    /// Id of the namespace.
     pub nsid: u32,
     /// The volume.
     pub volume: VolumeId,
     /// The volume's plan.
     pub plan: PlanId,
-    /// Through how many hosts it works.
+    /// Number of schedulers through which the volume sends its requests.
     pub hosts: u32,
-    /// Its size.
+    /// Size in blocks.
     pub blocks: u64,
-    /// So many blocks in a row lie on one shard.
+    /// Length of a stripe: the number of consecutive blocks on one shard.
     pub stripe: u64,
-    /// The shards, in turn.
+    /// The shards, in the order of the stripes.
     pub shards: Vec<ShardId>,
 }
 
-/// A class that an opcode stands for.
+/// The request class of an opcode.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Class {
-    /// Its place in the settings.
+    /// Index of the class in the settings.
     pub id: ClassId,
-    /// Its name.
+    /// Name of the class.
     pub name: Box<str>,
 }
 
-/// What the file says, checked against the settings.
+/// The validated content of the file.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Map {
-    /// Where hosts connect.
+pub struct NvmeMap {
+    /// The address that hosts connect to.
     pub listen: SocketAddr,
-    /// The front's own subsystem.
+    /// NQN of the front's subsystem.
     pub subsystem: String,
-    /// I/O queues of a controller at most.
+    /// The most I/O queues of a controller.
     pub queues: u16,
-    /// Entries of a queue at most.
+    /// The most entries of a queue.
     pub depth: u16,
-    /// Bytes of a block: a power of two.
+    /// Size of a block in bytes, a power of two.
     pub block: u32,
-    /// Blocks that count as one unit.
+    /// Number of blocks that count as one unit.
     pub unit_blocks: u32,
-    /// The class of reads.
+    /// The request class of reads.
     pub read: Class,
-    /// The class of writes.
+    /// The request class of writes.
     pub write: Class,
-    /// The namespaces, by number.
+    /// The namespaces, in the order of their ids.
     pub namespaces: Vec<Namespace>,
-    /// Storage nodes that are targets.
+    /// The storage nodes that are NVMe targets.
     pub targets: Vec<Target>,
 }
 
-impl Map {
-    /// Decodes the file.
+impl NvmeMap {
+    /// Parses the file and validates it against the deployment.
     ///
     /// # Errors
-    /// The field that is not valid, or that names no class or plan of the deployment.
+    /// The field that is not valid, or that names a class or a plan that the deployment does not have.
     pub fn parse(text: &str, deployment: &Deployment) -> Result<Self, ConfigError> {
-        let broken = |_| ConfigError {
+        let malformed = |_| ConfigError {
             field: "nvme".to_owned(),
             reason: "not JSON, or a field is missing".to_owned(),
         };
-        let file: File = json::from_str(text).map_err(broken)?;
-        let class = |field: &str, name: &str, write: bool| {
-            let at = deployment.class_names.iter().position(|c| c == name);
-            let at = at.filter(|at| deployment.class_writes[*at] == write);
-            let at = at.ok_or_else(|| ConfigError::invalid(field, name))?;
-            Ok(Class { id: ClassId(at as u16), name: name.into() })
+        let file: File = json::from_str(text).map_err(malformed)?;
+        let class = |field: &str, name: &str, is_write: bool| {
+            let index = deployment.class_names.iter().position(|candidate| candidate == name);
+            let index = index.filter(|index| deployment.class_writes[*index] == is_write);
+            let index = index.ok_or_else(|| ConfigError::invalid(field, name))?;
+            Ok(Class { id: ClassId(index as u16), name: name.into() })
         };
         let (read, write) = (class("read", &file.read, false)?, class("write", &file.write, true)?);
-        let fits = |sound: bool, field: &str, value: u64| {
-            if sound {
+        let require = |is_valid: bool, field: &str, value: u64| {
+            if is_valid {
                 Ok(())
             } else {
                 Err(ConfigError::invalid(field, &value.to_string()))
             }
         };
         let block = file.block;
-        fits(block.is_power_of_two() && (512..=4096).contains(&block), "block", block.into())?;
-        fits(file.queues > 0, "queues", file.queues.into())?;
-        fits((2..=1024).contains(&file.depth), "depth", file.depth.into())?;
-        let units = (MOST_DATA as u32 / block).div_ceil(file.unit_blocks.max(1));
-        let most = deployment.settings.max_units;
-        fits(file.unit_blocks > 0 && units <= most, "unit_blocks", file.unit_blocks.into())?;
+        require(block.is_power_of_two() && (512..=4096).contains(&block), "block", block.into())?;
+        require(file.queues > 0, "queues", file.queues.into())?;
+        require((2..=1024).contains(&file.depth), "depth", file.depth.into())?;
+        let units = (MAX_DATA_BYTES as u32 / block).div_ceil(file.unit_blocks.max(1));
+        let max_units = deployment.settings.max_units;
+        require(file.unit_blocks > 0 && units <= max_units, "unit_blocks", file.unit_blocks.into())?;
         let mut namespaces = Vec::new();
-        for (at, from) in file.namespaces.into_iter().enumerate() {
-            let field = |name: &str| format!("namespaces.{at}.{name}");
-            let plan = deployment.plan_names.iter().position(|p| *p == from.plan);
-            let plan = plan.ok_or_else(|| ConfigError::invalid(&field("plan"), &from.plan))?;
-            let volume = u64::from_str_radix(&from.volume, 16);
-            let volume = volume.map_err(|_| ConfigError::invalid(&field("volume"), &from.volume))?;
-            fits((1..0xffff_ffff).contains(&from.nsid), &field("nsid"), from.nsid.into())?;
-            fits(from.hosts > 0, &field("hosts"), from.hosts.into())?;
-            fits(from.blocks > 0, &field("blocks"), from.blocks)?;
-            fits(from.stripe > 0, &field("stripe"), from.stripe)?;
-            fits(!from.shards.is_empty(), &field("shards"), 0)?;
+        for (index, entry) in file.namespaces.into_iter().enumerate() {
+            let field = |name: &str| format!("namespaces.{index}.{name}");
+            let plan = deployment.plan_names.iter().position(|name| *name == entry.plan);
+            let plan = plan.ok_or_else(|| ConfigError::invalid(&field("plan"), &entry.plan))?;
+            let volume = u64::from_str_radix(&entry.volume, 16);
+            let volume = volume.map_err(|_| ConfigError::invalid(&field("volume"), &entry.volume))?;
+            require((1..0xffff_ffff).contains(&entry.nsid), &field("nsid"), entry.nsid.into())?;
+            require(entry.hosts > 0, &field("hosts"), entry.hosts.into())?;
+            require(entry.blocks > 0, &field("blocks"), entry.blocks)?;
+            require(entry.stripe > 0, &field("stripe"), entry.stripe)?;
+            require(!entry.shards.is_empty(), &field("shards"), 0)?;
             namespaces.push(Namespace {
-                nsid: from.nsid,
+                nsid: entry.nsid,
                 volume: VolumeId(volume),
                 plan: PlanId(plan as u16),
-                hosts: from.hosts,
-                blocks: from.blocks,
-                stripe: from.stripe,
-                shards: from.shards.into_iter().map(ShardId).collect(),
+                hosts: entry.hosts,
+                blocks: entry.blocks,
+                stripe: entry.stripe,
+                shards: entry.shards.into_iter().map(ShardId).collect(),
             });
         }
-        namespaces.sort_by_key(|n| n.nsid);
-        let twice = namespaces.windows(2).find(|pair| pair[0].nsid == pair[1].nsid);
-        twice
+        namespaces.sort_by_key(|namespace| namespace.nsid);
+        let duplicate = namespaces.windows(2).find(|pair| pair[0].nsid == pair[1].nsid);
+        duplicate
             .map_or(Ok(()), |pair| Err(ConfigError::invalid("namespaces.nsid", &pair[0].nsid.to_string())))?;
         let subsystem = file.subsystem;
         if !subsystem.starts_with("nqn.") || subsystem.len() > 223 {
@@ -173,30 +173,30 @@
         })
     }
 
-    /// The namespace of that number.
+    /// Returns the namespace with this id.
     pub fn namespace(&self, nsid: u32) -> Option<&Namespace> {
-        self.namespaces.iter().find(|n| n.nsid == nsid)
+        self.namespaces.iter().find(|namespace| namespace.nsid == nsid)
     }
 
-    /// The units of so many blocks.
+    /// Returns the number of units of `blocks` blocks, at least 1.
     pub fn units(&self, blocks: u32) -> u32 {
         blocks.div_ceil(self.unit_blocks).max(1)
     }
 
-    /// The blocks of a piece of data: it begins at the block that its key names. `None` for a volume that is
-    /// no namespace, or one past its end.
-    pub fn blocks(&self, volume: VolumeId, key: KeyId, count: u32) -> Option<Blocks> {
-        let namespace = self.namespaces.iter().find(|n| n.volume == volume)?;
+    /// Returns the blocks of an object, whose key is the number of its first block. `None` if the volume is
+    /// not a namespace, or the range is empty or goes beyond the end of the namespace.
+    pub fn block_range(&self, volume: VolumeId, key: KeyId, count: u32) -> Option<BlockRange> {
+        let namespace = self.namespaces.iter().find(|namespace| namespace.volume == volume)?;
         let end = key.0.checked_add(u64::from(count))?;
-        let sound = count > 0 && end <= namespace.blocks;
-        sound.then_some(Blocks { nsid: namespace.nsid, first: key.0, count })
+        let is_valid = count > 0 && end <= namespace.blocks;
+        is_valid.then_some(BlockRange { nsid: namespace.nsid, first: key.0, count })
     }
 }
 
 impl Namespace {
-    /// The shard that holds a block.
+    /// Returns the shard that holds a block.
     pub fn shard(&self, block: u64) -> ShardId {
-        let turn = block / self.stripe % self.shards.len() as u64;
-        self.shards[turn as usize]
+        let index = block / self.stripe % self.shards.len() as u64;
+        self.shards[index as usize]
     }
 }
