--- a/crates/config/src/configuration.rs
+++ b/crates/config/src/configuration.rs
@@ -40,7 +40,7 @@
     pub nvme_map: Option<NvmeMap>,
     /// The operator file's settings; the defaults if there is no such file.
     pub operator_settings: OperatorSettings,
-    /// A load source whose entries are to be listed instead of serving clients.
+    /// A load source whose entries the program lists, instead of serving clients.
     pub load_listing: Option<LoadListing>,
 }
 
--- a/crates/config/src/jsonnet/child_process.rs
+++ b/crates/config/src/jsonnet/child_process.rs
@@ -38,9 +38,9 @@
     let (json, message) = (join_reader(stdout), join_reader(stderr));
     match status.and_then(|status| status.code()) {
         Some(0) => Ok(json),
-        Some(REJECTED_EXIT_CODE) => {
-            Err(JsonnetError::Rejected(message.lines().next().unwrap_or("can't be read").to_owned()))
-        }
+        Some(REJECTED_EXIT_CODE) => Err(JsonnetError::Rejected(
+            message.lines().next().unwrap_or("rejected without a message").to_owned(),
+        )),
         _ => Err(JsonnetError::LimitsExceeded),
     }
 }
--- a/crates/config/src/operator.rs
+++ b/crates/config/src/operator.rs
@@ -76,7 +76,7 @@
     /// # Errors
     /// The field at fault.
     pub fn parse(text: &str, deployment: Option<&Deployment>) -> Result<Self, ConfigError> {
-        let not_json = |_| ConfigError { field: "operator file".to_owned(), reason: "no JSON".to_owned() };
+        let not_json = |_| ConfigError { field: "operator file".to_owned(), reason: "not JSON".to_owned() };
         let value: Value = json::from_str(text).map_err(not_json)?;
         let source = JsonSource(&value);
         reject_unknown_fields(&value, "", &["log", "nvme", "records"])?;
@@ -147,7 +147,7 @@
     })
 }
 
-/// Decodes the settings of the recorder's clock, which is wrong on purpose in rehearsals.
+/// Decodes the deliberate error of the recorder's clock, for rehearsals; it is zero in production.
 fn recorder_clock_skew(source: &JsonSource<'_>, records: &Value) -> Result<ClockSkew, ConfigError> {
     let Some(clock) = section(records, "clock") else { return Ok(ClockSkew::default()) };
     reject_unknown_fields(clock, "records.clock.", &["offsetMs", "stepAfterMs", "stepMs"])?;
@@ -171,7 +171,7 @@
 fn reject_unknown_fields(value: &Value, prefix: &str, known_fields: &[&str]) -> Result<(), ConfigError> {
     let Value::Object(object) = value else {
         let path = prefix.trim_end_matches('.');
-        return Err(invalid(if path.is_empty() { "operator file" } else { path }, "no object"));
+        return Err(invalid(if path.is_empty() { "operator file" } else { path }, "not an object"));
     };
     match object.keys().find(|name| !known_fields.contains(&name.as_str())) {
         None => Ok(()),
--- a/crates/config/tests/operator_file.rs
+++ b/crates/config/tests/operator_file.rs
@@ -19,7 +19,7 @@
     if expected != actual.as_bytes() {
         let actual_path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
         std::fs::write(&actual_path, actual).unwrap();
-        panic!("not as in {name}: see {}", actual_path.display());
+        panic!("differs from the fixture {name}: see {}", actual_path.display());
     }
 }
 
--- a/crates/logs/src/tests.rs
+++ b/crates/logs/src/tests.rs
@@ -71,7 +71,7 @@
 
 /// Lines that do not fit into the queue are dropped and counted.
 #[test]
-fn logging_does_not_wait_for_a_blocked_reader() {
+fn logging_does_not_wait_for_a_blocked_writer() {
     let ((begun_sender, begun_receiver), (release_sender, release_receiver)) = (channel(), channel());
     let (logs, subscriber) =
         set_up(Format::Text, Filter::default(), BlockedWriter(begun_sender, release_receiver));
@@ -84,7 +84,7 @@
         start.elapsed()
     });
     assert_eq!(logs.dropped_lines(), excess_lines);
-    // A blocking logger would take an hour; the bound allows for a loaded machine.
+    // A logger that waits would never return; the bound allows for a loaded machine.
     assert!(elapsed < Duration::from_secs(5), "{elapsed:?}");
     drop(release_sender);
 }
