--- a/crates/transport/src/admin/client.rs
+++ b/crates/transport/src/admin/client.rs
@@ -12,10 +12,11 @@
 /// The maximum length of a reply; further bytes are not read.
 const MAX_REPLY_BYTES: u64 = 256 * 1024;
 
-/// Why a call was not carried out. The texts are part of the interface of the programs that print them.
+/// Why a call failed. Its request may have been carried out nevertheless. The texts are part of the interface
+/// of the programs that print them.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum CallError {
-    /// The scheduler rejected the request, with this reason.
+    /// The scheduler replied with an error, for this reason.
     #[error("refused: {0}")]
     Rejected(String),
     /// The connection failed with this error of the system.
@@ -36,7 +37,8 @@
 /// was carried out.
 ///
 /// # Errors
-/// [`CallError`] if the scheduler rejects the request, cannot be reached, or does not reply by the deadline.
+/// [`CallError`] if the scheduler replies with an error, cannot be reached, or does not send a valid reply by
+/// the deadline.
 pub async fn call(
     address: SocketAddr,
     request: &Request,
@@ -60,7 +62,7 @@
     Ok(text)
 }
 
-/// Returns the lines of a reply, which is a list that ends with `END`, or the one line `OK`.
+/// Returns the lines of a reply that is a list, without its `END`; no lines for the reply `OK`.
 fn parse_reply(text: &str, is_list: bool) -> Result<Vec<String>, CallError> {
     if let Some(reason) = text.strip_prefix("ERR") {
         return Err(CallError::Rejected(reason.trim().to_owned()));
--- a/crates/transport/src/admin/codec.rs
+++ b/crates/transport/src/admin/codec.rs
@@ -102,7 +102,7 @@
 pub enum Reply {
     /// The process can serve, or the command was carried out.
     Ok,
-    /// The process cannot serve yet: it has no list of storage nodes.
+    /// The process cannot serve: it has no list of storage nodes yet, or its core has stopped.
     NotReady,
     /// The request cannot be decoded.
     Malformed(MalformedRequest),
--- a/crates/transport/src/admin/server.rs
+++ b/crates/transport/src/admin/server.rs
@@ -50,13 +50,13 @@
         stream.write_all(reply.as_bytes()).await?;
         stream.shutdown().await
     };
-    // A caller that does not receive its reply has disconnected.
+    // A caller that has disconnected or reads too slowly gets no complete reply.
     let _ = timeout(CALLER_TIMEOUT, sending).await;
 }
 
-/// Reads the line of a request and returns it without its end; `None` if the caller closes its side without
-/// sending anything. A line without an end is returned as it is if the caller closes its side, or once it
-/// exceeds [`MAX_REQUEST_BYTES`]; the parser rejects invalid requests.
+/// Reads the line of a request and returns it without its end; `None` if the connection fails or the caller
+/// closes its side without sending anything. A line without an end is returned as it is if the caller closes
+/// its side, or once it exceeds [`MAX_REQUEST_BYTES`]; the parser rejects invalid requests.
 async fn read_request_line(stream: &mut TcpStream) -> Option<Vec<u8>> {
     let mut line = Vec::with_capacity(TYPICAL_REQUEST_BYTES);
     let mut buffer = [0; MAX_REQUEST_BYTES];
--- a/crates/transport/src/backoff.rs
+++ b/crates/transport/src/backoff.rs
@@ -14,10 +14,11 @@
 /// The shortest delay after a failure, as a fraction of the longest possible one, so that calls never follow
 /// each other without a pause.
 const MIN_DELAY_FRACTION: f64 = 0.1;
-/// The longest delay after a healthy watch has ended. It is short because changes that the agent already has
-/// count as delivered, whether or not this scheduler has requested them.
+/// The longest delay after a healthy watch has ended. It is short because a change counts as delivered a
+/// fixed time after discovery had it, whether or not this scheduler has requested it from the agent by then.
 const MAX_HEALTHY_DELAY: Duration = Duration::from_millis(50);
-/// The largest number of times that the delay is doubled.
+/// The limit on the doublings of the delay, far more than it takes to reach [`MAX_FAILURE_DELAY`]. It keeps
+/// the factor from overflowing.
 const MAX_DOUBLINGS: u32 = 20;
 
 /// Exponential backoff with jitter, for calls to the agent on this machine: it serves this scheduler alone,
@@ -55,7 +56,8 @@
 pub enum WatchEnd {
     /// It had received an update, or had been open long enough to count as working.
     Healthy {
-        /// The time from sending the request to the start of the response.
+        /// The time from sending the request to the start of the response, or the time for which the call was
+        /// open if there was no response.
         answered_in: Duration,
     },
     /// It failed.
@@ -86,7 +88,8 @@
         }
     }
 
-    /// Returns a policy for another address, without history and with a random sequence of its own.
+    /// Returns a policy for another address, which knows no earlier calls and has a random sequence of its
+    /// own.
     pub fn fork(&mut self) -> Self {
         match self {
             Self::LocalAgent(backoff) => Self::LocalAgent(AgentBackoff::new(backoff.rng.u64(..))),
--- a/crates/transport/src/backoff/tests.rs
+++ b/crates/transport/src/backoff/tests.rs
@@ -3,7 +3,8 @@
 use super::*;
 
 /// In a large fleet, pacing delays a call by up to half a minute. Calls to a local agent must not be paced,
-/// because changes that the agent has count as delivered meanwhile; calls to a shared service must be.
+/// because a change that the agent has counts as delivered after a shorter time, even if it was not
+/// requested. Calls to a shared service must be paced.
 #[test]
 fn a_local_agent_is_called_at_once_and_a_shared_service_in_the_schedulers_slot() {
     let position = FleetPosition { scheduler_index: 299, schedulers: 300 };
--- a/crates/transport/src/discovery/events.rs
+++ b/crates/transport/src/discovery/events.rs
@@ -17,7 +17,7 @@
     Current,
     /// A watch that has sent no line in time and is kept until another one sends a line.
     TimedOut,
-    /// A call for the complete list, open in addition to a current watch that was not answered.
+    /// A call for the complete list, open in addition to a current watch that has not been answered.
     Confirmation,
 }
 
--- a/crates/transport/src/discovery/report.rs
+++ b/crates/transport/src/discovery/report.rs
@@ -12,7 +12,8 @@
     Update(EndpointUpdate),
     /// Everything that discovery had to send by this time has arrived.
     Contact(Instant),
-    /// Discovery was called, had time to answer, and had not answered by this time.
+    /// Discovery was called and had not answered by this time, at which its time to answer was over or the
+    /// call had ended.
     Unanswered(Instant),
     /// No watch is open, because none was opened yet or because one that received lines has ended. Sent only
     /// for polled lists.
--- a/crates/transport/src/discovery/stream_splitter.rs
+++ b/crates/transport/src/discovery/stream_splitter.rs
@@ -3,8 +3,8 @@
 /// Splits a stream of bytes into JSON objects and lines that contain none. An object may span one line or
 /// several, indented or not, and arrive in any number of pieces.
 ///
-/// A truncated object is returned as it is, once an empty line or the next object shows that it is truncated.
-/// It cannot be decoded; the bytes after it are split as usual.
+/// A truncated object is returned as it is, once an empty line, the next object, or a line end within a
+/// string shows that it is truncated. It cannot be decoded; the bytes after it are split as usual.
 #[derive(Debug, Default)]
 pub struct StreamSplitter {
     /// The bytes received after the last returned item.
@@ -36,7 +36,7 @@
     /// Returns the next object, or the next line with its line end; `None` until it is complete.
     pub fn next_item(&mut self) -> Option<Vec<u8>> {
         while let Some(&byte) = self.buffer.get(self.scanned_bytes) {
-            if self.object_breaks_off_before(byte) {
+            if self.object_is_truncated_before(byte) {
                 return Some(self.take_scanned());
             }
             self.scanned_bytes += 1;
@@ -62,7 +62,7 @@
     /// Returns whether the open object is truncated before `byte`. No line within an object is empty, no
     /// string spans lines, and a line that begins with a brace starts a new list unless the open list expects
     /// an entry.
-    fn object_breaks_off_before(&self, byte: u8) -> bool {
+    fn object_is_truncated_before(&self, byte: u8) -> bool {
         let scanned = &self.buffer[..self.scanned_bytes];
         if self.depth == 0 || !scanned.ends_with(b"\n") {
             return false;
--- a/crates/transport/src/discovery/supervisor.rs
+++ b/crates/transport/src/discovery/supervisor.rs
@@ -209,7 +209,8 @@
     }
 
     /// Makes the watch that sent a line the current one, closes the other watch, and restarts the timeout. A
-    /// line of the confirmation only closes the confirmation.
+    /// line of the current watch also closes the confirmation, and a line of the confirmation closes only
+    /// that.
     fn make_sender_current(&mut self, slot: CallSlot, now: Instant, actions: &mut Vec<Action>) {
         let next_timeout = now + LINE_TIMEOUT;
         match slot {
@@ -272,8 +273,8 @@
         self.report_first_unanswered(now, actions);
     }
 
-    /// Reports that the agent has nothing to send once neither the current watch nor the confirmation was
-    /// answered in time.
+    /// Opens a confirmation if the current watch was not answered in time, and reports a contact, because the
+    /// agent has nothing to send, if the confirmation was not answered in time either.
     fn on_answer_timeout(
         &mut self,
         current: Option<CallProgress>,
@@ -281,11 +282,13 @@
         now: Instant,
         actions: &mut Vec<Action>,
     ) {
-        // A shared service answers its callers in turn, so it may not have reached this call yet.
+        // A shared service answers its callers in turn, so it may not have reached this call yet. A watch at
+        // a superseded address does not show whether the current address has anything to send.
         let current = current.filter(|_| self.is_streamed() && self.is_active());
         match (RequestState::from_progress(current), RequestState::from_progress(confirmation)) {
             (RequestState::Sent(sent_at), RequestState::NoCall) if sent_at + ANSWER_TIMEOUT <= now => {
-                // A watch whose connection broke at the start would look the same.
+                // An agent with nothing new does not answer, and neither does one whose connection broke at
+                // the start. Calling for the complete list tells the two apart.
                 self.open_confirmation(now, actions);
                 return;
             }
@@ -304,8 +307,8 @@
                 self.answer_deadline = Some(now + ANSWER_TIMEOUT);
                 return;
             }
-            // The answer timeout of the watch has not passed yet. That no answer has arrived is reported
-            // nevertheless.
+            // The answer timeout of the watch has not passed since its request was sent. The first missing
+            // answer is reported to the core nevertheless.
             (RequestState::Sent(sent_at), RequestState::NoCall) => {
                 self.answer_deadline = Some(sent_at + ANSWER_TIMEOUT);
             }
--- a/crates/transport/src/discovery/supervisor/tests.rs
+++ b/crates/transport/src/discovery/supervisor/tests.rs
@@ -316,7 +316,7 @@
 #[case::open_for_long(Some(1), Some((4, ResponseStatus::Ok)), false, 5501, healthy(3))]
 #[case::open_for_long_without_answer(Some(1), None, false, 5501, healthy(5501))]
 #[case::brought_an_update(Some(1), Some((4, ResponseStatus::Ok)), true, 5, healthy(3))]
-fn the_end_of_a_call_is_classified_by_how_far_it_came(
+fn the_end_of_a_call_is_classified_by_its_progress_and_age(
     #[case] sent_ms: Option<u64>,
     #[case] response: Option<(u64, ResponseStatus)>,
     #[case] brought_update: bool,
--- a/crates/transport/src/handover/command_exchange.rs
+++ b/crates/transport/src/handover/command_exchange.rs
@@ -78,7 +78,8 @@
                 break;
             }
         }
-        // The peer process has exited and sends nothing to any node, so the commands are in effect.
+        // A peer process that has exited sends nothing to any node, so the commands are in effect. A peer
+        // process that only stopped reading is treated in the same way.
         self.pending.iter_mut().for_each(|pending| pending.answer(Ok(())));
     }
 
@@ -106,8 +107,8 @@
     async fn on_line(&mut self, line: &[u8]) -> Option<String> {
         if line.starts_with(b"OK") || line.starts_with(b"ERR") {
             if let Some(mut answered) = self.pending.pop_front() {
-                // An error means that the peer process does not know the node. It sends nothing there, which
-                // is the purpose of the command.
+                // An error usually means that the peer process does not know the node and sends nothing
+                // there, which is the purpose of a suspension. Other errors are not distinguished from it.
                 answered.answer(Ok(()));
             }
             return None;
--- a/crates/transport/src/handover/link.rs
+++ b/crates/transport/src/handover/link.rs
@@ -37,8 +37,8 @@
         self.stream.write_all(format!("{line}\n").as_bytes()).await
     }
 
-    /// Returns the next line without its end; `None` once the other process has closed the connection or has
-    /// sent a line that is too long. Cancel safe: received parts of a line are kept.
+    /// Returns the next line without its end; `None` once the connection was closed or has failed, or the
+    /// other process has sent a line that is too long. Cancel safe: received parts of a line are kept.
     pub(super) async fn next_line(&mut self) -> Option<Vec<u8>> {
         let mut searched_bytes = 0;
         loop {
--- a/crates/transport/src/handover/mod.rs
+++ b/crates/transport/src/handover/mod.rs
@@ -128,10 +128,10 @@
 }
 
 impl ReceivedHandover {
-    /// Restores the state and notifies the running process that this one serves; must be called once this
-    /// process accepts connections. Then spawns a task that exchanges commands with the peer process. The
-    /// task ends when the peer process exits or the core stops, and then sends [`PeerPhase::Exited`] to
-    /// `phases`.
+    /// Restores the state and notifies the running process that this one serves; must not be called before
+    /// this process accepts connections. Then spawns a task that exchanges commands with the peer process.
+    /// The task ends when the peer process exits or stops reading, or when the core stops, and then sends
+    /// [`PeerPhase::Exited`] to `phases`.
     pub async fn complete(mut self, core: CoreHandle, phases: mpsc::Sender<PeerPhase>) {
         let commands = core.take_over(self.state).await;
         let sent = timeout(STEP_TIMEOUT, self.link.send_line(SERVING_LINE)).await;
@@ -145,7 +145,7 @@
 }
 
 /// Serves a starting process that has connected: sends it the sockets and the state if its greeting is valid,
-/// and exchanges commands with it until it exits. Sends each of its phases to `phases`, and
+/// and exchanges commands with it until it exits or stops reading. Sends each of its phases to `phases`, and
 /// [`PeerPhase::Exited`] last.
 pub async fn send(
     stream: UnixStream,
--- a/crates/transport/tests/stored/admin.rs
+++ b/crates/transport/tests/stored/admin.rs
@@ -1,4 +1,4 @@
-//! The admin interface: each request line, each reply, and the text of each error of a call.
+//! The admin interface: each request line, each reply, and the texts of errors of a call.
 
 use heathward_core::{
     AnswerCounts, CommandError, ConfigurationReloads, CoreMetrics, Counters, OperatorCommand,
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn each_error_of_a_call_is_written_as_stored() {
+fn errors_of_a_call_are_written_as_stored() {
     let errors =
         [CallError::Rejected("unknown storage node".to_owned()), CallError::TimedOut, CallError::Malformed];
     assert_eq!(errors.iter().map(|error| format!("{error}\n")).collect::<String>(), CALL_ERRORS);
--- a/crates/transport/tests/stored/counters.rs
+++ b/crates/transport/tests/stored/counters.rs
@@ -1,4 +1,4 @@
-//! The counters line, which is logged at the end and on request.
+//! The counters line, which is logged at shutdown and on SIGUSR1.
 
 use heathward_core::{AnswerCounts, ConfigurationReloads, Counters};
 
