--- a/crates/logs/src/lib.rs
+++ b/crates/logs/src/lib.rs
@@ -53,13 +53,13 @@
     }
 }
 
-/// An error for a text that is neither a valid filter nor the name of a format.
+/// An error for a text that is not a valid filter, or not the name of a format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InvalidLogSetting;
 
 impl fmt::Display for InvalidLogSetting {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("neither a level nor a list of target=level")
+        f.write_str("neither a format, nor a level, nor a list of target=level")
     }
 }
 
--- a/crates/transport/src/discovery.rs
+++ b/crates/transport/src/discovery.rs
@@ -57,9 +57,9 @@
 /// has stopped or the sender of `addresses` is dropped; every task that it started then ends too.
 ///
 /// `addresses` holds discovery's current address. After a change, the watch at the new address opens while
-/// the one at the old address stays open, for 5 s at most; updates from either count.
+/// the one at the old address stays open, for 5 s at most; updates from both are passed on.
 ///
-/// `policy` sets the delays between calls to one address.
+/// `policy` sets the delays between calls; each address gets a fork of it.
 pub async fn watch_endpoints(
     mut addresses: watch::Receiver<DiscoveryAddress>,
     known_revision: u64,
--- a/crates/transport/src/discovery/wire.rs
+++ b/crates/transport/src/discovery/wire.rs
@@ -65,7 +65,8 @@
     shard: u32,
     #[serde(rename = "phase")]
     phase: String,
-    /// The start time of the node, milliseconds since 1970, with decimals.
+    /// The start time of the node, milliseconds since 1970, with decimals. Absent or not positive if it is
+    /// unknown.
     #[serde(rename = "up_since_ms")]
     started_at_ms: Option<f64>,
 }
--- a/crates/transport/src/handover/mod.rs
+++ b/crates/transport/src/handover/mod.rs
@@ -45,7 +45,7 @@
     Starting,
     /// It serves clients.
     Serving,
-    /// It has exited.
+    /// It has exited, or the connection to it was given up.
     Exited,
 }
 
@@ -60,7 +60,7 @@
 }
 
 /// Why a handover was not completed. It is not logged: most starts have no running process to take over from,
-/// and a running process learns from [`PeerPhase::Exited`] that the other one has exited.
+/// and a running process learns from [`PeerPhase::Exited`] that the handover has ended.
 #[derive(Debug, Error)]
 enum HandoverError {
     #[error("the peer process did not answer in time")]
@@ -129,9 +129,9 @@
 
 impl ReceivedHandover {
     /// Restores the state and notifies the running process that this one serves; must not be called before
-    /// this process accepts connections. Then spawns a task that exchanges commands with the peer process.
-    /// The task ends when the peer process exits or stops reading, or when the core stops, and then sends
-    /// [`PeerPhase::Exited`] to `phases`.
+    /// this process accepts connections, because the running process stops accepting then. Spawns a task that
+    /// exchanges commands with the peer process. The task ends when the peer process exits or stops reading,
+    /// or when the core stops, and then sends [`PeerPhase::Exited`] to `phases`.
     pub async fn complete(mut self, core: CoreHandle, phases: mpsc::Sender<PeerPhase>) {
         let commands = core.take_over(self.state).await;
         let sent = timeout(STEP_TIMEOUT, self.link.send_line(SERVING_LINE)).await;
