--- a/crates/config/src/jsonnet/child_process.rs
+++ b/crates/config/src/jsonnet/child_process.rs
@@ -1,4 +1,4 @@
-//! Evaluates an operator file in a child process, and ends that process if it takes too long.
+//! Evaluates an operator file in a child process, and kills that process if it takes too long.
 
 use std::io::Read;
 use std::path::Path;
@@ -10,20 +10,22 @@
 
 use super::{JsonnetError, MAX_RESULT_BYTES};
 
-/// The time that an evaluation may take on a busy machine. The limit on CPU time is far lower.
-const MAX_ELAPSED: Duration = Duration::from_secs(10);
-/// How often the end of the child process is polled.
+/// The maximum duration of an evaluation, which allows for a busy machine. The limit on CPU time is far
+/// lower.
+const MAX_EVALUATION_TIME: Duration = Duration::from_secs(10);
+/// The interval at which the end of the child process is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 /// The exit code of a child process that rejects the file.
-const REJECTED: i32 = 2;
+const REJECTED_EXIT_CODE: i32 = 2;
 
-/// Evaluates an operator file to JSON in a child process: `program evaluate FILE`, which is to call
-/// [`limit_this_process`](super::limit_this_process) and [`evaluate_jsonnet`](super::evaluate_jsonnet).
+/// Evaluates an operator file to JSON in a child process, `program evaluate FILE`, which must call
+/// [`limit_process_resources`](super::limit_process_resources) and
+/// [`evaluate_jsonnet`](super::evaluate_jsonnet).
 ///
 /// # Errors
-/// What is wrong with the file, or that it needs more time or memory than is allowed.
+/// The reason why the file cannot be evaluated, such as that it needs more time or memory than is allowed.
 pub fn evaluate_in_child_process(program: &Path, path: &Path) -> Result<String, ConfigError> {
-    run(program, path).map_err(|error| error.at(path))
+    run(program, path).map_err(|error| error.with_path(path))
 }
 
 fn run(program: &Path, path: &Path) -> Result<String, JsonnetError> {
@@ -33,19 +35,19 @@
     let stdout = child.stdout.take().map(read_in_background);
     let stderr = child.stderr.take().map(read_in_background);
     let status = wait_or_kill(&mut child);
-    let (json, message) = (join(stdout), join(stderr));
+    let (json, message) = (join_reader(stdout), join_reader(stderr));
     match status.and_then(|status| status.code()) {
         Some(0) => Ok(json),
-        Some(REJECTED) => {
-            Err(JsonnetError::Rejected(message.lines().next().unwrap_or("can't be read").to_owned()))
-        }
+        Some(REJECTED_EXIT_CODE) => Err(JsonnetError::Rejected(
+            message.lines().next().unwrap_or("rejected without a message").to_owned(),
+        )),
         _ => Err(JsonnetError::LimitsExceeded),
     }
 }
 
 /// Waits for the child process to end; `None` if it took too long and was killed.
 fn wait_or_kill(child: &mut Child) -> Option<ExitStatus> {
-    let deadline = Instant::now() + MAX_ELAPSED;
+    let deadline = Instant::now() + MAX_EVALUATION_TIME;
     loop {
         match child.try_wait() {
             Ok(Some(status)) => return Some(status),
@@ -60,18 +62,18 @@
     }
 }
 
-/// Reads a pipe on a thread, so that a child process that writes much does not wait for its reader. What
-/// exceeds twice the largest result is left unread.
+/// Reads a pipe on a separate thread, so that a child process that writes much is not blocked. Text beyond
+/// twice the maximum size of a result is not read.
 fn read_in_background(pipe: impl Read + Send + 'static) -> JoinHandle<String> {
     std::thread::spawn(move || {
         let mut text = String::new();
-        // An incomplete text is rejected where it is decoded.
+        // An incomplete text is rejected when it is decoded.
         let _ = pipe.take(2 * MAX_RESULT_BYTES).read_to_string(&mut text);
         text
     })
 }
 
-/// The text that was read, empty if there was no pipe.
-fn join(reader: Option<JoinHandle<String>>) -> String {
+/// Waits for a reader and returns the text that it has read; empty if there was no pipe.
+fn join_reader(reader: Option<JoinHandle<String>>) -> String {
     reader.and_then(|reader| reader.join().ok()).unwrap_or_default()
 }
--- a/crates/transport/src/backoff.rs
+++ b/crates/transport/src/backoff.rs
@@ -1,6 +1,6 @@
-//! How long to wait between two calls to discovery. Each machine may run a discovery agent of its own, which
-//! streams the endpoint list: calls to it follow an exponential backoff with jitter. Without agents all
-//! schedulers call one discovery service: their calls are paced. No I/O, no clock.
+//! The delays between calls to discovery. Each machine may run a discovery agent of its own, which streams
+//! the endpoint list: calls to it follow an exponential backoff with jitter. Without agents all schedulers
+//! call one discovery service: their calls are paced. No I/O, no clock.
 
 use std::time::Duration;
 
@@ -9,15 +9,16 @@
 
 /// The longest delay after the first failure; it doubles with each further one.
 const INITIAL_FAILURE_DELAY: Duration = Duration::from_millis(50);
-/// No delay after a failure is longer.
+/// The upper bound on the delay after a failure.
 const MAX_FAILURE_DELAY: Duration = Duration::from_millis(1000);
-/// A delay after a failure is at least this fraction of the longest possible one, so that calls never follow
+/// The shortest delay after a failure, as a fraction of the longest possible one, so that calls never follow
 /// each other without a pause.
 const MIN_DELAY_FRACTION: f64 = 0.1;
-/// The longest delay after a healthy watch has ended. It is short because changes that the agent already has
-/// count as delivered, whether they were asked for or not.
+/// The longest delay after a healthy watch has ended. It is short because a change counts as delivered a
+/// fixed time after discovery had it, whether or not this scheduler has requested it from the agent by then.
 const MAX_HEALTHY_DELAY: Duration = Duration::from_millis(50);
-/// Doublings of the delay are counted up to this.
+/// The limit on the doublings of the delay, far more than it takes to reach [`MAX_FAILURE_DELAY`]. It keeps
+/// the factor from overflowing.
 const MAX_DOUBLINGS: u32 = 20;
 
 /// Exponential backoff with jitter, for calls to the agent on this machine: it serves this scheduler alone,
@@ -30,55 +31,56 @@
 }
 
 impl AgentBackoff {
-    /// A backoff without any failure. All its jitter comes from `seed`.
+    /// Returns a backoff without any failure. All its jitter comes from `seed`.
     pub fn new(seed: u64) -> Self {
         Self { rng: fastrand::Rng::with_seed(seed), failures: 0 }
     }
 
-    /// The delay before the next call after a healthy watch has ended, at most 50 ms.
+    /// Returns the delay before the next call after a healthy watch has ended, at most 50 ms.
     pub fn delay_after_healthy_watch(&mut self) -> Duration {
         self.failures = 0;
         MAX_HEALTHY_DELAY.mul_f64(self.rng.f64())
     }
 
-    /// The delay before the next call after a failure, at most 1 s.
+    /// Returns the delay before the next call after a failure, at most 1 s.
     pub fn delay_after_failure(&mut self) -> Duration {
         let doublings = self.failures.min(MAX_DOUBLINGS);
-        let longest = INITIAL_FAILURE_DELAY.saturating_mul(1 << doublings).min(MAX_FAILURE_DELAY);
+        let max_delay = INITIAL_FAILURE_DELAY.saturating_mul(1 << doublings).min(MAX_FAILURE_DELAY);
         self.failures = self.failures.saturating_add(1);
-        longest.mul_f64(MIN_DELAY_FRACTION + (1.0 - MIN_DELAY_FRACTION) * self.rng.f64())
+        max_delay.mul_f64(MIN_DELAY_FRACTION + (1.0 - MIN_DELAY_FRACTION) * self.rng.f64())
     }
 }
 
-/// How a watch ended that another one is to follow.
+/// How a watch ended, which determines the delay before the next one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchEnd {
-    /// It had brought an update, or had been open for a while.
+    /// It had received an update, or had been open long enough to count as working.
     Healthy {
-        /// From when the request was sent until its response began.
+        /// The time from sending the request to the start of the response, or the time for which the call was
+        /// open if there was no response.
         answered_in: Duration,
     },
     /// It failed.
     Failed {
-        /// How.
+        /// The kind of failure.
         failure: CallFailure,
-        /// From when the call was opened until it failed.
+        /// The time from opening the call to its failure.
         elapsed: Duration,
     },
 }
 
-/// When to make the next call for the endpoint list.
+/// Determines the delays between calls for the endpoint list.
 #[derive(Clone, Debug)]
 pub enum ReconnectPolicy {
-    /// At the agent on this machine.
+    /// For calls to the agent on this machine.
     LocalAgent(AgentBackoff),
-    /// At a service that all schedulers share.
+    /// For calls to a service that all schedulers share.
     SharedService(CallPacer),
 }
 
 impl ReconnectPolicy {
-    /// The policy for one scheduler of a fleet: streamed lists come from an agent on its machine, polled
-    /// lists from a shared service. All randomness comes from `seed`.
+    /// Returns the policy for one scheduler of a fleet: streamed lists come from an agent on its machine,
+    /// polled lists from a shared service. All randomness comes from `seed`.
     pub fn new(mode: EndpointListMode, position: FleetPosition, seed: u64) -> Self {
         match mode {
             EndpointListMode::Streamed => Self::LocalAgent(AgentBackoff::new(seed)),
@@ -86,7 +88,8 @@
         }
     }
 
-    /// A policy for another address, without any history and with random draws of its own.
+    /// Returns a policy for another address, which knows no earlier calls and has a random sequence of its
+    /// own.
     pub fn fork(&mut self) -> Self {
         match self {
             Self::LocalAgent(backoff) => Self::LocalAgent(AgentBackoff::new(backoff.rng.u64(..))),
@@ -94,7 +97,7 @@
         }
     }
 
-    /// The delay before the first call.
+    /// Returns the delay before the first call.
     pub fn first_delay(&mut self) -> Duration {
         match self {
             Self::LocalAgent(_) => Duration::ZERO,
@@ -102,7 +105,7 @@
         }
     }
 
-    /// The delay from the end of a watch to the next call.
+    /// Returns the delay from the end of a watch to the next call.
     pub fn next_delay(&mut self, end: WatchEnd) -> Duration {
         match (self, end) {
             (Self::LocalAgent(backoff), WatchEnd::Healthy { .. }) => backoff.delay_after_healthy_watch(),
--- a/crates/transport/src/backoff/tests.rs
+++ b/crates/transport/src/backoff/tests.rs
@@ -2,21 +2,22 @@
 
 use super::*;
 
-/// A scheduler of a large fleet must not leave its agent uncalled for half a minute, as changes that the
-/// agent has count as delivered meanwhile; and it must not call a shared service as soon as its agent.
+/// In a large fleet, pacing delays a call by up to half a minute. Calls to a local agent must not be paced,
+/// because a change that the agent has counts as delivered after a shorter time, even if it was not
+/// requested. Calls to a shared service must be paced.
 #[test]
 fn a_local_agent_is_called_at_once_and_a_shared_service_in_the_schedulers_slot() {
     let position = FleetPosition { scheduler_index: 299, schedulers: 300 };
     let failed = WatchEnd::Failed { failure: CallFailure::Unreachable, elapsed: Duration::ZERO };
-    let longest = |mode, end| {
+    let longest_delay = |mode, end| {
         let mut policy = ReconnectPolicy::new(mode, position, 7);
         (0..100).map(|_| policy.next_delay(end)).max().unwrap()
     };
     let polled = EndpointListMode::Polled { max_interval: 10_000_000 };
     let healthy = WatchEnd::Healthy { answered_in: Duration::from_millis(54) };
-    assert!(longest(EndpointListMode::Streamed, failed) <= Duration::from_secs(1));
-    assert!(longest(EndpointListMode::Streamed, healthy) <= Duration::from_millis(50));
-    assert!(longest(polled, failed) > Duration::from_secs(10));
+    assert!(longest_delay(EndpointListMode::Streamed, failed) <= Duration::from_secs(1));
+    assert!(longest_delay(EndpointListMode::Streamed, healthy) <= Duration::from_millis(50));
+    assert!(longest_delay(polled, failed) > Duration::from_secs(10));
     assert_eq!(ReconnectPolicy::new(EndpointListMode::Streamed, position, 7).first_delay(), Duration::ZERO);
     assert!(ReconnectPolicy::new(polled, position, 7).first_delay() > Duration::from_secs(10));
 }
--- a/crates/transport/src/discovery/supervisor.rs
+++ b/crates/transport/src/discovery/supervisor.rs
@@ -7,23 +7,23 @@
 //! * the **current** watch is the one that was opened last, or that sent the last line;
 //! * the **timed-out** watch is the first one that has sent no line in time. It stays open while another one
 //!   is tried: an agent sends nothing while discovery is down, and a shared service answers its callers in
-//!   turn, so that closing a call would lose its turn. The first line from either watch closes the other one;
-//! * the **confirmation** is a call for the complete list, made beside a current watch that was sent and that
-//!   the agent has not answered. Only when it gets no answer either is the agent taken to have nothing new.
+//!   turn, so that a closed call would lose its place. The first line from either watch closes the other one;
+//! * the **confirmation** is a call for the complete list, made in addition to a current watch that was sent
+//!   and that the agent has not answered. Only if it is not answered either is the agent assumed to have
+//!   nothing new.
 //!
-//! The states of the current watch, and what leads from one to the other:
+//! The states of the current watch and their transitions:
 //!
 //! ```text
 //! Waiting --reconnect time------------> Open     a watch is opened
-//! Open ----line-----------------------> Open     its timeout starts anew; the other calls are closed
+//! Open ----line-----------------------> Open     its timeout restarts; the other calls are closed
 //! Open ----no line in time------------> Waiting  it becomes the timed-out watch, or is closed
 //! Open ----end------------------------> Waiting
 //! either --line of timed-out watch----> Open     that watch becomes the current one
 //! ```
 //!
 //! The address is active until another one is the current address. Watches at a superseded address are not
-//! opened again, and end by themselves or after [`SUPERSEDED_WATCH_LIFETIME`]. Then the supervisor is
-//! finished.
+//! reopened; they end by themselves or after [`SUPERSEDED_WATCH_LIFETIME`]. Then the supervisor is finished.
 
 use std::time::Duration;
 
@@ -36,60 +36,60 @@
 use super::report::Report;
 use crate::backoff::{ReconnectPolicy, WatchEnd};
 
-/// An empty line arrives every 2 s. A watch without any line for this long has timed out.
+/// A watch that receives no line for this long has timed out. Discovery sends an empty line every 2 s.
 const LINE_TIMEOUT: Duration = Duration::from_millis(2750);
-/// An agent that has something to send has begun its answer within this time after a call was sent to it.
+/// An agent that has something to send begins its response within this time after the request was sent.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(250);
 /// A watch that was open for longer than this counts as healthy even if it brought no update.
-const HEALTHY_WATCH_AGE: Duration = Duration::from_millis(5500);
+const MIN_HEALTHY_WATCH_AGE: Duration = Duration::from_millis(5500);
 /// A connection that breaks within this time after the call was opened belongs to a server that is not
-/// serving calls, so the call counts as one that was never made.
-const IMMEDIATE_END: Duration = Duration::from_millis(5);
+/// serving calls, so the call counts as one that never reached it ([`CallFailure::Unreachable`]).
+const IMMEDIATE_END_LIMIT: Duration = Duration::from_millis(5);
 /// Watches at a superseded address are closed after this time.
 const SUPERSEDED_WATCH_LIFETIME: Duration = Duration::from_secs(5);
 
-/// Whether the supervised address is the current one.
+/// The phase of the supervised address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AddressPhase {
-    /// It is.
+    /// It is the current address.
     Active,
-    /// Another one is; watches that are open stay until then.
+    /// Another address is the current one; open watches stay open until `until`.
     Superseded { until: Instant },
-    /// Another one is, and the lifetime of the watches is over.
+    /// Another address is the current one, and the watches at this one have reached their lifetime.
     Expired,
 }
 
 /// An open watch.
 #[derive(Clone, Copy, Debug)]
 struct Watch {
-    /// The revision after which it was asked for changes.
-    after: u64,
-    /// It has brought a readable line, if only an empty one.
+    /// The revision after which it requested changes.
+    after_revision: u64,
+    /// Whether it has received a well-formed line, which may be empty.
     received_line: bool,
 }
 
 /// The state of the current watch.
 #[derive(Clone, Copy, Debug)]
 enum CurrentWatch {
-    /// There is none; the next one is opened then.
+    /// No watch is open; the next one is opened at `open_at`.
     Waiting { open_at: Instant },
-    /// It is open, and times out then unless it sends a line.
+    /// A watch is open; it times out at `times_out_at` unless a line arrives before.
     Open { watch: Watch, times_out_at: Instant },
 }
 
-/// Whether the request of a call was sent.
+/// The state of a call's request.
 #[derive(Clone, Copy, Debug)]
 enum RequestState {
-    /// There is no such call.
+    /// No call is open.
     NoCall,
-    /// Its connection is not established yet.
+    /// The connection is not established yet.
     Connecting,
-    /// It was sent then.
+    /// The request was sent at this time.
     Sent(Instant),
 }
 
 impl RequestState {
-    fn of(call: Option<CallProgress>) -> Self {
+    fn from_progress(call: Option<CallProgress>) -> Self {
         match call {
             None => Self::NoCall,
             Some(CallProgress { sent_at: None, .. }) => Self::Connecting,
@@ -103,20 +103,21 @@
 pub(super) struct WatchSupervisor {
     mode: EndpointListMode,
     policy: ReconnectPolicy,
-    address: AddressPhase,
+    address_phase: AddressPhase,
     current: CurrentWatch,
     timed_out: Option<Watch>,
     confirmation_open: bool,
     /// The last known revision.
     revision: u64,
-    /// When to judge that the agent has not answered. `None` once it has, or once that was judged.
+    /// When [`Event::AnswerTimeout`] is due. `None` once an answer has arrived or the timeout was handled.
     answer_deadline: Option<Instant>,
-    /// The core has not been told anything yet: neither that a line came, nor that none did.
+    /// Whether neither a line nor the lack of an answer has been recorded yet.
     awaits_first_report: bool,
 }
 
 impl WatchSupervisor {
-    /// Starts with a known revision, and opens the first watch after the policy's first delay.
+    /// Returns a supervisor that knows `revision`, and the first actions to carry out. The first watch is
+    /// opened after the policy's first delay.
     pub(super) fn start(
         mode: EndpointListMode,
         revision: u64,
@@ -127,7 +128,7 @@
         let supervisor = Self {
             mode,
             policy,
-            address: AddressPhase::Active,
+            address_phase: AddressPhase::Active,
             current: CurrentWatch::Waiting { open_at },
             timed_out: None,
             confirmation_open: false,
@@ -137,50 +138,50 @@
         };
         let actions = match supervisor.is_streamed() {
             true => Vec::new(),
-            // No watch is open until the first call has had its turn.
+            // No watch is open until the policy's first delay has passed.
             false => vec![Action::Report(Report::WatchClosed)],
         };
         (supervisor, actions)
     }
 
-    /// The address is the current one.
+    /// Returns whether the address is the current one.
     pub(super) fn is_active(&self) -> bool {
-        self.address == AddressPhase::Active
+        self.address_phase == AddressPhase::Active
     }
 
-    /// The address is superseded, and all its watches have ended.
+    /// Returns whether the address is superseded and all its watches have ended.
     pub(super) fn is_finished(&self) -> bool {
         let watch_open = matches!(self.current, CurrentWatch::Open { .. }) || self.timed_out.is_some();
-        match self.address {
+        match self.address_phase {
             AddressPhase::Active => false,
             AddressPhase::Superseded { .. } => !watch_open,
             AddressPhase::Expired => true,
         }
     }
 
-    /// When [`Event::AnswerTimeout`] is due, if it is.
+    /// Returns when [`Event::AnswerTimeout`] is due; `None` if no answer is awaited.
     pub(super) fn answer_deadline(&self) -> Option<Instant> {
         self.answer_deadline
     }
 
-    /// When [`Event::Timeout`] is due.
+    /// Returns when [`Event::Timeout`] is due.
     pub(super) fn deadline(&self) -> Instant {
-        match (self.address, self.current) {
+        match (self.address_phase, self.current) {
             (AddressPhase::Superseded { until }, _) => until,
             (_, CurrentWatch::Waiting { open_at }) => open_at,
             (_, CurrentWatch::Open { times_out_at, .. }) => times_out_at,
         }
     }
 
-    /// Handles an event at that time.
+    /// Handles an event at the time `now` and returns the actions to carry out, in order.
     pub(super) fn handle(&mut self, event: Event, now: Instant) -> Vec<Action> {
         let mut actions = Vec::new();
         match event {
             Event::Superseded => {
-                self.address = AddressPhase::Superseded { until: now + SUPERSEDED_WATCH_LIFETIME };
+                self.address_phase = AddressPhase::Superseded { until: now + SUPERSEDED_WATCH_LIFETIME };
             }
             Event::Line { slot, line } => {
-                self.keep_only(slot, now, &mut actions);
+                self.make_sender_current(slot, now, &mut actions);
                 self.record_line(line, now, &mut actions);
             }
             Event::Ended { slot: CallSlot::Current, progress } => {
@@ -207,8 +208,10 @@
         self.mode == EndpointListMode::Streamed
     }
 
-    /// The watch that sent a line becomes the current and only one, with its full time for the next line.
-    fn keep_only(&mut self, slot: CallSlot, now: Instant, actions: &mut Vec<Action>) {
+    /// Makes the watch that sent a line the current one, closes the other watch, and restarts the timeout. A
+    /// line of the current watch also closes the confirmation, and a line of the confirmation closes only
+    /// that.
+    fn make_sender_current(&mut self, slot: CallSlot, now: Instant, actions: &mut Vec<Action>) {
         let next_timeout = now + LINE_TIMEOUT;
         match slot {
             CallSlot::Current => {
@@ -228,7 +231,7 @@
         }
     }
 
-    /// Reports what a line brings.
+    /// Reports the update in a line and, at the current address, the contact with discovery.
     fn record_line(&mut self, line: Line, now: Instant, actions: &mut Vec<Action>) {
         self.answer_deadline = None;
         self.awaits_first_report = false;
@@ -242,8 +245,8 @@
         if let CurrentWatch::Open { watch, .. } = &mut self.current {
             watch.received_line = true;
         }
-        // An empty line of a superseded address says nothing about what the current address has to send, so
-        // it must not renew the lease on the list.
+        // A line of a superseded address does not show whether the current address has anything to send, so
+        // it must not renew the endpoint lease.
         if self.is_active() {
             actions.push(Action::Report(Report::Contact(now)));
         }
@@ -253,25 +256,25 @@
         self.close_confirmation(actions);
         let CurrentWatch::Open { watch, .. } = self.current else { return };
         actions.push(Action::Close(CallSlot::Current));
-        self.reconnect_after(watch, progress, now);
+        self.schedule_reconnect(watch, progress, now);
         if !self.is_streamed() {
-            // A watch that brought lines was the only one: its first line has closed the timed-out one.
+            // A watch that received lines is the only one: its first line closed the timed-out one.
             let report = if watch.received_line { Report::WatchClosed } else { Report::CallFailed };
             actions.push(Action::Report(report));
         }
-        // There is no answer left to wait for: that none came is judged in the next event.
+        // No answer can arrive on this call any more, so the answer timeout is due at once.
         self.answer_deadline = self.awaits_first_report.then_some(now);
     }
 
-    /// The confirmation has ended without a list.
+    /// Handles the end of a confirmation that received no list.
     fn on_confirmation_ended(&mut self, now: Instant, actions: &mut Vec<Action>) {
         self.close_confirmation(actions);
         self.answer_deadline = None;
         self.report_first_unanswered(now, actions);
     }
 
-    /// Judges that the agent has nothing to send, once neither the current watch nor a confirmation was
-    /// answered in time.
+    /// Opens a confirmation if the current watch was not answered in time, and reports a contact, because the
+    /// agent has nothing to send, if the confirmation was not answered in time either.
     fn on_answer_timeout(
         &mut self,
         current: Option<CallProgress>,
@@ -279,11 +282,13 @@
         now: Instant,
         actions: &mut Vec<Action>,
     ) {
-        // A shared service that has not answered may just not have come to this call yet.
+        // A shared service answers its callers in turn, so it may not have reached this call yet. A watch at
+        // a superseded address does not show whether the current address has anything to send.
         let current = current.filter(|_| self.is_streamed() && self.is_active());
-        match (RequestState::of(current), RequestState::of(confirmation)) {
+        match (RequestState::from_progress(current), RequestState::from_progress(confirmation)) {
             (RequestState::Sent(sent_at), RequestState::NoCall) if sent_at + ANSWER_TIMEOUT <= now => {
-                // A watch whose connection was broken from the beginning would look the same.
+                // An agent with nothing new does not answer, and neither does one whose connection broke at
+                // the start. Calling for the complete list tells the two apart.
                 self.open_confirmation(now, actions);
                 return;
             }
@@ -293,7 +298,7 @@
                 self.close_confirmation(actions);
                 actions.push(Action::Report(Report::Contact(watch_sent_at)));
             }
-            // The confirmation has not had its time yet.
+            // The answer timeout of the confirmation has not passed yet.
             (RequestState::Sent(_), RequestState::Sent(sent_at)) => {
                 self.answer_deadline = Some(sent_at + ANSWER_TIMEOUT);
                 return;
@@ -302,23 +307,24 @@
                 self.answer_deadline = Some(now + ANSWER_TIMEOUT);
                 return;
             }
-            // The watch has not had its time yet: that it was not answered so far is reported all the same.
+            // The answer timeout of the watch has not passed since its request was sent. The first missing
+            // answer is reported to the core nevertheless.
             (RequestState::Sent(sent_at), RequestState::NoCall) => {
                 self.answer_deadline = Some(sent_at + ANSWER_TIMEOUT);
             }
             (RequestState::Connecting, RequestState::NoCall) => {
                 self.answer_deadline = Some(now + ANSWER_TIMEOUT);
             }
-            // There is no watch whose silence would mean anything.
+            // Without a watch whose request was sent, a missing answer says nothing about the agent.
             (RequestState::NoCall, _) | (RequestState::Connecting, _) => {}
         }
         self.report_first_unanswered(now, actions);
     }
 
     fn on_timeout(&mut self, progress: Option<CallProgress>, now: Instant, actions: &mut Vec<Action>) {
-        match (self.address, self.current, progress) {
+        match (self.address_phase, self.current, progress) {
             (AddressPhase::Superseded { .. } | AddressPhase::Expired, _, _) => {
-                self.address = AddressPhase::Expired;
+                self.address_phase = AddressPhase::Expired;
             }
             (AddressPhase::Active, CurrentWatch::Open { watch, .. }, Some(progress)) => {
                 self.on_current_timed_out(watch, &progress, now, actions);
@@ -327,7 +333,7 @@
         }
     }
 
-    /// The current watch is kept as the timed-out one, unless there is one already.
+    /// Keeps the current watch as the timed-out one, or closes it if there is a timed-out one already.
     fn on_current_timed_out(
         &mut self,
         watch: Watch,
@@ -335,8 +341,8 @@
         now: Instant,
         actions: &mut Vec<Action>,
     ) {
-        self.reconnect_after(watch, progress, now);
-        // A watch that brought lines has not failed: the lease on the list runs from its last line.
+        self.schedule_reconnect(watch, progress, now);
+        // A watch that received lines has not failed: the endpoint lease runs from its last line.
         if !self.is_streamed() && !watch.received_line {
             actions.push(Action::Report(Report::CallFailed));
         }
@@ -350,11 +356,11 @@
 
     fn open_watch(&mut self, now: Instant, actions: &mut Vec<Action>) {
         self.close_confirmation(actions);
-        let watch = Watch { after: self.revision, received_line: false };
+        let watch = Watch { after_revision: self.revision, received_line: false };
         self.current = CurrentWatch::Open { watch, times_out_at: now + LINE_TIMEOUT };
         let awaits_answer = self.awaits_first_report || self.is_streamed();
         self.answer_deadline = awaits_answer.then(|| now + ANSWER_TIMEOUT);
-        let request = ListRequest::Watch { after: self.revision };
+        let request = ListRequest::Watch { after_revision: self.revision };
         actions.push(Action::Open { slot: CallSlot::Current, request });
     }
 
@@ -376,8 +382,8 @@
         }
     }
 
-    /// The next watch is opened after a delay that depends on how this one ended.
-    fn reconnect_after(&mut self, watch: Watch, progress: &CallProgress, now: Instant) {
+    /// Schedules the next watch after a delay that depends on how this one ended.
+    fn schedule_reconnect(&mut self, watch: Watch, progress: &CallProgress, now: Instant) {
         let end = classify_end(watch, progress, self.revision, now);
         self.current = CurrentWatch::Waiting { open_at: now + self.policy.next_delay(end) };
     }
@@ -389,19 +395,19 @@
     }
 }
 
-/// How a watch counts now that another one is to follow it; `revision` is the one known by now.
+/// Classifies how a watch has ended or timed out. `revision` is the last known revision at `now`.
 fn classify_end(watch: Watch, progress: &CallProgress, revision: u64, now: Instant) -> WatchEnd {
     let elapsed = now.saturating_duration_since(progress.opened_at);
-    let brought_update = revision != watch.after;
+    let brought_update = revision != watch.after_revision;
     if let Some(sent_at) = progress.sent_at {
-        if brought_update || elapsed > HEALTHY_WATCH_AGE {
+        if brought_update || elapsed > MIN_HEALTHY_WATCH_AGE {
             let answer_time = |head: ResponseHead| head.received_at.saturating_duration_since(sent_at);
             return WatchEnd::Healthy { answered_in: progress.response.map_or(elapsed, answer_time) };
         }
     }
     let failure = match progress.response.map(|head| head.status) {
         Some(ResponseStatus::Rejected { retry_after }) => CallFailure::Rejected { retry_after },
-        _ if progress.sent_at.is_some() && elapsed > IMMEDIATE_END => CallFailure::TimedOut,
+        _ if progress.sent_at.is_some() && elapsed > IMMEDIATE_END_LIMIT => CallFailure::TimedOut,
         _ => CallFailure::Unreachable,
     };
     WatchEnd::Failed { failure, elapsed }
