--- a/crates/transport/src/http/connection.rs
+++ b/crates/transport/src/http/connection.rs
@@ -30,8 +30,8 @@
 /// pause or after its last answer, whichever is later.
 const PAUSED_IDLE_TIMEOUT: Duration = Duration::from_millis(800);
 /// While another process accepts the new connections, an idle connection is closed this long after that began
-/// or after its last answer, whichever is later. The limit is longer than during a pause: there is more time,
-/// and a client whose request crosses the close has to send it again.
+/// or after its last answer, whichever is later. The limit is longer than during a pause, as a handover
+/// allows more time, and a client whose request crosses the close has to send it again.
 const REPLACED_IDLE_TIMEOUT: Duration = Duration::from_millis(2030);
 /// Input after the last answer is discarded in pieces of this many bytes.
 const DISCARD_BUFFER_BYTES: usize = 64 * 1024;
--- a/crates/transport/src/http/connections.rs
+++ b/crates/transport/src/http/connections.rs
@@ -10,8 +10,8 @@
 use tokio::time::Instant;
 
 /// The time in which a request must be received, counted from the accept of its connection or, after an
-/// earlier request, from its first byte. A client that exceeds it gets an error or a closed connection within
-/// 3 s.
+/// earlier request, from its first byte; a body extends it by the time that its received bytes take at the
+/// minimum rate. A client that exceeds it gets an error or a closed connection within 3 s.
 pub const REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
 /// How long an idle connection is kept while the table is crowded.
 const CROWDED_IDLE_TIMEOUT: Duration = Duration::from_millis(2030);
@@ -64,8 +64,8 @@
 }
 
 impl Phase {
-    /// Returns when a connection in this phase times out, for an idle one in a crowded table. `None` while
-    /// the request is being processed, as its answer has a deadline of its own.
+    /// Returns when a connection in this phase times out; an idle one does so only while the table is
+    /// crowded. `None` while a request is being processed or forwarded, as that has a deadline of its own.
     pub fn deadline(self) -> Option<Instant> {
         match self {
             Self::Connected(since) | Self::ReceivingRequest(since) => Some(since + REQUEST_TIMEOUT),
@@ -304,15 +304,15 @@
         2 * lock(&self.slots).open.len() >= self.capacity.load(Ordering::Relaxed)
     }
 
-    /// Adds an entry for a new connection, and evicts another one for it if necessary. `None` if the table is
-    /// full and no connection may be evicted.
+    /// Adds an entry for a new connection. In a crowded or full table, another connection is evicted for it
+    /// if one may be. Returns `None` if the table is full and no connection may be evicted.
     pub fn admit(&self, now: Instant) -> Option<Slot> {
         let (mut slots, capacity) = (lock(&self.slots), self.capacity.load(Ordering::Relaxed));
         let limit = self.limit.load(Ordering::Relaxed);
         let (max_closing, open) = (closing_capacity(limit), slots.open.len());
-        // Clients may run short of descriptors themselves: they hold a third of the descriptors, which is two
-        // thirds of the capacity. Before that many are open, idle connections are evicted, however short they
-        // have been idle.
+        // Clients may run short of descriptors themselves: they hold a third as many as the scheduler. The
+        // capacity is nearly half of the scheduler's, so this happens at about two thirds of the capacity.
+        // From five eighths on, recently idle connections are therefore evicted too.
         let evictable_ranks: &[u8] = match () {
             () if open >= limit => {
                 &[LINGERING_RANK, IDLE_RANK, CONNECTED_RANK, SLOW_REQUEST_RANK, RECENTLY_IDLE_RANK]
--- a/crates/transport/src/http/decode.rs
+++ b/crates/transport/src/http/decode.rs
@@ -24,7 +24,8 @@
 pub struct InvalidRequest(pub &'static str);
 
 /// Decodes a request whose last byte arrived at `received_at`. If the body is too long to be buffered, `body`
-/// is its first part, `remaining_body` the length of the complete body, if that is announced, and the rest.
+/// is its first part, which arrived by `received_at`, and `remaining_body` holds the length of the complete
+/// body, if it was announced, and the rest of it.
 ///
 /// # Errors
 /// The header or the part of the request line that is missing, repeated or not valid.
--- a/crates/transport/src/http/front.rs
+++ b/crates/transport/src/http/front.rs
@@ -36,7 +36,7 @@
         Self { core }
     }
 
-    /// Whether and why clients are to use another scheduler.
+    /// Returns a watch on whether clients are drained to another scheduler, and why.
     pub(super) fn draining(&self) -> watch::Receiver<Draining> {
         self.core.draining()
     }
@@ -130,7 +130,7 @@
                 return answer;
             }
             forwarded = forwarding => match forwarded {
-                // The client broke off or is too slow: the request is cancelled.
+                // The body is broken, too slow or too long: the request is cancelled.
                 Err(status) => return self.refuse(status, "body"),
                 Ok(()) => calling.await,
             },
--- a/crates/transport/src/http/request_body.rs
+++ b/crates/transport/src/http/request_body.rs
@@ -36,7 +36,7 @@
 }
 
 impl RequestBody {
-    /// The body of a request that began at `began_at`.
+    /// Creates the body of a request that began at `began_at`.
     pub(super) fn new(body: Incoming, began_at: Instant, client: Arc<ClientConnection>) -> Self {
         Self { body, began_at, received_bytes: 0, client }
     }
@@ -56,8 +56,8 @@
         Ok(BufferedBody::Complete(buffered.freeze()))
     }
 
-    /// Receives the next chunk; `None` at the end of the body. Each chunk is due when a client that sends at
-    /// the minimum rate from the beginning of the request has sent the bytes before it.
+    /// Receives the next chunk; `None` at the end of the body. Each chunk is due [`REQUEST_TIMEOUT`] after a
+    /// client that sends at the minimum rate from the beginning of the request has sent the bytes before it.
     ///
     /// # Errors
     /// The status of the answer to a chunk that is late or broken, or a body that is too long.
--- a/crates/transport/src/http/stream.rs
+++ b/crates/transport/src/http/stream.rs
@@ -22,15 +22,16 @@
     bytes: BytesMut,
     /// The client has closed, or the connection is reset.
     disconnected: bool,
-    /// More arrived than is buffered; all of it was discarded.
+    /// More than [`MAX_HEAD_BYTES`] arrived; all of it was discarded.
     overrun: bool,
 }
 
 /// A client's stream; all clones share one socket.
 ///
 /// While a request is being processed, hyper stops reading once any byte has arrived behind it, and would not
-/// notice that the client disconnects. So this reads ahead, up to the size of a head. "Clients send one
-/// request at a time on a connection": a client that sends more gets no further request served on it.
+/// notice that the client disconnects. So this reads ahead, up to the size of a head. Clients send one
+/// request at a time on a connection: if more than a head arrives, it is discarded, and the connection is
+/// closed after the current answer.
 #[derive(Clone, Debug)]
 pub(super) struct ClientStream {
     stream: Arc<TcpStream>,
