--- a/crates/transport/src/node/mod.rs
+++ b/crates/transport/src/node/mod.rs
@@ -32,8 +32,8 @@
 /// carries a request.
 const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_millis(2500);
 
-/// How long a connection pauses after an answer before it carries another attempt. "A second answer may come
-/// some milliseconds later" (STANDING.md): on a connection already in use again, it would be taken for the
+/// How long a connection pauses after an answer before it carries another attempt. A node may send a second
+/// answer some milliseconds after the first: on a connection already in use again, it would be taken for the
 /// answer to the next request.
 const REUSE_DELAY: Duration = Duration::from_millis(5);
 
@@ -71,12 +71,13 @@
 }
 
 impl<C> LinkResponse<C> {
-    /// An attempt without a reply, whose connection is closed or was never established.
+    /// Creates the response of an attempt without a reply, whose connection is closed or was never
+    /// established.
     pub fn closed(end: AttemptEnd) -> Self {
         Self { end, body: NodeReply::Buffered(Bytes::new()), idle_connection: None, forwarding: None }
     }
 
-    /// An attempt whose connection can carry another one.
+    /// Creates the response of an attempt whose connection can carry another one.
     pub fn reusable(end: AttemptEnd, body: Bytes, connection: C) -> Self {
         Self { end, body: NodeReply::Buffered(body), idle_connection: Some(connection), forwarding: None }
     }
--- a/crates/transport/src/node/pool.rs
+++ b/crates/transport/src/node/pool.rs
@@ -47,8 +47,9 @@
         *self.limits.borrow()
     }
 
-    /// Returns a permit for a connection of `descriptors` file descriptors. The connections that have been
-    /// idle the longest, to any node, are evicted for it; `None` if evicting all of them does not suffice.
+    /// Returns a permit for a connection of `descriptors` file descriptors. If too few are free, the
+    /// connections that have been idle the longest, to any node, are evicted; `None` if evicting all idle
+    /// ones does not suffice.
     pub(super) fn acquire(&self, descriptors: usize) -> Option<Permit> {
         loop {
             let open_descriptors = self.open_descriptors.load(Ordering::Relaxed) + descriptors;
--- a/crates/transport/src/node/wire.rs
+++ b/crates/transport/src/node/wire.rs
@@ -87,8 +87,8 @@
         self.attempt.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether bytes may be written now. A request that was started is written to its end, unless its client
-    /// has disconnected.
+    /// Whether bytes may be written now. A request that was started is written to its end, unless its attempt
+    /// is cancelled.
     fn may_write(&self, stream: &TcpStream) -> bool {
         if self.is_withheld() || self.is_stale() {
             return false;
@@ -148,7 +148,7 @@
 }
 
 impl TrackedStream {
-    /// Records what `stream` accepts in `written`.
+    /// Wraps `stream`; the bytes that it accepts are recorded in `written`.
     pub fn new(stream: TcpStream, written: Arc<WriteProgress>) -> Self {
         Self { stream, written }
     }
