--- a/crates/transport/src/nvme/command.rs
+++ b/crates/transport/src/nvme/command.rs
@@ -76,7 +76,7 @@
     },
     /// Reads the properties of a controller or a namespace, or a list of namespaces.
     Identify {
-        /// Id of the namespace, if the request concerns one.
+        /// Id of the namespace, if the request concerns one; for a list, the id above which it begins.
         nsid: u32,
         /// Controller or namespace structure (CNS): selects the data structure to return.
         cns: u8,
@@ -366,7 +366,7 @@
 }
 
 impl ConnectData {
-    /// Decodes the data; `None` if it is too short or a name has no end.
+    /// Decodes the data; `None` if it is too short or a name is not terminated by a zero byte.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         let name = |offset: usize| {
             let field = bytes.get(offset..offset + 256)?;
--- a/crates/transport/src/nvme/controller.rs
+++ b/crates/transport/src/nvme/controller.rs
@@ -448,7 +448,8 @@
         let (answer, handle) = abortable(self.subsystem.core.clone().call(request));
         self.open.insert(cid, Some(handle));
         self.in_flight.push(Box::pin(async move {
-            // If the core has stopped, nothing is known about the effect of the request.
+            // If the core has stopped, or a streamed reply is interrupted or too long, nothing is known about
+            // the effect of the request.
             let failed = Answer::Failed { possibly_executed: true, deadline_passed: false };
             let answer = match answer.await {
                 Ok(Ok(Answer::Served(reply))) => match reply.collect(MAX_DATA_BYTES).await {
--- a/crates/transport/src/nvme/identify.rs
+++ b/crates/transport/src/nvme/identify.rs
@@ -32,15 +32,15 @@
     u64::from(depth - 1) | 1 << 16 | 1 << 24 | 1 << 37
 }
 
-/// Returns the three command retry delays, in units of 100 ms: the shortest one, a quarter of the longest
-/// hint, and the longest hint.
+/// Returns the three command retry delays, in units of 100 ms: one unit, a quarter of the longest retry hint
+/// of a shed request, and the longest retry hint.
 pub fn retry_delays(longest_hint: Micros) -> [u16; 3] {
     let units = |hint: Micros| hint.div_ceil(DELAY_UNIT).clamp(1, 0xffff) as u16;
     [1, units(longest_hint / 4), units(longest_hint)]
 }
 
-/// Returns the index, from 1, of the first retry delay that is as long as the hint, or of the last one; 0
-/// without a hint.
+/// Returns the index, from 1, of the first retry delay that is at least as long as the retry hint, or of the
+/// last one; 0 without a hint.
 pub fn retry_delay_index(hint: Option<Micros>, delays: [u16; 3]) -> u8 {
     let Some(hint) = hint.filter(|hint| *hint > 0) else { return 0 };
     let index = delays.iter().position(|units| Micros::from(*units) * DELAY_UNIT >= hint);
--- a/crates/transport/src/nvme/pdu.rs
+++ b/crates/transport/src/nvme/pdu.rs
@@ -4,7 +4,9 @@
 
 use super::command::{Command, Completion};
 
-/// The most data in one PDU, and in one command, in bytes: a storage node accepts no longer body.
+/// The most data in one PDU, and in one command, in bytes. It equals
+/// [`MAX_BUFFERED_BODY_BYTES`](heathward_core::MAX_BUFFERED_BODY_BYTES), as the data of a command is not
+/// streamed.
 pub const MAX_DATA_BYTES: usize = 64 * 1024;
 /// Length of the common header of all PDUs, in bytes.
 const COMMON_HEADER_BYTES: usize = 8;
--- a/crates/transport/src/nvme/wire.rs
+++ b/crates/transport/src/nvme/wire.rs
@@ -40,7 +40,7 @@
     /// Creates a PDU stream on a TCP connection.
     ///
     /// # Errors
-    /// The system's, if the option `TCP_NODELAY` can't be set.
+    /// The error of the operating system, if the option `TCP_NODELAY` can't be set.
     pub fn new(stream: TcpStream) -> io::Result<Self> {
         stream.set_nodelay(true)?;
         Ok(Self { stream, input: BytesMut::new(), output: BytesMut::new(), alignment: 4 })
