--- a/crates/transport/src/nvme/initiator.rs
+++ b/crates/transport/src/nvme/initiator.rs
@@ -117,7 +117,7 @@
         if is_written {
             attempt.mark_written();
         }
-        let mut page = BytesMut::new();
+        let mut read_data = BytesMut::new();
         loop {
             let invalid = IncompleteExchange { is_written, is_invalid: true };
             let next = tokio::select! {
@@ -128,7 +128,7 @@
             match next {
                 Err(StreamError::Closed) => return Err(IncompleteExchange { is_written, is_invalid: false }),
                 Ok(Pdu::Response(completion)) if completion.cid == cid => {
-                    return Ok((completion.status, page.freeze()));
+                    return Ok((completion.status, read_data.freeze()));
                 }
                 Ok(Pdu::R2t { cid: command_id, ttag, offset, length })
                     if command_id == cid && !is_written && offset as usize == sent && length > 0 =>
@@ -158,10 +158,10 @@
                 Ok(Pdu::C2hData { cid: command_id, offset, data, .. })
                     if command_id == cid
                         && !is_write
-                        && offset as usize == page.len()
-                        && page.len() + data.len() <= size =>
+                        && offset as usize == read_data.len()
+                        && read_data.len() + data.len() <= size =>
                 {
-                    page.extend_from_slice(&data);
+                    read_data.extend_from_slice(&data);
                 }
                 _ => return Err(invalid),
             }
