--- a/crates/transport/src/http/request_body.rs
+++ b/crates/transport/src/http/request_body.rs
@@ -87,7 +87,8 @@
 }
 
 /// Forwards the rest of a body, as it is received, to the node. If the node does not accept a chunk within
-/// `chunk_timeout`, the upload is abandoned and this never returns: the delay is not the client's fault.
+/// `chunk_timeout`, or the receiver of the chunks was dropped, the upload is abandoned and this never
+/// returns: that is not the client's fault.
 ///
 /// # Errors
 /// The status of the answer to a client whose body is late, broken or too long.
--- a/crates/transport/src/node/http.rs
+++ b/crates/transport/src/node/http.rs
@@ -174,7 +174,7 @@
     }
 
     /// Forwards a reply that is being received, and returns the connection if it can carry another attempt.
-    /// Gives up once no chunk arrives in time or the receiver has closed the channel.
+    /// Gives up once no chunk arrives in time, the reply is too long or the receiver has closed the channel.
     async fn forward_reply(
         mut self,
         first_part: Bytes,
--- a/crates/transport/src/nvme/subsystem.rs
+++ b/crates/transport/src/nvme/subsystem.rs
@@ -20,7 +20,7 @@
 /// Controller ids from this one on are reserved.
 const FIRST_RESERVED_ID: u16 = 0xfff0;
 
-/// A request to an I/O queue to abort a command, by its id; the reply tells whether the command was aborted.
+/// A request to an I/O queue to abort a command, by its id; the reply tells whether the command was open.
 pub(super) type AbortRequest = (u16, oneshot::Sender<bool>);
 
 /// The only subsystem of the front, which all its queues share.
