--- a/crates/transport/src/http/request_body.rs
+++ b/crates/transport/src/http/request_body.rs
@@ -36,7 +36,7 @@
 }
 
 impl RequestBody {
-    /// The body of a request that began at `began_at`.
+    /// Creates the body of a request that began at `began_at`.
     pub(super) fn new(body: Incoming, began_at: Instant, client: Arc<ClientConnection>) -> Self {
         Self { body, began_at, received_bytes: 0, client }
     }
@@ -56,8 +56,8 @@
         Ok(BufferedBody::Complete(buffered.freeze()))
     }
 
-    /// Receives the next chunk; `None` at the end of the body. Each chunk is due when a client that sends at
-    /// the minimum rate from the beginning of the request has sent the bytes before it.
+    /// Receives the next chunk; `None` at the end of the body. Each chunk is due [`REQUEST_TIMEOUT`] after a
+    /// client that sends at the minimum rate from the beginning of the request has sent the bytes before it.
     ///
     /// # Errors
     /// The status of the answer to a chunk that is late or broken, or a body that is too long.
@@ -87,7 +87,8 @@
 }
 
 /// Forwards the rest of a body, as it is received, to the node. If the node does not accept a chunk within
-/// `chunk_timeout`, the upload is abandoned and this never returns: the delay is not the client's fault.
+/// `chunk_timeout`, or the receiver of the chunks was dropped, the upload is abandoned and this never
+/// returns: that is not the client's fault.
 ///
 /// # Errors
 /// The status of the answer to a client whose body is late, broken or too long.
