--- a/crates/scheduler/src/arguments.rs
+++ b/crates/scheduler/src/arguments.rs
@@ -5,7 +5,8 @@
 use clap::{Args, Parser, Subcommand};
 use heathward_config::FileArguments;
 
-// This text, and the doc comments below that clap prints, are part of the command line and must not change.
+// This text and the doc comments below that clap prints are part of the command line. They are pinned by
+// tests/pinned/fixtures/help.txt.
 const AFTER_HELP: &str = "\
 Examples:
   GW_CONFIG=examples/config.json heathward
@@ -29,14 +30,14 @@
 #[derive(Parser)]
 #[command(name = "heathward", version, after_help = AFTER_HELP, args_conflicts_with_subcommands = true)]
 pub struct Arguments {
-    /// Without one it serves.
+    /// The subcommand; without one the program serves.
     #[command(subcommand)]
     pub command: Option<Command>,
     #[command(flatten)]
     pub serve: ServeArguments,
 }
 
-/// What it serves.
+/// The files to read when the program serves or lists a load source.
 #[derive(Args)]
 pub struct ServeArguments {
     /// What our installations set beside the configuration, in Jsonnet
@@ -57,14 +58,14 @@
 }
 
 impl ServeArguments {
-    /// The files that it names.
+    /// Returns the files that these arguments name.
     pub fn into_files(self) -> FileArguments {
         let Self { operator, nvme, har, access_log, rules } = self;
         FileArguments { operator, nvme_map: nvme, har, access_log, load_rules: rules }
     }
 }
 
-/// What it does instead of serving.
+/// The subcommands, which run in place of serving.
 #[derive(Subcommand)]
 pub enum Command {
     /// Says whether files would be taken, and names the field at fault; exit code 2 if one would not
--- a/crates/scheduler/src/core_start.rs
+++ b/crates/scheduler/src/core_start.rs
@@ -13,7 +13,7 @@
 /// node as a target, else by HTTP.
 ///
 /// # Errors
-/// Settings that the decision module rejects.
+/// Returns an error if the decision module rejects the settings.
 pub fn start(
     deployment: Arc<Deployment>,
     seed: u64,
@@ -33,7 +33,7 @@
     core::start_core(deployment, seed, Box::new(connect)).map_err(io::Error::other)
 }
 
-/// The map's entry for a storage node, if it is an NVMe target.
+/// Returns the map's entry for a storage node, if it is an NVMe target.
 fn nvme_target<'a>(map: &'a Map, endpoint: &Endpoint) -> Option<&'a Target> {
     map.targets.iter().find(|target| *target.node == *endpoint.id)
 }
--- a/crates/scheduler/src/descriptor_budget.rs
+++ b/crates/scheduler/src/descriptor_budget.rs
@@ -8,9 +8,9 @@
 use heathward_transport::http::closing_places;
 use heathward_transport::node::Limits;
 
-/// The fewest connections to storage nodes that may stand idle at a node.
+/// The lower bound of the limit on idle connections to each storage node.
 const MIN_IDLE_PER_NODE: usize = 2;
-/// The fewest connections that the admin interface accepts.
+/// The lower bound of the limit on connections to the admin interface.
 const MIN_ADMIN_CONNECTIONS: usize = 2;
 
 /// The descriptors of this process, and whether a peer process shares them.
@@ -22,7 +22,7 @@
     pub peer_running: bool,
 }
 
-/// How many client connections the HTTP front may hold.
+/// The limits on client connections of the HTTP front.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClientConnectionLimits {
     /// Connections that the front is meant for, without a peer process. Idle connections are closed early
@@ -34,17 +34,17 @@
 }
 
 impl DescriptorBudget {
-    /// The limits of the connections to storage nodes: 3/8 of the descriptors, or 5/32 while a peer process
-    /// runs, so that both together stay below that. Idle connections are limited per node, so that many
-    /// nodes do not keep the others from being reached.
+    /// Returns the limits on connections to storage nodes: 3/8 of the descriptors, or 5/32 while a peer
+    /// process runs, so that both processes together stay below 3/8. Idle connections are limited per node,
+    /// so that those to many nodes leave descriptors for connections to the others.
     pub fn node_limits(&self, deployment: &Deployment) -> Limits {
         let total = self.max_descriptors;
         let open = if self.peer_running { total * 5 / 32 } else { total * 3 / 8 };
         Limits::new(deployment, open, (total / 48).max(MIN_IDLE_PER_NODE))
     }
 
-    /// The limits of client connections: half of the descriptors, or 3/8 while a peer process runs, less
-    /// those that the front needs for connections that it is closing.
+    /// Returns the limits on client connections: half of the descriptors, or 3/8 while a peer process runs,
+    /// less the descriptors that the front needs for connections that it is closing.
     pub fn client_limits(&self) -> ClientConnectionLimits {
         let without_closing = |share: usize| share - closing_places(share).min(share / 2);
         let alone = self.max_descriptors / 2;
@@ -52,12 +52,13 @@
         ClientConnectionLimits { capacity: without_closing(alone), current: without_closing(current) }
     }
 
-    /// Connections that the admin interface may hold.
+    /// Returns the limit on connections to the admin interface.
     pub fn admin_connections(&self) -> usize {
         (self.max_descriptors / 32).max(MIN_ADMIN_CONNECTIONS)
     }
 
-    /// Connections of NVMe hosts: what is left of the last eighth, less a part for the program itself.
+    /// Returns the limit on connections of NVMe hosts: an eighth of the descriptors, less 1/32 for the
+    /// program itself and less the connections of the admin interface.
     pub fn nvme_host_connections(&self) -> usize {
         self.max_descriptors / 8 - self.max_descriptors / 32 - self.admin_connections()
     }
--- a/crates/scheduler/src/file_commands.rs
+++ b/crates/scheduler/src/file_commands.rs
@@ -31,8 +31,9 @@
     }
 }
 
-/// `heathward evaluate`: prints an operator file as JSON, within limits on CPU time and memory. The
-/// scheduler starts this command as a child process, so that a file that needs too much harms nothing else.
+/// `heathward evaluate`: prints an operator file as JSON, within limits on CPU time and memory. The scheduler
+/// starts this command as a child process, so that a file that exceeds the limits does not affect the
+/// scheduler.
 pub fn evaluate(file: &Path) -> ExitCode {
     if let Err(error) = config::limit_this_process() {
         return reject(error);
--- a/crates/scheduler/src/fronts.rs
+++ b/crates/scheduler/src/fronts.rs
@@ -15,9 +15,9 @@
 use crate::descriptor_budget::ClientConnectionLimits;
 use crate::sockets;
 
-/// The NVMe front: where hosts connect, and what they find there.
+/// The NVMe front: its listening socket and the subsystem that it serves.
 pub struct NvmeFront {
-    /// Its listening socket.
+    /// The listening socket.
     pub socket: OwnedFd,
     /// The subsystem that hosts see.
     pub subsystem: Arc<Subsystem>,
@@ -32,7 +32,7 @@
     http_socket: OwnedFd,
     nvme: Option<NvmeFront>,
     connections: ConnectionTable,
-    /// Set to true, connections close as soon as they have nothing open. Each accepting task and each
+    /// If set to true, connections close as soon as no request is open on them. Each accepting task and each
     /// connection holds a receiver.
     closing: watch::Sender<bool>,
     /// The tasks that accept connections, one for each front; aborted when dropped. Accepted connections
@@ -41,7 +41,7 @@
 }
 
 impl Fronts {
-    /// Fronts that do not accept connections yet.
+    /// Creates fronts that do not accept connections yet.
     pub fn new(
         core: CoreHandle,
         http_address: SocketAddr,
@@ -56,34 +56,34 @@
         Self { core, http_address, http_socket, nvme, connections, closing, accept_tasks }
     }
 
-    /// The configured address of the HTTP front.
+    /// Returns the configured address of the HTTP front.
     pub fn http_address(&self) -> SocketAddr {
         self.http_address
     }
 
-    /// The address that the HTTP front listens at, with the port that the system has chosen if none is
-    /// configured.
+    /// Returns the address that the HTTP front listens on, with the port that the system has chosen if none
+    /// is configured.
     ///
     /// # Errors
-    /// The system's.
+    /// Returns the operating system's error.
     pub fn local_http_address(&self) -> io::Result<SocketAddr> {
         sockets::listener(&self.http_socket)?.local_addr()
     }
 
-    /// Copies of the listening sockets, the HTTP front's first, for a process that takes over.
+    /// Returns duplicates of the listening sockets, the HTTP front's first, for a process that takes over.
     ///
     /// # Errors
-    /// The system's, if there are no descriptors left.
+    /// Returns the operating system's error if no descriptors are left.
     pub fn copy_sockets(&self) -> io::Result<Vec<OwnedFd>> {
         let nvme = self.nvme.iter().map(|front| &front.socket);
         std::iter::once(&self.http_socket).chain(nvme).map(OwnedFd::try_clone).collect()
     }
 
-    /// Accepts connections on all fronts, in place of the tasks that did so until now; those of NVMe hosts
-    /// up to `max_nvme_hosts` at a time.
+    /// Accepts connections on all fronts, with new tasks that replace the previous ones. NVMe hosts may hold
+    /// up to `max_nvme_connections` connections at a time.
     ///
     /// # Errors
-    /// The system's, if there are no descriptors left; then the tasks before go on.
+    /// Returns the operating system's error if no descriptors are left; the previous tasks then keep running.
     pub fn accept(&mut self, max_nvme_hosts: usize) -> io::Result<()> {
         let mut accept_tasks = JoinSet::new();
         let listener = sockets::listener(&self.http_socket)?;
@@ -102,20 +102,20 @@
         Ok(())
     }
 
-    /// Whether connections are accepted. The accepting tasks end only when they are aborted.
+    /// Returns whether connections are accepted. The accepting tasks end only when they are aborted.
     pub fn is_accepting(&self) -> bool {
         !self.accept_tasks.is_empty()
     }
 
-    /// Accepts no more connections; those that were accepted are served on.
+    /// Stops accepting connections; connections that were accepted are still served.
     pub fn stop_accepting(&mut self) {
         self.accept_tasks = JoinSet::new();
     }
 
-    /// Listens for clients at another address from now on, by a socket that is open already.
+    /// Moves the HTTP front to another address, with a listening socket that is already open.
     ///
     /// # Errors
-    /// As [`Self::accept`].
+    /// Those of [`Self::accept`].
     pub fn move_http(
         &mut self,
         address: SocketAddr,
@@ -127,7 +127,7 @@
         self.accept(max_nvme_hosts)
     }
 
-    /// Holds at most so many HTTP connections from now on.
+    /// Sets the limits on HTTP connections.
     pub fn set_limits(&self, limits: ClientConnectionLimits) {
         self.connections.resize(limits.capacity, limits.current);
     }
@@ -137,7 +137,7 @@
         self.closing.send_replace(true);
     }
 
-    /// Whether any connection is left.
+    /// Returns whether any connection is open.
     pub fn has_connections(&self) -> bool {
         // Each connection holds a receiver, and so does each accepting task.
         self.closing.receiver_count() > self.accept_tasks.len()
--- a/crates/scheduler/src/load_listing.rs
+++ b/crates/scheduler/src/load_listing.rs
@@ -3,7 +3,7 @@
 use heathward_config::{LoadListing, LoadSource};
 use heathward_load_sources as load_sources;
 
-/// Prints the requests of a load source, one a line, and reports the entries that were skipped.
+/// Prints the requests of a load source, one per line, and reports the entries that were skipped.
 pub fn print(listing: &LoadListing) {
     let entries = match &listing.source {
         LoadSource::Har(text) => load_sources::har(text, &listing.rules),
--- a/crates/scheduler/src/main.rs
+++ b/crates/scheduler/src/main.rs
@@ -53,11 +53,11 @@
     }
 }
 
-/// Serves until the shutdown.
+/// Serves on a single-threaded runtime until the shutdown.
 fn serve_on_runtime(config: Config, files: FileArguments) -> io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let result = runtime.block_on(serve::run(config, files));
-    // Files of a reload that are still being read hold up no exit.
+    // Does not wait for a reload that is still reading files.
     runtime.shutdown_background();
     result
 }
--- a/crates/scheduler/src/recording.rs
+++ b/crates/scheduler/src/recording.rs
@@ -1,4 +1,5 @@
-//! Runs the event recorder as the operator file says: starts it, replaces it after a reload, and stops it.
+//! Controls the event recorder that the operator file configures: starts it, replaces it after a reload, and
+//! stops it.
 
 use std::collections::hash_map::RandomState;
 use std::hash::{BuildHasher, Hasher};
@@ -18,15 +19,15 @@
     active: Option<ActiveRecording>,
 }
 
-/// A recorder that runs.
+/// A running recorder.
 struct ActiveRecording {
     settings: Settings,
     writer: Writer,
-    /// The faults that were logged.
+    /// The disk faults that have been logged.
     reported: DiskFaults,
 }
 
-/// What went wrong with the disk since the recorder was started.
+/// Counts of disk faults since the recorder was started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct DiskFaults {
     /// Writes that failed.
@@ -36,16 +37,17 @@
 }
 
 impl EventRecording {
-    /// Records events as the settings say, or not at all without settings. A recorder that runs with the
-    /// same settings goes on. One that cannot start is logged, and the scheduler serves without it.
+    /// Starts a recorder with these settings, or stops recording if there are none. A recorder that runs with
+    /// the same settings keeps running. If the recorder cannot start, the error is logged and the scheduler
+    /// serves without it.
     pub async fn apply(&mut self, settings: Option<Settings>, scheduler_name: &str, core: &CoreHandle) {
         if self.active.as_ref().map(|active| &active.settings) == settings.as_ref() {
             return;
         }
         self.stop(core).await;
         let Some(settings) = settings else { return };
-        // Tells this run from all others of the scheduler. The standard library seeds its hashers with random
-        // numbers from the system.
+        // Distinguishes this run from all others of the scheduler. The standard library seeds its hashers
+        // with random numbers from the system.
         let boot_id = RandomState::new().build_hasher().finish();
         match Recorder::start(&settings, scheduler_name, boot_id, &core.deployment()) {
             Ok((recorder, writer)) => {
--- a/crates/scheduler/src/serve.rs
+++ b/crates/scheduler/src/serve.rs
@@ -1,4 +1,4 @@
-//! Runs the scheduler from its start to its end: reacts to signals and to a peer process meanwhile.
+//! Runs the scheduler from startup to shutdown, and handles signals and the peer process in between.
 
 use std::future::pending;
 use std::io;
@@ -17,13 +17,15 @@
 use crate::signals::{SignalRequest, Signals};
 use crate::{shutdown, startup};
 
-/// How often the log is told of what was lost: its own lines, and events that the disk did not take.
+/// How often losses are logged: dropped log lines, and events that could not be written to disk.
 const LOSS_REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Serves until SIGTERM or SIGINT, and returns once everything is answered or the time for that is over.
+/// Serves until SIGTERM or SIGINT, and returns once every request is answered or the time for the shutdown is
+/// over.
 ///
 /// # Errors
-/// As [`startup::start`]; later the system's, if it has no descriptors left for a peer process.
+/// Those of [`startup::start`], and the operating system's error if no descriptors are left for a peer
+/// process.
 pub async fn run(config: Config, files: FileArguments) -> io::Result<()> {
     let log = &config.operator_settings.log;
     let logs = heathward_logs::start(log.format, log.filter.clone());
@@ -45,7 +47,8 @@
     Ok(())
 }
 
-/// Reacts to what comes until a signal asks for the shutdown. Returns the earliest time of that signal.
+/// Handles signals, reloads and the peer process until a signal requests the shutdown. Returns the earliest
+/// time at which that signal may have been sent.
 async fn serve_until_shutdown(
     server: &mut Server,
     handover_socket: &mut HandoverSocket,
@@ -57,14 +60,14 @@
     let mut reload: Option<ReloadedFiles> = None;
     let mut reload_announced_at = Instant::now();
     loop {
-        // A branch whose pattern does not match is left out until the next turn of the loop.
+        // A branch whose pattern does not match is disabled until the next iteration of the loop.
         tokio::select! {
             _ = loss_reports.tick() => {
                 report_dropped_lines(&server.logs, &mut reported_lines);
                 server.recording.report_disk_faults();
             }
             signalled_at = signals.shutdown.requested() => return Ok(signalled_at),
-            // A further signal waits for the end of a reload, as it may announce newer files.
+            // A further signal waits until the reload is finished, as it may announce newer files.
             Some(received) = signals.requests.next(), if reload.is_none() => match received.request {
                 SignalRequest::Reload => {
                     reload_announced_at = received.earliest;
@@ -72,7 +75,7 @@
                 }
                 SignalRequest::ReportCounters => server.report_counters().await,
             },
-            // Files that can't be read to the end, or slowly, hold up nothing else.
+            // A slow or endless read of the files blocks no other branch.
             files = read_to_end(&mut reload) => {
                 reload = None;
                 server.finish_reload(files, reload_announced_at).await;
@@ -85,7 +88,7 @@
     }
 }
 
-/// The files of a reload, if there is one; else it never returns.
+/// Returns the configuration once the reload has read its files; never returns if no reload is running.
 async fn read_to_end(reload: &mut Option<ReloadedFiles>) -> Result<Config, ConfigError> {
     match reload {
         Some(files) => files.await,
@@ -93,9 +96,9 @@
     }
 }
 
-/// Hands over to a process that has connected. Only one at a time: another one waits until it is known that
-/// this one is no scheduler, or until it has exited. An error, which ends the program, means that no
-/// descriptors are left.
+/// Hands over to a process that has connected. Only one handover runs at a time: a further process waits
+/// until this one turns out not to be a scheduler, or has exited. An error, which ends the program, means
+/// that no descriptors are left.
 fn hand_over(server: &mut Server, handover_socket: &HandoverSocket, peer: UnixStream) -> io::Result<()> {
     server.block_further_peers();
     let sockets = server.fronts.copy_sockets()?;
@@ -103,7 +106,7 @@
     Ok(())
 }
 
-/// Does what a phase of the peer process asks of this one.
+/// Reacts to a new phase of the peer process.
 fn on_peer_phase(
     phase: PeerPhase,
     server: &mut Server,
@@ -116,7 +119,7 @@
         PeerPhase::Serving => server.yield_to_peer(),
         PeerPhase::Exited => {
             server.resume_from_peer()?;
-            // The peer process had bound its own socket in the place of this one.
+            // The peer process had replaced the handover socket by its own.
             handover_socket.bind();
         }
     }
--- a/crates/scheduler/src/server.rs
+++ b/crates/scheduler/src/server.rs
@@ -1,4 +1,5 @@
-//! The running scheduler: what a reload or a peer process changes in it, and the tasks that it owns.
+//! The running scheduler: the changes that a reload or a peer process makes to it, and the tasks that it
+//! owns.
 
 use std::future::Future;
 use std::io;
@@ -20,16 +21,16 @@
 use crate::recording::EventRecording;
 use crate::sockets;
 
-/// The files of a reload, once they are read.
+/// A reload in progress: resolves to the configuration once the files are read.
 pub type ReloadedFiles = Pin<Box<dyn Future<Output = Result<Config, ConfigError>>>>;
 
 /// The running scheduler.
 pub struct Server {
-    /// Decides on requests, and owns all that is known of them and of the storage nodes.
+    /// Schedules requests, and owns the state of requests and storage nodes.
     pub core: CoreHandle,
-    /// Where clients and NVMe hosts connect.
+    /// The fronts that clients and NVMe hosts connect to.
     pub fronts: Fronts,
-    /// The process's file descriptors.
+    /// The division of the process's file descriptors.
     pub descriptors: DescriptorBudget,
     /// The limits of connections to storage nodes, which the connection pool follows.
     pub node_limits: watch::Sender<Limits>,
@@ -49,7 +50,7 @@
 impl Server {
     /// Runs a task until it ends or the server is dropped.
     pub fn spawn(&mut self, task: impl Future<Output = ()> + Send + 'static) {
-        // Those that have ended need not be kept.
+        // Finished tasks need not be kept.
         while self.background.try_join_next().is_some() {}
         self.background.spawn(task);
     }
@@ -60,7 +61,7 @@
         self.descriptors.peer_running = true;
     }
 
-    /// Divides the descriptors anew, as a peer process is there now or no longer.
+    /// Records whether a peer process runs, and divides the descriptors accordingly.
     pub fn set_peer_running(&mut self, peer_running: bool) {
         self.descriptors.peer_running = peer_running;
         self.apply_descriptor_budget();
@@ -76,7 +77,7 @@
     /// Accepts connections again, as the peer process has exited.
     ///
     /// # Errors
-    /// The system's, if there are no descriptors left.
+    /// Returns the operating system's error if no descriptors are left.
     pub fn resume_from_peer(&mut self) -> io::Result<()> {
         self.core.set_replaced(false);
         if !self.fronts.is_accepting() {
@@ -85,13 +86,13 @@
         Ok(())
     }
 
-    /// Starts to read the configuration and the operator file again.
+    /// Starts reading the configuration and the operator file again.
     pub fn start_reload(&self) -> ReloadedFiles {
         Box::pin(read_files(self.files.clone()))
     }
 
     /// Applies the files that were read again, and logs whether they were accepted. `announced_at` is the
-    /// earliest time of the signal that asked for it.
+    /// earliest time at which the signal that requested the reload may have been sent.
     pub async fn finish_reload(&mut self, files: Result<Config, ConfigError>, announced_at: Instant) {
         let applied = match files {
             Ok(config) => self.apply(config, announced_at).await,
@@ -104,8 +105,8 @@
         }
     }
 
-    /// Applies the files as a whole, or leaves everything as it is. Connections and open requests go on;
-    /// the seed, the NVMe front and the address of the admin interface stay as they were at the start.
+    /// Applies the files as a whole, or changes nothing. Connections and open requests continue; the seed,
+    /// the NVMe front and the address of the admin interface stay as they were at startup.
     async fn apply(&mut self, config: Config, announced_at: Instant) -> Result<(), ConfigError> {
         let Config {
             name,
@@ -128,7 +129,7 @@
         self.recording.apply(operator_settings.recorder, &name, &self.core).await;
         self.descriptors.max_descriptors = max_descriptors;
         self.apply_descriptor_budget();
-        // Without a core the program ends.
+        // The send fails only if the core has stopped, and then the program ends.
         let _ = self.core.discovery_sender().send(CoreMessage::EndpointUpdate(cached_endpoints)).await;
         self.discovery_address
             .send_replace(DiscoveryAddress { address: discovery_address, since: announced_at });
@@ -140,7 +141,7 @@
         Ok(())
     }
 
-    /// Whether a request is open or a connection is left.
+    /// Returns whether a request or a connection is open.
     pub fn is_busy(&self) -> bool {
         self.core.status().open_requests > 0 || self.fronts.has_connections()
     }
--- a/crates/scheduler/src/shutdown.rs
+++ b/crates/scheduler/src/shutdown.rs
@@ -1,7 +1,8 @@
 //! Graceful shutdown: answers every open request, and serves new ones for as long as they can still be
 //! answered.
 //!
-//! All times count from the signal, as those of the platform do, and not from when it was heeded.
+//! All times count from when the signal was sent, as those of the platform do, and not from when the process
+//! received it.
 
 use std::time::Duration;
 
@@ -11,26 +12,27 @@
 
 /// The platform kills a process this long after SIGTERM, plus the longest deadline of a class.
 const KILL_DELAY: Duration = Duration::from_millis(700);
-/// The platform counts no longer deadline than this.
+/// The longest class deadline that the platform adds to the kill delay; longer deadlines count as this.
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
-/// Connections are closed between requests from this time on, after SIGTERM and the longest deadline: early
-/// enough for what is open then to be answered.
+/// Connections are closed between requests from this time on, counted from SIGTERM plus the longest deadline:
+/// early enough for requests that are open then to be answered.
 const CLOSE_DELAY: Duration = Duration::from_millis(350);
-/// Everything is answered this long before the platform kills the process, which may stall for that long
-/// before its last write. The time that the write takes is left by the signal being counted from early.
+/// Every request is answered this long before the platform kills the process, as the process may stall for
+/// that long before its last write. The write itself has time because the signal is taken to have been sent
+/// earlier than it was.
 const ANSWER_MARGIN: Duration = Duration::from_millis(150);
-/// The last answers may be written for this long after that.
+/// How long after that the last answers may still be written.
 const FINAL_WRITE_TIME: Duration = Duration::from_millis(100);
-/// How often it is checked whether anything is left while new requests are still served.
+/// How often open requests and connections are polled while new requests are still served.
 const SERVING_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// How often it is checked whether anything is left once connections are being closed.
+/// How often open requests and connections are polled once connections are being closed.
 const CLOSING_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Serves on for as long as new requests can be answered, then closes connections and waits for the open
-/// requests. The platform starts the next process at a fixed time, when this one would have been killed.
-/// Until then no other process answers, so this one serves on even if nothing is open. If a peer process
-/// has taken over before the shutdown, this one exits as soon as nothing is left. `signalled_at` is the
-/// earliest time at which the signal may have come.
+/// Serves as long as new requests can be answered, then closes connections and waits for the open requests.
+/// The platform starts the next process at a fixed time, when this one would have been killed. Until then no
+/// other process answers, so this one keeps serving even if no request is open. If a peer process took over
+/// before the shutdown, this one exits as soon as no request and no connection is open. `signalled_at` is the
+/// earliest time at which the signal may have been sent.
 pub async fn finish(server: &Server, signalled_at: Instant) {
     let core = &server.core;
     let longest_deadline = longest_deadline(server).min(MAX_COUNTED_DEADLINE);
@@ -47,7 +49,7 @@
     }
 }
 
-/// The longest deadline of all classes; zero without classes.
+/// Returns the longest deadline of all classes; zero without classes.
 fn longest_deadline(server: &Server) -> Duration {
     let deployment = server.core.deployment();
     let micros = deployment.settings.classes.iter().map(|class| class.deadline).max().unwrap_or(0);
--- a/crates/scheduler/src/signals.rs
+++ b/crates/scheduler/src/signals.rs
@@ -1,7 +1,8 @@
-//! The signals that the program reacts to, and since when each may have been there.
+//! The signals that the program handles, each with the earliest time at which it may have been sent.
 //!
-//! Whoever sends a signal counts from that moment. The process may heed it later: it may have been stopped,
-//! without a core, or busy. A task of its own therefore takes the signals, and remembers when there was none.
+//! The sender of a signal counts time from when it sends it. The process may receive the signal later, for
+//! instance because it was stopped, had no CPU time or was busy. A separate task therefore receives the
+//! signals, and records the times at which none was pending.
 
 use std::io;
 use std::time::Duration;
@@ -10,12 +11,13 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{interval, Instant, MissedTickBehavior};
 
-/// How often the task notes that no signal has come. A signal is counted from one to two intervals too early.
+/// How often the task records that no signal is pending. A signal is taken to have been sent one to two
+/// intervals earlier than it was.
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// Requests that wait to be carried out; further ones of these signals say nothing new, and are dropped.
+/// The capacity of the channel for requests. Further requests are dropped, as the same requests already wait.
 const REQUEST_CHANNEL_CAPACITY: usize = 16;
 
-/// What a signal asks of the program while it runs.
+/// A request that a signal makes of the running program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SignalRequest {
     /// SIGHUP: read the configuration and the operator file again.
@@ -24,26 +26,26 @@
     ReportCounters,
 }
 
-/// The signals that have come. The task behind them runs for as long as the runtime.
+/// The receivers of the signals. The task that feeds them runs as long as the runtime.
 pub struct Signals {
-    /// SIGTERM and SIGINT.
+    /// Receives SIGTERM and SIGINT.
     pub shutdown: ShutdownSignal,
-    /// The other signals.
+    /// Receives the other signals.
     pub requests: SignalRequests,
 }
 
-/// Whether SIGTERM or SIGINT has come.
+/// Receives the earliest time at which the first SIGTERM or SIGINT may have been sent.
 pub struct ShutdownSignal(watch::Receiver<Option<Instant>>);
 
-/// The other signals, in the order in which they came.
+/// Receives the requests of the other signals, in the order in which the signals were received.
 pub struct SignalRequests(mpsc::Receiver<ReceivedRequest>);
 
-/// A signal that has come.
+/// A request together with the time of its signal.
 #[derive(Clone, Copy, Debug)]
 pub struct ReceivedRequest {
-    /// What it asks.
+    /// The request of the signal.
     pub request: SignalRequest,
-    /// The earliest time at which it may have come.
+    /// The earliest time at which the signal may have been sent.
     pub earliest: Instant,
 }
 
@@ -51,10 +53,10 @@
     /// Installs the handlers; from now on none of these signals kills the process.
     ///
     /// # Errors
-    /// The system's.
+    /// Returns the operating system's error if a handler cannot be installed.
     ///
     /// # Panics
-    /// If it is called outside of a tokio runtime.
+    /// Panics if it is called outside of a tokio runtime.
     pub fn install() -> io::Result<Self> {
         let handlers = Handlers::install()?;
         let (shutdown_sender, shutdown) = watch::channel(None);
@@ -65,8 +67,8 @@
 }
 
 impl ShutdownSignal {
-    /// Returns once a signal has asked for the shutdown: the earliest time at which the first one may have
-    /// come. It does so at once if it is called again.
+    /// Waits for a signal that requests the shutdown, and returns the earliest time at which the first one
+    /// may have been sent. Returns at once if it is called again.
     pub async fn requested(&mut self) -> Instant {
         let since = self.0.wait_for(Option::is_some).await.ok().and_then(|since| *since);
         since.unwrap_or_else(Instant::now)
@@ -74,13 +76,13 @@
 }
 
 impl SignalRequests {
-    /// The next request. None is lost if the future is dropped.
+    /// Returns the next request. No request is lost if the future is dropped.
     pub async fn next(&mut self) -> Option<ReceivedRequest> {
         self.0.recv().await
     }
 }
 
-/// The handlers of these signals.
+/// The handlers of all signals that the program handles.
 struct Handlers {
     terminate: Signal,
     interrupt: Signal,
@@ -88,7 +90,7 @@
     user_defined1: Signal,
 }
 
-/// What a handler has taken.
+/// A signal that a handler has received.
 enum Received {
     ShutDown,
     Request(SignalRequest),
@@ -114,7 +116,7 @@
     }
 }
 
-/// When no signal was there.
+/// The times of the last two checks at which no signal was pending.
 #[derive(Clone, Copy, Debug)]
 struct SignalChecks {
     previous: Instant,
@@ -126,21 +128,21 @@
         Self { previous: now, last: now }
     }
 
-    /// None has come by a check that runs now.
+    /// Records that a check at the time `now` found no signal.
     fn record_none(&mut self, now: Instant) {
         self.previous = self.last;
         self.last = now;
     }
 
-    /// A signal that comes up now was sent no earlier than this. The runtime has asked the system between
-    /// the last two checks, so what the last one did not see came after the one before. How long ago the
-    /// runtime asked is not known, as the process may have stalled since.
+    /// Returns the earliest time at which a signal that is received now may have been sent. The runtime
+    /// polled the system between the last two checks, so a signal that it did not find then was sent after
+    /// the check before. The exact time of that poll is not known, as the process may have stalled since.
     fn earliest_signal(&self) -> Instant {
         self.previous
     }
 }
 
-/// Takes signals for as long as the runtime runs.
+/// Receives signals as long as the runtime runs.
 async fn take_signals(
     mut handlers: Handlers,
     shutdown: watch::Sender<Option<Instant>>,
@@ -154,14 +156,14 @@
             biased;
             received = handlers.next() => match received {
                 Received::ShutDown => {
-                    // The platform counts from the first.
+                    // The platform counts time from the first signal.
                     shutdown.send_if_modified(|since| {
                         let is_first = since.is_none();
                         since.get_or_insert(checks.earliest_signal());
                         is_first
                     });
                 }
-                // One that finds no room is answered by those that wait.
+                // If the channel is full, the requests in it cover this one.
                 Received::Request(request) => {
                     let earliest = checks.earliest_signal();
                     let _ = requests.try_send(ReceivedRequest { request, earliest });
--- a/crates/scheduler/src/sockets.rs
+++ b/crates/scheduler/src/sockets.rs
@@ -6,14 +6,14 @@
 
 use tokio::net::{TcpListener, TcpSocket};
 
-/// Connections that may wait to be accepted.
+/// The maximum number of connections that wait to be accepted.
 const ACCEPT_BACKLOG: u32 = 1024;
 
 /// Opens a listening socket. Another process may listen at the same address, so that a start never fails
 /// because the previous process is still there; the system then divides new connections among both.
 ///
 /// # Errors
-/// The system's, for instance if the address is not one of this machine.
+/// Returns the operating system's error, for instance if the address is not one of this machine.
 pub fn bind(address: SocketAddr) -> io::Result<OwnedFd> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
     socket.set_reuseaddr(true)?;
@@ -25,7 +25,7 @@
 /// Takes the socket that listens at the address out of the inherited ones, or opens a new one.
 ///
 /// # Errors
-/// As [`bind`].
+/// Those of [`bind`].
 pub fn inherit_or_bind(inherited: &mut Vec<OwnedFd>, address: SocketAddr) -> io::Result<OwnedFd> {
     let listens_there = |socket: &OwnedFd| {
         let copy = socket.try_clone().map(std::net::TcpListener::from);
@@ -37,10 +37,11 @@
     }
 }
 
-/// A listener on a copy of the socket, which stays open when the listener is dropped.
+/// Returns a listener on a duplicate of the socket; the socket itself stays open when the listener is
+/// dropped.
 ///
 /// # Errors
-/// The system's, if there are no descriptors left.
+/// Returns the operating system's error if no descriptors are left.
 pub fn listener(socket: &OwnedFd) -> io::Result<TcpListener> {
     TcpListener::from_std(socket.try_clone()?.into())
 }
--- a/crates/scheduler/src/startup.rs
+++ b/crates/scheduler/src/startup.rs
@@ -28,11 +28,12 @@
 use crate::server::Server;
 use crate::{core_start, sockets};
 
-/// Starts the scheduler. The state and the sockets that a running process has handed over
-/// are taken over; that process stops accepting connections once this one accepts them.
+/// Starts the scheduler. The state and the sockets that a running process has handed over are taken over;
+/// that process stops accepting connections once this one accepts them.
 ///
 /// # Errors
-/// An address that cannot be bound, settings that the decision module rejects, and the system's errors.
+/// Returns an error if an address cannot be bound, if the decision module rejects the settings, or if the
+/// operating system reports one.
 pub async fn start(
     config: Config,
     files: FileArguments,
@@ -49,7 +50,7 @@
     let (node_limits, pool_limits) = watch::channel(descriptors.node_limits(&deployment));
     let nvme_map = config.nvme_map.map(Arc::new);
     let core = core_start::start(deployment, seed, Pool::new(pool_limits), nvme_map.clone())?;
-    // The watch begins with what changed after the newer of the two lists.
+    // The watch begins with the changes after the newer of the inherited and the cached list.
     let inherited_revision = received.as_ref().map_or(0, |received| received.state.endpoint_list.revision);
     let revision = inherited_revision.max(cached_endpoints.revision);
     let cached = CoreMessage::EndpointUpdate(cached_endpoints);
@@ -87,7 +88,7 @@
     Ok(server)
 }
 
-/// Opens the NVMe front's socket, or inherits it. No connections are accepted yet.
+/// Opens or inherits the socket of the NVMe front. No connections are accepted yet.
 fn open_nvme_front(
     map: Arc<Map>,
     inherited: &mut Vec<OwnedFd>,
@@ -99,7 +100,8 @@
     Ok(NvmeFront { socket, subsystem: Subsystem::new(map, core, seed) })
 }
 
-/// Keeps the core's endpoint list up to date from now on, beginning with what changed after that revision.
+/// Starts the watch that keeps the core's endpoint list up to date, beginning with the changes after
+/// `revision`.
 fn watch_endpoints(
     server: &mut Server,
     address: watch::Receiver<DiscoveryAddress>,
@@ -115,7 +117,7 @@
     server.spawn(discovery::watch_endpoints(address, revision, mode, core, policy));
 }
 
-/// Serves the admin interface from now on.
+/// Binds the address of the admin interface, and starts to serve it.
 async fn serve_admin(server: &mut Server, address: SocketAddr) -> io::Result<()> {
     let listener = TcpListener::bind(address).await?;
     tracing::info!("admin interface listening on {}", listener.local_addr()?);
