--- a/crates/scheduler/src/fronts.rs
+++ b/crates/scheduler/src/fronts.rs
@@ -84,7 +84,7 @@
     ///
     /// # Errors
     /// Returns the operating system's error if no descriptors are left; the previous tasks then keep running.
-    pub fn accept(&mut self, max_nvme_hosts: usize) -> io::Result<()> {
+    pub fn accept(&mut self, max_nvme_connections: usize) -> io::Result<()> {
         let mut accept_tasks = JoinSet::new();
         let listener = sockets::listener(&self.http_socket)?;
         let front = Front::new(self.core.clone());
@@ -94,7 +94,7 @@
             accept_tasks.spawn(nvme::serve(
                 listener,
                 subsystem.clone(),
-                max_nvme_hosts,
+                max_nvme_connections,
                 self.closing.subscribe(),
             ));
         }
@@ -120,11 +120,11 @@
         &mut self,
         address: SocketAddr,
         socket: OwnedFd,
-        max_nvme_hosts: usize,
+        max_nvme_connections: usize,
     ) -> io::Result<()> {
         self.http_socket = socket;
         self.http_address = address;
-        self.accept(max_nvme_hosts)
+        self.accept(max_nvme_connections)
     }
 
     /// Sets the limits on HTTP connections.
--- a/crates/scheduler/src/serve.rs
+++ b/crates/scheduler/src/serve.rs
@@ -70,7 +70,7 @@
             // A further signal waits until the reload is finished, as it may announce newer files.
             Some(received) = signals.requests.next(), if reload.is_none() => match received.request {
                 SignalRequest::Reload => {
-                    reload_announced_at = received.earliest;
+                    reload_announced_at = received.signalled_at;
                     reload = Some(server.start_reload());
                 }
                 SignalRequest::ReportCounters => server.report_counters().await,
--- a/crates/scheduler/src/signals.rs
+++ b/crates/scheduler/src/signals.rs
@@ -46,7 +46,7 @@
     /// The request of the signal.
     pub request: SignalRequest,
     /// The earliest time at which the signal may have been sent.
-    pub earliest: Instant,
+    pub signalled_at: Instant,
 }
 
 impl Signals {
@@ -61,7 +61,7 @@
         let handlers = Handlers::install()?;
         let (shutdown_sender, shutdown) = watch::channel(None);
         let (request_sender, requests) = mpsc::channel(REQUEST_CHANNEL_CAPACITY);
-        tokio::spawn(take_signals(handlers, shutdown_sender, request_sender));
+        tokio::spawn(receive_signals(handlers, shutdown_sender, request_sender));
         Ok(Self { shutdown: ShutdownSignal(shutdown), requests: SignalRequests(requests) })
     }
 }
@@ -70,8 +70,8 @@
     /// Waits for a signal that requests the shutdown, and returns the earliest time at which the first one
     /// may have been sent. Returns at once if it is called again.
     pub async fn requested(&mut self) -> Instant {
-        let since = self.0.wait_for(Option::is_some).await.ok().and_then(|since| *since);
-        since.unwrap_or_else(Instant::now)
+        let signalled_at = self.0.wait_for(Option::is_some).await.ok().and_then(|signalled_at| *signalled_at);
+        signalled_at.unwrap_or_else(Instant::now)
     }
 }
 
@@ -143,7 +143,7 @@
 }
 
 /// Receives signals as long as the runtime runs.
-async fn take_signals(
+async fn receive_signals(
     mut handlers: Handlers,
     shutdown: watch::Sender<Option<Instant>>,
     requests: mpsc::Sender<ReceivedRequest>,
@@ -157,16 +157,16 @@
             received = handlers.next() => match received {
                 Received::ShutDown => {
                     // The platform counts time from the first signal.
-                    shutdown.send_if_modified(|since| {
-                        let is_first = since.is_none();
-                        since.get_or_insert(checks.earliest_signal());
+                    shutdown.send_if_modified(|signalled_at| {
+                        let is_first = signalled_at.is_none();
+                        signalled_at.get_or_insert(checks.earliest_signal());
                         is_first
                     });
                 }
                 // If the channel is full, the requests in it cover this one.
                 Received::Request(request) => {
-                    let earliest = checks.earliest_signal();
-                    let _ = requests.try_send(ReceivedRequest { request, earliest });
+                    let signalled_at = checks.earliest_signal();
+                    let _ = requests.try_send(ReceivedRequest { request, signalled_at });
                 }
             },
             _ = ticks.tick() => checks.record_none(Instant::now()),
--- a/crates/scheduler/src/startup.rs
+++ b/crates/scheduler/src/startup.rs
@@ -43,7 +43,7 @@
 ) -> io::Result<Server> {
     let Config { listen_address, seed, max_descriptors, cached_endpoints, operator_settings, .. } = config;
     let mut inherited =
-        received.as_mut().map(|r| std::mem::take(&mut r.listening_sockets)).unwrap_or_default();
+        received.as_mut().map(|previous| std::mem::take(&mut previous.listening_sockets)).unwrap_or_default();
     let http_socket = sockets::inherit_or_bind(&mut inherited, listen_address)?;
     let deployment = Arc::new(config.deployment);
     let descriptors = DescriptorBudget { max_descriptors, peer_running: received.is_some() };
