--- a/crates/scheduler/src/arguments.rs
+++ b/crates/scheduler/src/arguments.rs
@@ -40,10 +40,10 @@
 /// The files to read when the program serves or lists a load source.
 #[derive(Args)]
 pub struct ServeArguments {
-    /// What our installations set beside the configuration, in Jsonnet
+    /// Operator file: settings in addition to the configuration, in Jsonnet
     #[arg(long, value_name = "FILE")]
     operator: Option<PathBuf>,
-    /// Turns the NVMe front on, as the file says
+    /// Turns the NVMe front on, with this NVMe map
     #[arg(long, value_name = "FILE")]
     nvme: Option<PathBuf>,
     /// Lists the requests of a HAR file and exits
@@ -52,7 +52,7 @@
     /// Lists the requests of an access log and exits
     #[arg(long, value_name = "FILE", requires = "rules")]
     access_log: Option<PathBuf>,
-    /// How entries of a source of load become requests
+    /// Rules that turn the entries of a HAR file or an access log into requests
     #[arg(long, value_name = "FILE")]
     rules: Option<PathBuf>,
 }
@@ -68,10 +68,10 @@
 /// The subcommands, which run in place of serving.
 #[derive(Subcommand)]
 pub enum Command {
-    /// Says whether files would be taken, and names the field at fault; exit code 2 if one would not
+    /// Checks whether files are valid, and names the invalid field; exit code 2 if one is invalid
     Check {
-        /// Configurations, operator files (.jsonnet), NVMe maps, rules; names in them go by the first
-        /// configuration, or GW_CONFIG's
+        /// Configurations, operator files (.jsonnet), NVMe maps, rules; classes and plans are looked up in
+        /// the first configuration, or that of GW_CONFIG
         #[arg(required = true, value_name = "FILE")]
         files: Vec<PathBuf>,
     },
