--- a/crates/scheduler/tests/capacity.rs
+++ b/crates/scheduler/tests/capacity.rs
@@ -1,5 +1,5 @@
-//! The short form of the capacity measurement on this build: counts alone, which a slow or busy machine does
-//! not change.
+//! The short form of the capacity measurement on this build. It checks counts only, which do not depend on
+//! how slow or busy the machine is.
 #![cfg(test)]
 
 use std::path::Path;
--- a/crates/scheduler/tests/deploy_file.rs
+++ b/crates/scheduler/tests/deploy_file.rs
@@ -1,4 +1,5 @@
-//! What the platform and the fleet's standing test ask of the deploy file and of the program that it starts.
+//! The requirements of the platform and of the fleet's standing test on the deploy file and on the program
+//! that it starts.
 #![cfg(test)]
 
 use std::collections::BTreeSet;
@@ -12,7 +13,8 @@
 
 const ROOT: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../..");
 
-/// What is wrong with a deploy file, by the name of its key; `exists` tells of paths below the root.
+/// Returns the faults of a deploy file, each beginning with its key. `exists` returns whether a path below
+/// the repository root exists.
 fn faults(text: &str, exists: impl Fn(&str) -> bool) -> Vec<String> {
     let table: toml::Table = match text.parse() {
         Ok(table) => table,
@@ -26,7 +28,8 @@
         let command = table.get(key).and_then(|value| value.as_str()).unwrap_or_default();
         let mut words = command.split_whitespace();
         let starts = key == "build" || words.next() == Some("exec");
-        // One process: nothing before it, beside it or behind it.
+        // The command is `exec` and the program alone, without arguments or other commands, so that there is
+        // one process.
         if command.is_empty() || !starts || (key != "build" && words.count() != 1) {
             faults.push(format!("{key}: {command:?}"));
         }
@@ -57,7 +60,7 @@
     assert_eq!(faults(&deploy_file(), exists), [""; 0]);
 }
 
-/// Each check sees the fault that it is there for.
+/// Each fault in the deploy file is reported under its key.
 #[rstest]
 #[case::no_exec("run = \"exec ", "run = \"", "run: ")]
 #[case::a_shell_beside("run = \"exec ", "run = \"exec sleep 1 & ", "run: ")]
@@ -76,29 +79,30 @@
     assert!(faults.iter().any(|fault| fault.contains(named)), "{faults:?}");
 }
 
-/// Processes whose parent that is, by what the system lists now.
+/// Returns the process ids of the children of `parent` that /proc lists now.
 fn children(parent: u32) -> BTreeSet<u32> {
     let entries = fs::read_dir("/proc").unwrap();
     let ids = entries.filter_map(|entry| entry.ok()?.file_name().to_str()?.parse().ok());
     let is_child = |id: &u32| {
         let stat = fs::read_to_string(format!("/proc/{id}/stat")).unwrap_or_default();
-        // The name in brackets may hold anything; state and parent follow it.
+        // The process name in parentheses may contain any character; the state and the parent's id follow it.
         let rest = stat.rsplit(')').next().unwrap_or_default();
         rest.split_whitespace().nth(1) == Some(parent.to_string().as_str())
     };
     ids.filter(is_child).collect()
 }
 
-/// Processor time of children that it waited for, in ticks: of any it ever had and that have ended.
+/// Returns the page faults plus the CPU ticks of all children that have ended and that the process waited
+/// for. It is 0 if there was none.
 fn of_children(id: u32) -> u64 {
     let stat = fs::read_to_string(format!("/proc/{id}/stat")).unwrap();
     let rest: Vec<&str> = stat.rsplit(')').next().unwrap().split_whitespace().collect();
-    // Faults of children, and their time in user and system mode.
+    // The minor and major page faults of children, and their CPU time in user and system mode.
     [rest[8], rest[10], rest[13], rest[14]].iter().map(|field| field.parse::<u64>().unwrap()).sum()
 }
 
-/// On the platform's road the program is one process with no ring of its own. With an operator file it has
-/// Jsonnet evaluated by another one, which the same look sees: that file is off there.
+/// On the platform the program is one process without an io_uring instance. With an operator file it
+/// evaluates Jsonnet in a child process, which the same check detects; the platform uses no operator file.
 #[rstest]
 #[case::on_the_platform(false)]
 #[case::with_an_operator_file(true)]
@@ -129,9 +133,9 @@
         answer(&mut client).await;
         assert_eq!(children(program.id()), BTreeSet::new());
     }
-    assert!(log.all().len() > 20, "it serves");
+    assert!(log.all().len() > 20, "more than 20 requests reach the node");
     let links = fs::read_dir(format!("/proc/{}/fd", program.id())).unwrap();
     let held: Vec<_> = links.filter_map(|link| fs::read_link(link.unwrap().path()).ok()).collect();
     assert!(!held.iter().any(|link| link.to_string_lossy().contains("io_uring")), "{held:?}");
-    assert_eq!(of_children(program.id()) > 0, operator, "another process ran");
+    assert_eq!(of_children(program.id()) > 0, operator, "whether a child process has run");
 }
--- a/crates/scheduler/tests/fault_scenarios.rs
+++ b/crates/scheduler/tests/fault_scenarios.rs
@@ -1,4 +1,4 @@
-//! Fleets of real processes through scenarios of faults, judged by the stand-ins' logs alone.
+//! Fleets of real processes in fault scenarios, checked only against the logs of the stand-ins.
 #![cfg(test)]
 
 use std::path::{Path, PathBuf};
@@ -18,11 +18,11 @@
     play(scenario, program, &folder).await.unwrap()
 }
 
-/// Nine in ten of the processes that start, or start anew, are ready so soon, microseconds.
+/// At least nine in ten of the started and restarted processes are ready within this time, in microseconds.
 const READY_BY: u64 = 10_000_000;
 
-/// Every rule is kept through each scenario, and what the faults leave is served: the share of requests from
-/// one second to another that were served in time.
+/// No invariant is violated in any scenario, and of the requests made between two points in time, in seconds,
+/// at least the given share is served in time despite the faults.
 #[rstest]
 #[case::power_cut("power-cut", 3.0, 8.0, 0.9)]
 #[case::killed("killed", 6.0, 9.0, 0.95)]
--- a/crates/scheduler/tests/incident_report.rs
+++ b/crates/scheduler/tests/incident_report.rs
@@ -1,4 +1,4 @@
-//! The staged incident: what the schedulers' records say, held against what really happened.
+//! A staged incident: the report on the schedulers' event logs, compared with what happened.
 #![cfg(test)]
 
 use std::path::{Path, PathBuf};
@@ -19,12 +19,12 @@
 use tokio::net::TcpStream;
 use tokio::time::sleep;
 
-/// Microseconds of a second.
+/// One second, in microseconds.
 const SECOND: u64 = 1_000_000;
 
 async fn staged(name: &str) -> (Truth, Incident) {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}-{}", std::process::id()));
-    // One that a run before has left.
+    // A previous run may have left one.
     let _ = std::fs::remove_dir_all(&folder);
     let truth = stage(Path::new(env!("CARGO_BIN_EXE_heathward")), &folder).await;
     let incident = Incident::of(&folds::read(&truth.folders).unwrap(), Window::ALL);
@@ -47,8 +47,9 @@
     }
 }
 
-/// Attempts at each node as its own log has them: of a scheduler without holes exactly, second by second
-/// within half a second; of the killed one at least.
+/// Compares the recorded attempts with each node's own log. They agree exactly for a scheduler without holes,
+/// and second by second to within half a second. The killed scheduler has a hole, and may miss up to 60
+/// attempts.
 fn attempts(truth: &Truth, incident: &Incident) {
     for number in 0..3_u32 {
         let name = format!("n{number}");
@@ -68,8 +69,8 @@
             if !whole {
                 continue;
             }
-            // So many by the end of each second: no more and no less than the node had by half a second more
-            // and less, and what a loaded machine is late.
+            // The attempts recorded by the end of each second: as many as the node had, give or take half a
+            // second plus the delay of a loaded machine.
             let mut so_far = 0;
             for (from, counts) in table.series.iter() {
                 so_far += counts.sent - unsent(counts);
@@ -87,23 +88,23 @@
     assert_eq!((hole.why, incident.boots[hole.boot].scheduler.as_str()), (Missing::Cut, "n1"));
 }
 
-/// Clients' final answers are the requests that were served, refused or failed: all of them of those whose
-/// schedulers lived, at least so many in all.
+/// The final answers that clients received agree in number with the requests recorded as served, refused or
+/// failed, up to what the killed scheduler did not record.
 fn answers(truth: &Truth, incident: &Incident) {
     let ended: u64 = incident.classes.iter().map(|table| table.series.total().ended()).sum();
     let answered: u64 = truth.answers.iter().sum();
-    // What the killed one had not told of in its last second and a half.
-    assert!(ended <= answered + 36 && answered <= ended + 120, "{ended} told, {answered} given");
+    // The difference is what the killed scheduler had not recorded of its last 1.5 s.
+    assert!(ended <= answered + 36 && answered <= ended + 120, "{ended} recorded, {answered} received");
 }
 
 fn audit(incident: &Incident, told: &str) {
     assert_eq!(incident.audit_broken(), 0, "{told}");
     for rule in Rule::ALL {
-        assert!(incident.audit.of(rule).looked > 0, "{rule:?} was not looked at");
+        assert!(incident.audit.of(rule).looked > 0, "{rule:?} was not checked");
     }
 }
 
-/// The page holds each finding and needs nothing from elsewhere; the tables are whole.
+/// The page contains each finding and loads nothing from elsewhere, and the tables are complete.
 fn report(incident: &Incident) {
     let page = html(incident);
     for finding in &incident.findings {
@@ -126,7 +127,8 @@
     assert_eq!(csv[0].lines().count(), incident.findings.len() + 1);
 }
 
-/// What the processes of one scheduler share. Its event log goes to `records`, which may be unfit for that.
+/// The files and the listen address that the processes of one scheduler share. The event log is written to
+/// `records`, which may be a path that cannot be written.
 struct SchedulerInstance {
     folder: PathBuf,
     records: PathBuf,
@@ -136,7 +138,7 @@
 impl SchedulerInstance {
     async fn new(name: &str, records: &str) -> Self {
         let folder = std::env::temp_dir().join(format!("hw-{name}-{}", std::process::id()));
-        // One that a run before has left.
+        // A previous run may have left one.
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder).unwrap();
         let records = folder.join(records);
@@ -164,7 +166,7 @@
 
 impl Drop for SchedulerInstance {
     fn drop(&mut self) {
-        // Only a folder of this test's own.
+        // The folder belongs to this test alone.
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
@@ -175,7 +177,7 @@
     answer(&mut stream).await.0 == 200
 }
 
-/// Where records can't be written the scheduler serves on and says so; they begin again by themselves.
+/// If events cannot be written, the scheduler serves and logs the fault. Recording starts again by itself.
 #[tokio::test]
 async fn a_failing_disk_costs_recorded_events_only() {
     let instance = SchedulerInstance::new("unfit", "blocked/records").await;
@@ -188,7 +190,7 @@
     std::fs::remove_file(&blocked).unwrap();
     let by = tokio::time::Instant::now() + PATIENCE;
     while !instance.records.exists() {
-        assert!(tokio::time::Instant::now() < by, "records never began again");
+        assert!(tokio::time::Instant::now() < by, "recording did not start again");
         sleep(Duration::from_millis(20)).await;
     }
     assert!(served(program.listen, 3).await);
@@ -198,7 +200,7 @@
     assert!(!incident.holes.is_empty() && incident.audit_broken() == 0);
 }
 
-/// Two processes of one scheduler write beside each other, each into files of its own.
+/// Two processes of one scheduler write events at the same time, each to its own files.
 #[tokio::test]
 async fn a_handover_is_recorded_by_both_processes() {
     let instance = SchedulerInstance::new("taken", "records").await;
@@ -213,9 +215,9 @@
     let incident = instance.incident();
     assert!(incident.holes.is_empty(), "{:?}", incident.holes);
     let has = |what: Lifecycle| incident.boots.iter().flat_map(|b| &b.lifecycle).find(|(_, l)| *l == what);
-    let (handed, _) = has(Lifecycle::HandedOver).expect("the old one's word");
-    let (taken, _) = has(Lifecycle::TookOver).expect("the new one's word");
-    // It goes on from what it was given, not before.
+    let (handed, _) = has(Lifecycle::HandedOver).expect("a record of the old process");
+    let (taken, _) = has(Lifecycle::TookOver).expect("a record of the new process");
+    // The new process takes over only after the old one has handed over.
     assert!(incident.boots.len() == 2 && handed <= taken, "{:?}", incident.boots);
     let told = incident.findings.iter().filter(|finding| finding.what == What::TookOver);
     assert_eq!(told.count(), 1);
--- a/crates/scheduler/tests/shutdown_soak.rs
+++ b/crates/scheduler/tests/shutdown_soak.rs
@@ -1,4 +1,5 @@
-//! Shutdowns and restarts drawn from seeds, judged by what clients and nodes saw. `make soak` plays more.
+//! Random shutdowns and restarts from fixed seeds, checked against what clients and nodes observed. `make
+//! soak` runs more seeds.
 #![cfg(test)]
 
 use std::path::Path;
@@ -6,8 +7,8 @@
 use heathward_fault_injection::shutdown_soak::{play, Plan};
 use rstest::rstest;
 
-/// Guards against requests that a shutdown loses, doubles or leaves unanswered, and against one that does not
-/// end in time.
+/// Guards against requests that a shutdown loses, executes twice or leaves unanswered, and against a shutdown
+/// that does not end in time.
 #[rstest]
 #[tokio::test]
 async fn no_request_is_lost_in_a_shutdown(
--- a/crates/scheduler/tests/slow_start_across_processes.rs
+++ b/crates/scheduler/tests/slow_start_across_processes.rs
@@ -1,6 +1,6 @@
-//! Twenty and thirty real processes before cold nodes, under more load than these bear: what all of them send
-//! together stays within N + 2 x root of N + 2 requests of mean work. Apart from the other scenarios, so that
-//! its load is not theirs.
+//! Runs 20 and 30 real processes with nodes in slow start, under more load than these nodes can serve: all
+//! processes together send at most N + 2 x root of N + 2 requests of mean work. This is a test program of its
+//! own, so that its load does not disturb the other scenarios.
 #![cfg(test)]
 
 use std::path::{Path, PathBuf};
@@ -10,11 +10,11 @@
 use heathward_fault_injection::scenario::Scenario;
 use rstest::rstest;
 
-/// Requests a second at all hosts together, however many there are.
+/// Requests per second of all hosts together, whatever their number.
 const ASKED: f64 = 800.0;
 
-/// Of N at most. The fleet aims at half of it. Where each process takes more than its part, the waits
-/// at the node alone hold the sum, just below N.
+/// The largest load allowed, as a share of N. The fleet aims at half of N. If each process takes more than
+/// its share, only the waits at the node limit the sum, just below N.
 const MOST: f64 = 0.7;
 
 async fn played(scenario: &Scenario) -> Outcome {
@@ -36,7 +36,7 @@
     println!("{hosts} hosts: {most:.2} of N at most, {served} of {asked} served");
     assert!(outcome.breaches.is_empty(), "{:?}", outcome.breaches);
     assert!(most <= MOST, "{most} of N");
-    // The test would say nothing of a node that stays warm, or of a fleet that asks for little.
+    // The test proves nothing if the node stays warm or the fleet sends few requests.
     assert!(outcome.log.iter().any(|entry| matches!(entry, Entry::NodeStarted { .. })));
     assert!(asked as f64 > 0.7 * ASKED * (scenario.seconds - 0.5), "{asked} asked");
     assert!(served * 10 > asked, "{served} of {asked} served");
