--- a/crates/scheduler/tests/deploy_file.rs
+++ b/crates/scheduler/tests/deploy_file.rs
@@ -21,16 +21,16 @@
         Err(error) => return vec![error.to_string()],
     };
     let mut faults = Vec::new();
-    for key in table.keys().filter(|key| !KEYS.contains(&key.as_str())) {
+    for key in table.keys().filter(|key| !ALLOWED_KEYS.contains(&key.as_str())) {
         faults.push(format!("{key}: unknown"));
     }
     for key in ["build", "run", "sim"] {
         let command = table.get(key).and_then(|value| value.as_str()).unwrap_or_default();
         let mut words = command.split_whitespace();
-        let starts = key == "build" || words.next() == Some("exec");
+        let has_required_exec = key == "build" || words.next() == Some("exec");
         // The command is `exec` and the program alone, without arguments or other commands, so that there is
         // one process.
-        if command.is_empty() || !starts || (key != "build" && words.count() != 1) {
+        if command.is_empty() || !has_required_exec || (key != "build" && words.count() != 1) {
             faults.push(format!("{key}: {command:?}"));
         }
     }
@@ -48,14 +48,14 @@
     faults
 }
 
-const KEYS: [&str; 6] = ["build", "run", "sim", "policy", "node", "packages"];
+const ALLOWED_KEYS: [&str; 6] = ["build", "run", "sim", "policy", "node", "packages"];
 
 fn deploy_file() -> String {
     fs::read_to_string(Path::new(ROOT).join("deploy/balancer.toml")).unwrap()
 }
 
 #[test]
-fn the_deploy_file_has_the_form_that_the_platform_asks_for() {
+fn the_deploy_file_has_the_form_that_the_platform_requires() {
     let exists = |name: &str| Path::new(ROOT).join(name).exists();
     assert_eq!(faults(&deploy_file(), exists), [""; 0]);
 }
@@ -63,20 +63,20 @@
 /// Each fault in the deploy file is reported under its key.
 #[rstest]
 #[case::no_exec("run = \"exec ", "run = \"", "run: ")]
-#[case::a_shell_beside("run = \"exec ", "run = \"exec sleep 1 & ", "run: ")]
-#[case::an_operator_file("heathward\"\nsim", "heathward --operator x\"\nsim", "run: ")]
+#[case::another_command("run = \"exec ", "run = \"exec sleep 1 & ", "run: ")]
+#[case::an_argument("heathward\"\nsim", "heathward --operator x\"\nsim", "run: ")]
 #[case::no_simulator("sim =", "simulator =", "sim: ")]
-#[case::a_wrong_key("build =", "built =", "built: unknown")]
+#[case::an_unknown_key("build =", "built =", "built: unknown")]
 #[case::a_file_that_moved("scheduler.rs", "schedulers.rs", "policy: ")]
 #[case::a_folder_that_moved("crates/transport/src", "crates/wire/src", "node: ")]
-#[case::no_toml("build =", "build", "")]
-fn a_fault_in_the_deploy_file_is_detected(#[case] from: &str, #[case] to: &str, #[case] named: &str) {
+#[case::invalid_toml("build =", "build", "")]
+fn a_fault_in_the_deploy_file_is_detected(#[case] from: &str, #[case] to: &str, #[case] expected: &str) {
     let text = deploy_file();
     let broken = text.replacen(from, to, 1);
     assert_ne!(text, broken);
     let exists = |name: &str| Path::new(ROOT).join(name).exists();
     let faults = faults(&broken, exists);
-    assert!(faults.iter().any(|fault| fault.contains(named)), "{faults:?}");
+    assert!(faults.iter().any(|fault| fault.contains(expected)), "{faults:?}");
 }
 
 /// Returns the process ids of the children of `parent` that /proc lists now.
@@ -94,7 +94,7 @@
 
 /// Returns the page faults plus the CPU ticks of all children that have ended and that the process waited
 /// for. It is 0 if there was none.
-fn of_children(id: u32) -> u64 {
+fn child_resource_usage(id: u32) -> u64 {
     let stat = fs::read_to_string(format!("/proc/{id}/stat")).unwrap();
     let rest: Vec<&str> = stat.rsplit(')').next().unwrap().split_whitespace().collect();
     // The minor and major page faults of children, and their CPU time in user and system mode.
@@ -107,7 +107,7 @@
 #[case::on_the_platform(false)]
 #[case::with_an_operator_file(true)]
 #[tokio::test]
-async fn the_program_serves_as_one_process(#[case] operator: bool) {
+async fn the_program_serves_as_one_process(#[case] with_operator_file: bool) {
     let log = Log::default();
     let node = http_node(0, &[Does::Serve], &log).await;
     let discovery = Discovery::start(vec![Listed {
@@ -118,11 +118,11 @@
         up_since_ms: 0,
     }])
     .await;
-    let config = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("deploy-{operator}.json"));
+    let config = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("deploy-{with_operator_file}.json"));
     fs::write(&config, config_text("127.0.0.1:0", &discovery.address.to_string(), "")).unwrap();
     let mut command = Command::new(env!("CARGO_BIN_EXE_heathward"));
     command.env("GW_CONFIG", &config);
-    if operator {
+    if with_operator_file {
         command.args(["--operator", &format!("{ROOT}/deploy/heathward.jsonnet")]);
     }
     let program = Program::start(command);
@@ -135,7 +135,7 @@
     }
     assert!(log.all().len() > 20, "more than 20 requests reach the node");
     let links = fs::read_dir(format!("/proc/{}/fd", program.id())).unwrap();
-    let held: Vec<_> = links.filter_map(|link| fs::read_link(link.unwrap().path()).ok()).collect();
-    assert!(!held.iter().any(|link| link.to_string_lossy().contains("io_uring")), "{held:?}");
-    assert_eq!(of_children(program.id()) > 0, operator, "whether a child process has run");
+    let open_files: Vec<_> = links.filter_map(|link| fs::read_link(link.unwrap().path()).ok()).collect();
+    assert!(!open_files.iter().any(|link| link.to_string_lossy().contains("io_uring")), "{open_files:?}");
+    assert_eq!(child_resource_usage(program.id()) > 0, with_operator_file, "whether a child process has run");
 }
--- a/crates/scheduler/tests/fault_scenarios.rs
+++ b/crates/scheduler/tests/fault_scenarios.rs
@@ -9,10 +9,10 @@
 
 fn scenario(name: &str) -> Scenario {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../testing/fault-injection/scenarios");
-    Scenario::load(&Path::new(path).join(format!("{name}.jsonnet"))).unwrap_or_else(|wrong| panic!("{wrong}"))
+    Scenario::load(&Path::new(path).join(format!("{name}.jsonnet"))).unwrap_or_else(|error| panic!("{error}"))
 }
 
-async fn played(scenario: &Scenario) -> Outcome {
+async fn run_scenario(scenario: &Scenario) -> Outcome {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
     let program = Path::new(env!("CARGO_BIN_EXE_heathward"));
     play(scenario, program, &folder).await.unwrap()
@@ -41,7 +41,7 @@
     #[case] least: f64,
 ) {
     let scenario = scenario(name);
-    let outcome = played(&scenario).await;
+    let outcome = run_scenario(&scenario).await;
     let (served, asked) = outcome.served(from, to);
     let calls = outcome.calls.0;
     println!("{name}, seed {}: {served} of {asked} served from {from} to {to} s, {calls:?}", scenario.seed);
--- a/crates/scheduler/tests/incident_report.rs
+++ b/crates/scheduler/tests/incident_report.rs
@@ -20,9 +20,9 @@
 use tokio::time::sleep;
 
 /// One second, in microseconds.
-const SECOND: u64 = 1_000_000;
+const MICROS_PER_SECOND: u64 = 1_000_000;
 
-async fn staged(name: &str) -> (Truth, Incident) {
+async fn staged_incident(name: &str) -> (Truth, Incident) {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}-{}", std::process::id()));
     // A previous run may have left one.
     let _ = std::fs::remove_dir_all(&folder);
@@ -33,15 +33,15 @@
 
 #[tokio::test]
 async fn the_report_matches_what_happened() {
-    let (truth, incident) = staged("staged").await;
-    let told: Vec<String> = incident.findings.iter().map(|f| f.text.clone()).collect();
-    let told = told.join("\n");
-    assert!(!incident.contradictory, "{told}");
-    assert_eq!(untrue(&truth, &incident), Vec::<String>::new(), "{told}");
-    attempts(&truth, &incident);
-    answers(&truth, &incident);
-    audit(&incident, &told);
-    report(&incident);
+    let (truth, incident) = staged_incident("staged").await;
+    let findings: Vec<String> = incident.findings.iter().map(|finding| finding.text.clone()).collect();
+    let findings = findings.join("\n");
+    assert!(!incident.contradictory, "{findings}");
+    assert_eq!(untrue(&truth, &incident), Vec::<String>::new(), "{findings}");
+    check_attempts(&truth, &incident);
+    check_answers(&truth, &incident);
+    check_audit(&incident, &findings);
+    check_report(&incident);
     for folder in &truth.folders {
         std::fs::remove_dir_all(folder).unwrap();
     }
@@ -50,36 +50,37 @@
 /// Compares the recorded attempts with each node's own log. They agree exactly for a scheduler without holes,
 /// and second by second to within half a second. The killed scheduler has a hole, and may miss up to 60
 /// attempts.
-fn attempts(truth: &Truth, incident: &Incident) {
+fn check_attempts(truth: &Truth, incident: &Incident) {
     for number in 0..3_u32 {
         let name = format!("n{number}");
-        let read = folds::read(&truth.folders[number as usize..=number as usize]).unwrap();
-        let boots: Vec<Fold> = read.into_iter().filter(|fold| fold.scheduler == name).collect();
-        let offset = incident.boots.iter().find(|b| b.scheduler == name).unwrap().ahead;
-        let one = Incident::of(&boots, Window::ALL);
-        let whole = one.holes.is_empty();
-        assert_eq!(whole, number != 1, "{:?}", one.holes);
-        let unaccounted = unaccounted(truth, number, &one);
+        let all_boots = folds::read(&truth.folders[number as usize..=number as usize]).unwrap();
+        let boots: Vec<Fold> = all_boots.into_iter().filter(|fold| fold.scheduler == name).collect();
+        let clock_offset = incident.boots.iter().find(|boot| boot.scheduler == name).unwrap().ahead;
+        let scheduler_incident = Incident::of(&boots, Window::ALL);
+        let whole = scheduler_incident.holes.is_empty();
+        assert_eq!(whole, number != 1, "{:?}", scheduler_incident.holes);
+        let unaccounted = unaccounted(truth, number, &scheduler_incident);
         assert!(unaccounted <= if whole { 0 } else { 60 }, "{unaccounted} attempts of {name}");
         for node in 0..NODES {
             let arrived = truth.arrivals[node as usize].iter().filter(|(by, _)| *by == number);
             let arrived: Vec<u64> = arrived.map(|(_, at)| *at).collect();
-            let table = one.nodes.iter().find(|table| table.name == format!("s{node}")).unwrap();
-            let unsent = |counts: &heathward_incident::NodeCounts| counts.ends[4];
+            let table =
+                scheduler_incident.nodes.iter().find(|table| table.name == format!("s{node}")).unwrap();
+            let not_sent = |counts: &heathward_incident::NodeCounts| counts.ends[4];
             if !whole {
                 continue;
             }
             // The attempts recorded by the end of each second: as many as the node had, give or take half a
             // second plus the delay of a loaded machine.
-            let mut so_far = 0;
+            let mut sent_total = 0;
             for (from, counts) in table.series.iter() {
-                so_far += counts.sent - unsent(counts);
-                let end = (from + SECOND).saturating_add_signed(-offset);
+                sent_total += counts.sent - not_sent(counts);
+                let end = (from + MICROS_PER_SECOND).saturating_add_signed(-clock_offset);
                 let by = |at: u64| arrived.iter().filter(|arrival| **arrival <= at).count() as u64;
                 let (least, most) = (by(end - 800_000), by(end + 800_000));
                 assert!(
-                    (least..=most).contains(&so_far),
-                    "{name} to s{node} by {end}: {so_far}, {least} to {most}"
+                    (least..=most).contains(&sent_total),
+                    "{name} to s{node} by {end}: {sent_total}, {least} to {most}"
                 );
             }
         }
@@ -90,30 +91,30 @@
 
 /// The final answers that clients received agree in number with the requests recorded as served, refused or
 /// failed, up to what the killed scheduler did not record.
-fn answers(truth: &Truth, incident: &Incident) {
+fn check_answers(truth: &Truth, incident: &Incident) {
     let ended: u64 = incident.classes.iter().map(|table| table.series.total().ended()).sum();
     let answered: u64 = truth.answers.iter().sum();
     // The difference is what the killed scheduler had not recorded of its last 1.5 s.
     assert!(ended <= answered + 36 && answered <= ended + 120, "{ended} recorded, {answered} received");
 }
 
-fn audit(incident: &Incident, told: &str) {
-    assert_eq!(incident.audit_broken(), 0, "{told}");
+fn check_audit(incident: &Incident, findings: &str) {
+    assert_eq!(incident.audit_broken(), 0, "{findings}");
     for rule in Rule::ALL {
         assert!(incident.audit.of(rule).looked > 0, "{rule:?} was not checked");
     }
 }
 
 /// The page contains each finding and loads nothing from elsewhere, and the tables are complete.
-fn report(incident: &Incident) {
+fn check_report(incident: &Incident) {
     let page = html(incident);
     for finding in &incident.findings {
         let text = finding.text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;");
         assert!(page.contains(&text), "{text}");
     }
-    let own = page.replace("http://www.w3.org/2000/svg", "");
-    for foreign in ["<script", "http://", "https://", "<link", "@import", "src="] {
-        assert!(!own.contains(foreign), "{foreign}");
+    let without_namespace = page.replace("http://www.w3.org/2000/svg", "");
+    for reference in ["<script", "http://", "https://", "<link", "@import", "src="] {
+        assert!(!without_namespace.contains(reference), "{reference}");
     }
     let tables = Tables::of(incident);
     assert!(tables.json().unwrap().contains("\"findings\""));
@@ -121,8 +122,8 @@
     for (name, text) in FILES.iter().zip(&csv) {
         let columns =
             |line: &str| line.split('"').step_by(2).map(|part| part.matches(',').count()).sum::<usize>();
-        let head = columns(text.lines().next().unwrap());
-        assert!(text.lines().all(|line| columns(line) == head), "{name}");
+        let header_columns = columns(text.lines().next().unwrap());
+        assert!(text.lines().all(|line| columns(line) == header_columns), "{name}");
     }
     assert_eq!(csv[0].lines().count(), incident.findings.len() + 1);
 }
@@ -132,7 +133,7 @@
 struct SchedulerInstance {
     folder: PathBuf,
     records: PathBuf,
-    _kept: tokio::net::TcpSocket,
+    _reserved_socket: tokio::net::TcpSocket,
 }
 
 impl SchedulerInstance {
@@ -142,14 +143,14 @@
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder).unwrap();
         let records = folder.join(records);
-        let (kept, listen) = reserved();
+        let (reserved_socket, listen) = reserved();
         let node = http_node(0, &[Does::Serve], &Log::default()).await;
         let members = member("s0", node, 0, "in_service", 0);
         let text = config_text(&listen.to_string(), "127.0.0.1:1", &members);
         std::fs::write(folder.join("config.json"), text).unwrap();
         let operator = format!("{{ records: {{ folder: '{}' }} }}", records.display());
         std::fs::write(folder.join("operator.jsonnet"), operator).unwrap();
-        Self { folder, records, _kept: kept }
+        Self { folder, records, _reserved_socket: reserved_socket }
     }
 
     fn start(&self) -> Program {
@@ -171,8 +172,8 @@
     }
 }
 
-async fn served(at: std::net::SocketAddr, id: u32) -> bool {
-    let mut stream = TcpStream::connect(at).await.unwrap();
+async fn is_served(address: std::net::SocketAddr, id: u32) -> bool {
+    let mut stream = TcpStream::connect(address).await.unwrap();
     stream.write_all(request("consulta", id, 0, 900, "").as_bytes()).await.unwrap();
     answer(&mut stream).await.0 == 200
 }
@@ -184,16 +185,16 @@
     let blocked = instance.folder.join("blocked");
     std::fs::write(&blocked, "a file where a folder should be").unwrap();
     let mut program = instance.start();
-    assert!(served(program.listen, 1).await);
+    assert!(is_served(program.listen, 1).await);
     program.until("events cannot be recorded");
-    assert!(served(program.listen, 2).await);
+    assert!(is_served(program.listen, 2).await);
     std::fs::remove_file(&blocked).unwrap();
-    let by = tokio::time::Instant::now() + PATIENCE;
+    let deadline = tokio::time::Instant::now() + PATIENCE;
     while !instance.records.exists() {
-        assert!(tokio::time::Instant::now() < by, "recording did not start again");
+        assert!(tokio::time::Instant::now() < deadline, "recording did not start again");
         sleep(Duration::from_millis(20)).await;
     }
-    assert!(served(program.listen, 3).await);
+    assert!(is_served(program.listen, 3).await);
     tokio::task::spawn_blocking(|| program.end()).await.unwrap();
     let incident = instance.incident();
     assert!(incident.holes.iter().all(|hole| hole.why == Missing::Disk), "{:?}", incident.holes);
@@ -205,21 +206,23 @@
 async fn a_handover_is_recorded_by_both_processes() {
     let instance = SchedulerInstance::new("taken", "records").await;
     let mut old = instance.start();
-    assert!(served(old.listen, 1).await);
+    assert!(is_served(old.listen, 1).await);
     let new = instance.start();
     old.until("peer process: serving");
-    assert!(served(new.listen, 2).await);
+    assert!(is_served(new.listen, 2).await);
     tokio::task::spawn_blocking(|| old.end()).await.unwrap();
-    assert!(served(new.listen, 3).await);
+    assert!(is_served(new.listen, 3).await);
     tokio::task::spawn_blocking(|| new.end()).await.unwrap();
     let incident = instance.incident();
     assert!(incident.holes.is_empty(), "{:?}", incident.holes);
-    let has = |what: Lifecycle| incident.boots.iter().flat_map(|b| &b.lifecycle).find(|(_, l)| *l == what);
-    let (handed, _) = has(Lifecycle::HandedOver).expect("a record of the old process");
-    let (taken, _) = has(Lifecycle::TookOver).expect("a record of the new process");
+    let find_lifecycle = |what: Lifecycle| {
+        incident.boots.iter().flat_map(|boot| &boot.lifecycle).find(|(_, event)| *event == what)
+    };
+    let (handed_over, _) = find_lifecycle(Lifecycle::HandedOver).expect("a record of the old process");
+    let (took_over, _) = find_lifecycle(Lifecycle::TookOver).expect("a record of the new process");
     // The new process takes over only after the old one has handed over.
-    assert!(incident.boots.len() == 2 && handed <= taken, "{:?}", incident.boots);
-    let told = incident.findings.iter().filter(|finding| finding.what == What::TookOver);
-    assert_eq!(told.count(), 1);
+    assert!(incident.boots.len() == 2 && handed_over <= took_over, "{:?}", incident.boots);
+    let takeovers = incident.findings.iter().filter(|finding| finding.what == What::TookOver);
+    assert_eq!(takeovers.count(), 1);
     assert_eq!(incident.classes.iter().map(|class| class.series.total().in_aim).sum::<u64>(), 3);
 }
--- a/crates/scheduler/tests/slow_start_across_processes.rs
+++ b/crates/scheduler/tests/slow_start_across_processes.rs
@@ -17,7 +17,7 @@
 /// its share, only the waits at the node limit the sum, just below N.
 const MOST: f64 = 0.7;
 
-async fn played(scenario: &Scenario) -> Outcome {
+async fn run_scenario(scenario: &Scenario) -> Outcome {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
     play(scenario, Path::new(env!("CARGO_BIN_EXE_heathward")), &folder).await.unwrap()
 }
@@ -28,9 +28,9 @@
     #[values(20, 30)] hosts: u32,
 ) {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../testing/fault-injection/scenarios/throng.jsonnet");
-    let mut scenario = Scenario::load(Path::new(path)).unwrap_or_else(|wrong| panic!("{wrong}"));
+    let mut scenario = Scenario::load(Path::new(path)).unwrap_or_else(|error| panic!("{error}"));
     (scenario.hosts, scenario.rate) = (hosts, ASKED / f64::from(hosts));
-    let outcome = played(&scenario).await;
+    let outcome = run_scenario(&scenario).await;
     let most = most_cold(&outcome.log, &RULES);
     let (served, asked) = outcome.served(0.5, scenario.seconds);
     println!("{hosts} hosts: {most:.2} of N at most, {served} of {asked} served");
