--- a/crates/scheduler/tests/net/admin_interface.rs
+++ b/crates/scheduler/tests/net/admin_interface.rs
@@ -1,4 +1,4 @@
-//! The second address: one test with real sockets for each rule.
+//! The admin interface: one test on real sockets for each rule.
 
 use heathward_core::{CoreMessage, SendGate};
 use heathward_policy::AttemptEnd;
@@ -14,7 +14,7 @@
 
 use crate::support::HEALTH_CHECK;
 
-/// A scheduler before such nodes, and its second address with room for so many callers.
+/// Starts a scheduler with these nodes, and its admin interface, which accepts at most `max_connections`.
 async fn attended(members: &[String], most: usize) -> (Rig, std::net::SocketAddr) {
     let rig = rig(members, None).await;
     let (listener, address) = listen().await;
@@ -61,7 +61,7 @@
     assert_eq!(call(address, "STATUS\r\n").await, "OK\n");
 }
 
-/// The metrics say what was answered and sent, class by class.
+/// The metrics count final answers by class and kind, the attempts, and the nodes.
 #[tokio::test]
 async fn the_metrics_count_answers_and_attempts() {
     let log = Log::default();
@@ -87,10 +87,10 @@
         assert!(told.lines().any(|line| line == format!("app.{figure}")), "{figure}: {told}");
     }
     assert_eq!(told.lines().last(), Some("END"));
-    assert_eq!(log.all().len(), 4, "as many as were written");
+    assert_eq!(log.all().len(), 4, "attempts that reached the node");
 }
 
-/// Guards against callers that say nothing, or half a call, keeping others out.
+/// Guards against connections that send no command, or part of one, and keep other operators out.
 #[tokio::test]
 async fn silent_connections_do_not_keep_other_operators_out() {
     let (_rig, address) = attended(&[], 4).await;
@@ -100,10 +100,11 @@
         stream.write_all(b"STAT").await.unwrap();
         silent.push(stream);
     }
-    assert!(call(address, "STATUS\n").await.starts_with("ERR "), "no list yet");
+    assert!(call(address, "STATUS\n").await.starts_with("ERR "), "no endpoint list yet");
 }
 
-/// Out by hand is out: whatever discovery says, however often it was said, until the one call back.
+/// A suspended node stays suspended, whatever discovery reports and however often it was suspended, until it
+/// is restored once.
 #[tokio::test]
 async fn a_suspended_node_gets_nothing_until_it_is_restored() {
     let log = Log::default();
@@ -125,21 +126,21 @@
     }
     assert_eq!(log.all().len(), 1);
     assert_eq!(call(address, "RESTORE s0\n").await, "OK\n");
-    // It is cold now, and takes its part of what a cold node bears.
+    // The node is in slow start now, and gets this scheduler's share of what a node in slow start can serve.
     let by = Instant::now() + PATIENCE;
     let mut next = 5;
     while status(&rig, next).await != 200 {
-        assert!(Instant::now() < by, "never used again");
+        assert!(Instant::now() < by, "the restored node gets no requests");
         next += 1;
     }
-    // What discovery says of a drain holds by itself.
+    // RESTORE does not undo a drain that discovery reports.
     update(&rig, &format!(r#"{{"revision":11,"complete":false,"members":[{}]}}"#, entry("terminating")))
         .await;
     assert_eq!(call(address, "RESTORE s0\n").await, "OK\n");
     assert_eq!(status(&rig, 10_000).await, 503);
 }
 
-/// Guards against a send, after `OK`, of what had been waiting for a connection before.
+/// Guards against sending, after `OK`, an attempt that was waiting for a connection before.
 #[rstest]
 #[case::out(true, AttemptEnd::NotSent, 0)]
 #[case::in_service(false, AttemptEnd::Served, 1)]
@@ -159,7 +160,8 @@
     assert_eq!((done.end, log.all().len(), tries.total()), (end, seen, seen as u64));
 }
 
-/// A pause says no at once, turns nobody back, and has closed every connection before 4 s are over.
+/// A pause makes the health check fail at once, rejects no request, and has closed every connection before 4
+/// s are over.
 #[tokio::test]
 async fn a_pause_sends_clients_away_until_it_ends() {
     let log = Log::default();
--- a/crates/scheduler/tests/net/client_connections.rs
+++ b/crates/scheduler/tests/net/client_connections.rs
@@ -1,4 +1,4 @@
-//! Client connections: disconnects, useless connections and a full table.
+//! Client connections: disconnects, idle and incomplete ones, and a full table.
 
 use std::time::Duration;
 
@@ -23,8 +23,8 @@
     assert_eq!(counters.total_answers(), AnswerCounts::default(), "{counters}");
 }
 
-/// Guards against clients that ask once, or never, and keep their connection: with a front full of them,
-/// those who come to ask must still be served.
+/// Guards against clients that send one request, or none, and keep their connection: if the front is full of
+/// such connections, clients with new requests must still be served.
 #[rstest]
 #[case::silent("", false)]
 #[case::half_a_head("GET /consulta/0000", false)]
@@ -46,7 +46,7 @@
     let by = Instant::now() + PATIENCE;
     let mut call = 100;
     loop {
-        // Some newcomers may be turned away while those who are there have just come themselves.
+        // Some new connections may be rejected while the existing ones are still recent.
         let mut stream = TcpStream::connect(rig.front).await.unwrap();
         let asked = stream.write_all(request("consulta", call, 0, 900, "").as_bytes()).await;
         let told = timeout(PATIENCE, read_message(&mut stream)).await;
@@ -55,14 +55,14 @@
         {
             break;
         }
-        assert!(Instant::now() < by, "nobody makes way");
+        assert!(Instant::now() < by, "no connection is evicted");
         call += 1;
         sleep(Duration::from_millis(20)).await;
     }
 }
 
-/// A crowd of clients that ask once and stay: more of them at once than there are places. Guards against
-/// turning away those who come to ask for the sake of those who have been answered.
+/// More clients than the table has places each send one request and keep their connection. Guards against
+/// rejecting clients with new requests in order to keep clients that have been answered.
 #[tokio::test]
 async fn in_a_full_table_answered_connections_are_evicted() {
     let OneNode { rig, .. } = one_node(&[Does::Serve]).await;
@@ -72,10 +72,12 @@
         stream.write_all(request("consulta", call, 0, 900, "").as_bytes()).await.unwrap();
         assert_eq!(answer(&mut stream).await.0, 200, "client {call}");
         kept.push(stream);
-        // Slow enough for a place to be spared each time, and all within the time of an idle connection.
+        // Slow enough for a connection to be evicted each time; all requests are sent before a connection
+        // counts as idle for too long.
         sleep(Duration::from_millis(5)).await;
     }
-    // They hold a third of the descriptors at most, two thirds of the places: held longer, none would come.
+    // They hold at most a third of the descriptors, which is two thirds of the places: if they held more, no
+    // new client could connect.
     let mut open = 0;
     for stream in &mut kept {
         open += usize::from(timeout(Duration::from_millis(1), stream.readable()).await.is_err());
--- a/crates/scheduler/tests/net/client_disconnect.rs
+++ b/crates/scheduler/tests/net/client_disconnect.rs
@@ -1,6 +1,6 @@
 //! "An attempt, first or further, that begins more than 0.1 s after the close" of its client's connection, or
-//! after its command was cancelled, is a break (STANDING.md): that is crossed at each point where an attempt
-//! waits to begin.
+//! after its command was cancelled, is a break (STANDING.md). The tests disconnect or cancel at each point at
+//! which an attempt waits to begin.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,21 +16,21 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::sleep;
 
-/// An attempt may begin so long after its client has left.
+/// How long after its client has disconnected an attempt may still begin.
 const TOLERANCE: Duration = Duration::from_millis(100);
 
-/// The calls of a client that leaves and of one that stays.
+/// The request ids of the client that disconnects and of the one that stays connected.
 const LEAVER: u32 = 1;
 const STAYER: u32 = 2;
 
-/// How a client leaves.
+/// How a client disconnects.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Leaves {
-    /// It closes its connection.
+    /// Closes its connection.
     Close,
-    /// It resets it.
+    /// Resets its connection.
     Reset,
-    /// It closes behind another request, which is not answered either.
+    /// Closes its connection after sending another request, which is not answered either.
     BehindARequest,
 }
 
@@ -48,7 +48,7 @@
     }
 }
 
-/// A storage node whose machine has a queue for two connections, and that takes them when the test says so.
+/// A storage node with an accept queue for two connections, which accepts them when the test tells it to.
 struct Node {
     listener: TcpListener,
     address: SocketAddr,
@@ -60,25 +60,25 @@
         let socket = TcpSocket::new_v4().unwrap();
         socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
         let address = socket.local_addr().unwrap();
-        // A queue of one takes two.
+        // With a backlog of 1 the system queues two connections.
         Self { listener: socket.listen(1).unwrap(), address, filling: Vec::new() }
     }
 
-    /// No further connection comes up until [`Node::serve`].
+    /// Fills the accept queue, so that no further connection is established until [`Node::serve`].
     async fn fill_queue(&mut self) {
         for _ in 0..2 {
             self.filling.push(TcpStream::connect(self.address).await.unwrap());
         }
     }
 
-    /// The next request on a connection of its own, its head in lower case.
+    /// Accepts the next connection, and returns it with the head of its request in lower case.
     async fn next_request(&self) -> (TcpStream, String) {
         let (mut stream, _) = self.listener.accept().await.unwrap();
         let head = read_message(&mut stream).await.unwrap().0;
         (stream, head)
     }
 
-    /// Serves all that comes from now on, and tells the calls that have so much as begun.
+    /// Serves all requests from now on, and reports the id of each request of which any byte has arrived.
     fn serve(self) -> mpsc::UnboundedReceiver<u64> {
         let (tell, begun) = mpsc::unbounded_channel();
         tokio::spawn(async move {
@@ -99,7 +99,7 @@
             return None;
         }
         let head = read_message(&mut stream).await.map(|(head, ..)| head);
-        // What does not even have its head whole is no call's, and has begun all the same.
+        // A request whose head is incomplete has no id, but it has begun as well.
         let call = head.as_deref().map_or(0, call_of);
         tell.send(call).ok()?;
         stream.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nhello").await.ok()?;
@@ -110,7 +110,7 @@
     u64::from_str_radix(header(head, "x-call-id").unwrap(), 16).unwrap()
 }
 
-/// A scheduler before that node. No time of it ends before the test does.
+/// Starts a scheduler with this node. None of its time limits expires before the test ends.
 async fn scheduler(node: &Node) -> Rig {
     rig_of(&patient_config(node), None).await
 }
@@ -128,8 +128,9 @@
     client
 }
 
-/// Calls that have begun at a node by the time at which a client that stays has its answer. What it waited
-/// for was asked for after everything that the leaver can have waited for, and nothing else is open then.
+/// Returns the ids of the requests that have begun at a node by the time at which the staying client has its
+/// answer. The connection for that client was requested after any that the other client can have waited for,
+/// and no request is open then.
 async fn begun_before(
     rig: &Rig,
     stayer: &mut TcpStream,
@@ -144,7 +145,7 @@
     calls
 }
 
-/// The client leaves while its first attempt waits for a connection, which comes up 0.1 s later.
+/// The client disconnects while its first attempt waits for a connection, which is established 0.1 s later.
 #[rstest]
 #[tokio::test]
 async fn no_first_attempt_starts_100_ms_after_a_client_disconnect(
@@ -162,8 +163,8 @@
     assert_eq!(begun_before(&rig, &mut stayer, node.serve()).await, [u64::from(STAYER)]);
 }
 
-/// The client leaves while its further attempt waits for a connection, which comes up 0.1 s later. The first
-/// one has ended as the case has it.
+/// The client disconnects while its retry waits for a connection, which is established 0.1 s later. The first
+/// attempt has ended as the case says.
 #[rstest]
 #[tokio::test]
 async fn no_retry_starts_100_ms_after_a_client_disconnect(
@@ -186,11 +187,11 @@
     assert_eq!(begun_before(&rig, &mut stayer, node.serve()).await, [u64::from(STAYER)]);
 }
 
-/// Ends the connection, so that a further attempt has to wait for a new one.
+/// Closes the connection, so that a retry has to wait for a new one.
 const ERROR: &str = "HTTP/1.1 500 Oops\r\ncontent-length: 0\r\nconnection: close\r\n\r\n";
 
-/// The client leaves while its first attempt is at the node, which ends it 0.1 s later in a way that a
-/// further attempt follows at once.
+/// The client disconnects while its first attempt is at the node, which ends it 0.1 s later in a way that
+/// allows an immediate retry.
 #[rstest]
 #[tokio::test]
 async fn no_retry_follows_an_attempt_that_ends_100_ms_after_a_client_disconnect(
@@ -211,18 +212,18 @@
     assert_eq!(begun_before(&rig, &mut stayer, begun).await, [u64::from(STAYER)]);
 }
 
-/// How a host on NVMe over TCP gives a command up.
+/// How an NVMe/TCP host cancels a command.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Cancels {
-    /// By an Abort command.
+    /// With an Abort command.
     Abort,
-    /// Its queue's connection closes.
+    /// By closing the connection of its I/O queue.
     Queue,
-    /// That of its admin queue does.
+    /// By closing the connection of its admin queue.
     Admin,
 }
 
-/// The front for NVMe before the same scheduler; one namespace, on the node's shard.
+/// Starts an NVMe front for the same scheduler, with one namespace on the node's shard.
 async fn nvme_front(rig: &Rig, node: &Node) -> (SocketAddr, watch::Sender<bool>) {
     let map = format!(
         r#"{{"listen":"127.0.0.1:0","subsystem":"{FRONT}","queues":2,"depth":64,"block":512,"unit_blocks":16,
@@ -239,8 +240,8 @@
     (address, stop)
 }
 
-/// The host cancels its command while the first or a further attempt of it waits for a connection, which
-/// comes up 0.1 s later.
+/// The host cancels its command while the first attempt or a retry waits for a connection, which is
+/// established 0.1 s later.
 #[rstest]
 #[tokio::test]
 async fn no_attempt_starts_100_ms_after_its_nvme_command_was_cancelled(
--- a/crates/scheduler/tests/net/connection_close.rs
+++ b/crates/scheduler/tests/net/connection_close.rs
@@ -1,4 +1,4 @@
-//! Closing clients' connections, by either side, in the instant in which something crosses it.
+//! Clients' connections that either side closes at the moment at which data or a request arrives.
 
 use std::net::SocketAddr;
 
@@ -14,7 +14,7 @@
 
 use crate::support::{one_node, OneNode};
 
-/// A front of so many places before that core, and what tells it to stop.
+/// Starts a front with a connection table of `places`. Sending true on the channel shuts it down.
 async fn front(rig: &Rig, places: usize) -> (SocketAddr, ConnectionTable, watch::Sender<bool>) {
     let (listener, address) = listen().await;
     let (stop, stopping) = watch::channel(false);
@@ -23,7 +23,7 @@
     (address, table, stop)
 }
 
-/// How a client leaves.
+/// How a client disconnects.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Leaves {
     Close,
@@ -31,8 +31,8 @@
     Reset,
 }
 
-/// Guards against work for a client that has left behind bytes that nobody has read: its request goes on, and
-/// then the next one, and all of them, are sent to nodes for nobody.
+/// Guards against work for a client that has disconnected with unread bytes pending: its request, and then
+/// each of those that follow it, would be sent to nodes although nobody waits for the answer.
 #[rstest]
 #[case::nothing(0)]
 #[case::another_request(1)]
@@ -61,8 +61,8 @@
     assert_eq!((counters.total_answers(), log.all().len()), (AnswerCounts::default(), 2), "{counters}");
 }
 
-/// More requests than are held stand behind the one that is worked on: that one is answered, and its
-/// connection ends. Memory stays as it is, however much comes.
+/// More pipelined bytes than the front buffers follow the request in progress. That request is answered, and
+/// then its connection closes; memory use stays bounded however much the client sends.
 #[tokio::test]
 async fn a_connection_with_too_many_pipelined_bytes_closes_with_its_answer() {
     let OneNode { rig, log, .. } = one_node(&[Does::LateError, Does::Serve]).await;
@@ -81,9 +81,9 @@
     assert!(log.all().iter().all(|seen| seen.call == "0000000000000001"));
 }
 
-/// The request is with the system when its connection has to make way: it is not read. Guards against a
-/// reset, against a request that is read and dropped, and against one that is read after the close and sent
-/// on.
+/// The request is in the system's socket buffer when its connection is evicted, and it is not read. Guards
+/// against a reset, against a request that is read and dropped, and against one that is read after the close
+/// and forwarded.
 #[rstest]
 #[case::nothing("")]
 #[case::half_a_head("GET /consulta/0000")]
@@ -96,17 +96,18 @@
     let mut stream = TcpStream::connect(address).await.unwrap();
     stream.write_all(request("consulta", 1, 0, 900, "").as_bytes()).await.unwrap();
     assert_eq!(answer(&mut stream).await.0, 200);
-    // Nobody else has a turn from here to the newcomer.
+    // No other task runs between here and the new connection.
     stream.try_write(crosses.as_bytes()).unwrap();
     let newcomer = table.enter(Instant::now() + Duration::from_secs(5));
-    assert!(newcomer.is_some(), "the idle one makes way");
+    assert!(newcomer.is_some(), "the idle connection is evicted");
     let mut came = Vec::new();
     let ended = timeout(PATIENCE, stream.read_to_end(&mut came)).await.expect("an end");
     assert!(ended.is_ok() && came.is_empty(), "closed, not reset: {ended:?} {came:?}");
     assert_eq!(log.all().len(), 1);
 }
 
-/// Half of a request is there when the program stops: it has its answer, which is the last on its connection.
+/// Part of a request has arrived when the program shuts down: the request is answered, and its connection
+/// closes after that.
 #[tokio::test]
 async fn a_request_being_received_at_shutdown_is_answered() {
     let OneNode { rig, .. } = one_node(&[Does::Serve]).await;
@@ -117,7 +118,7 @@
     stream.write_all(request("consulta", 2, 0, 900, "").as_bytes()).await.unwrap();
     assert_eq!(answer(&mut stream).await.0, 200);
     stream.write_all(half.as_bytes()).await.unwrap();
-    // An answer that comes after shows that the half was read.
+    // An answer on another connection shows that the first part was read.
     assert_eq!(rig.ask(&request("consulta", 3, 0, 900, "")).await.0, 200);
     stop.send_replace(true);
     assert_eq!(rig.ask(&request("consulta", 4, 0, 900, "")).await.0, 200);
--- a/crates/scheduler/tests/net/descriptor_exhaustion.rs
+++ b/crates/scheduler/tests/net/descriptor_exhaustion.rs
@@ -12,14 +12,14 @@
 use crate::support::{wait_until_listening, write_config};
 use heathward_fakes::*;
 
-/// Descriptors that the process may hold: the system enforces it.
+/// The limit on descriptors of the process, which the system enforces.
 const DESCRIPTORS: usize = 64;
-/// Clients that connect and say nothing: twice as many as there are descriptors.
+/// The number of clients that connect and send nothing: twice as many as there are descriptors.
 const IDLE: usize = 2 * DESCRIPTORS;
-/// What counts as told 6 s after discovery can be reached again is looked at with a loaded machine in mind.
+/// A change counts as told 6 s after discovery can be reached again; the bound allows for a loaded machine.
 const TOLD_BY: Duration = Duration::from_secs(6);
 
-/// Listens at an address that nobody has taken meanwhile.
+/// Listens at the reserved address, which no other process has taken.
 fn listen_again(reserved: &TcpSocket) -> TcpListener {
     let socket = TcpSocket::new_v4().unwrap();
     socket.set_reuseport(true).unwrap();
@@ -27,26 +27,27 @@
     socket.listen(64).unwrap()
 }
 
-/// Connects, says nothing, and comes again as soon as it is turned away.
+/// Connects, sends nothing, and connects again as soon as its connection is closed.
 async fn insist(front: SocketAddr) {
     loop {
         let Ok(mut client) = TcpStream::connect(front).await else { return };
-        // A reset ends it as well.
+        // A reset ends the read as well.
         let _ = client.read(&mut [0]).await;
     }
 }
 
-/// Waits until the clients hold half of the descriptors, which is what the process leaves them.
+/// Waits until the clients hold half of the descriptors, which is the share that the process leaves them.
 async fn filled(child: &Child) {
     let folder = format!("/proc/{}/fd", child.id());
     let by = Instant::now() + PATIENCE;
     while std::fs::read_dir(&folder).unwrap().count() < DESCRIPTORS / 2 {
-        assert!(Instant::now() < by, "they never fill");
+        assert!(Instant::now() < by, "the clients do not fill the descriptors");
         sleep(Duration::from_millis(5)).await;
     }
 }
 
-/// Whether a newcomer is answered, and by what; one that is turned away unread comes again.
+/// Sends a request on a new connection, and returns the status of its answer. If the connection is closed
+/// without an answer, the request is sent again on another one.
 async fn ask(front: SocketAddr, call: u32) -> u16 {
     let by = Instant::now() + PATIENCE;
     loop {
@@ -56,13 +57,13 @@
         if let (Ok(()), Some((head, ..))) = (asked, told) {
             return head[9..12].parse().unwrap();
         }
-        assert!(Instant::now() < by, "nobody makes way");
+        assert!(Instant::now() < by, "no connection is evicted");
         sleep(Duration::from_millis(20)).await;
     }
 }
 
-/// Guards against a process whose descriptors are all with clients, and that can't call discovery when it is
-/// back: the drain that it has to tell counts as told.
+/// Guards against a process that cannot call discovery when it is back, because clients hold all descriptors:
+/// a drain counts as told by then.
 #[tokio::test]
 async fn idle_clients_that_fill_the_descriptors_leave_one_for_discovery() {
     let log = Log::default();
@@ -81,7 +82,7 @@
         idle.spawn(insist(front));
     }
     filled(&child).await;
-    // An answer shows that the process has met all who came before.
+    // An answer shows that the process has seen all clients that connected before.
     assert_eq!(ask(front, 1).await, 200);
     let back = listen_again(&kept);
     let reached = Instant::now();
@@ -91,10 +92,10 @@
     assert!(reached.elapsed() < TOLD_BY, "called after {:?}", reached.elapsed());
     let mut call = 2;
     while ask(front, call).await == 200 {
-        assert!(reached.elapsed() < PATIENCE, "the drain is not heard of");
+        assert!(reached.elapsed() < PATIENCE, "the drain is not applied");
         call += 1;
     }
-    // No descriptor is missed with those who came meanwhile either.
+    // The clients that have connected meanwhile do not exhaust the descriptors either.
     let before = log.all().len();
     assert_eq!(ask(front, call + 1).await, 503);
     assert_eq!(log.all().len(), before);
--- a/crates/scheduler/tests/net/disconnect_while_connecting.rs
+++ b/crates/scheduler/tests/net/disconnect_while_connecting.rs
@@ -1,4 +1,4 @@
-//! Clients that leave: nothing that waits for them is sent on, wherever it waits.
+//! Clients that disconnect: no attempt that waits for a connection on their behalf is sent.
 
 use heathward_core::SendGate;
 use heathward_policy::AttemptEnd;
@@ -12,7 +12,8 @@
 
 use heathward_fakes::*;
 
-/// Guards against an attempt that goes on waiting for a connection, and holds its place, for nobody.
+/// Guards against an attempt that keeps waiting for a connection, and keeps its place, after its client has
+/// disconnected.
 #[tokio::test]
 async fn connecting_to_a_node_ends_when_the_client_disconnects() {
     let node = full_node().await;
@@ -29,7 +30,7 @@
     assert!(done.idle.is_none());
 }
 
-/// Reads on each connection that comes up what there is, and answers a request; tells of each that came.
+/// Accepts connections, reads a request on each and answers it; reports the head of each request.
 async fn serve(listener: TcpListener, came: mpsc::UnboundedSender<String>) {
     loop {
         let (mut stream, _) = listener.accept().await.unwrap();
@@ -45,9 +46,9 @@
 const LEAVING: usize = 12;
 const STAYING: usize = 6;
 
-/// Dials that come up late, one at each node, and clients most of which leave meanwhile: of what waits for
-/// its first attempt then the share that is sent on is 0. The stayers are served on connections that were
-/// asked for after the leavers', so that those would have come up before.
+/// Connections that are established late, one at each node, while most clients disconnect: none of the
+/// requests of these clients is sent. The connections of the staying clients were requested last, so the
+/// others would have been established before them.
 #[tokio::test]
 async fn requests_of_clients_that_disconnected_during_connecting_are_not_sent() {
     let mut nodes = Vec::new();
--- a/crates/scheduler/tests/net/main.rs
+++ b/crates/scheduler/tests/net/main.rs
@@ -1,5 +1,6 @@
-//! The network code: tables of cases for the parsers, and a test on real sockets for each rule. All addresses
-//! are on loopback with ports that the system chooses; no case hangs on a short time being kept.
+//! Tests of the network code: tables of cases for the parsers, and a test on real sockets for each rule. All
+//! addresses are on loopback with ports that the system chooses; no case depends on a short time limit being
+//! met.
 #![cfg(test)]
 
 mod admin_interface;
