--- a/crates/scheduler/tests/net/admin_interface.rs
+++ b/crates/scheduler/tests/net/admin_interface.rs
@@ -15,22 +15,22 @@
 use crate::support::HEALTH_CHECK;
 
 /// Starts a scheduler with these nodes, and its admin interface, which accepts at most `max_connections`.
-async fn attended(members: &[String], most: usize) -> (Rig, std::net::SocketAddr) {
+async fn rig_with_admin(members: &[String], max_connections: usize) -> (Rig, std::net::SocketAddr) {
     let rig = rig(members, None).await;
     let (listener, address) = listen().await;
-    tokio::spawn(admin::serve(listener, rig.core.clone(), most));
+    tokio::spawn(admin::serve(listener, rig.core.clone(), max_connections));
     (rig, address)
 }
 
-async fn call(address: std::net::SocketAddr, line: &str) -> String {
+async fn run_command(address: std::net::SocketAddr, line: &str) -> String {
     let mut stream = TcpStream::connect(address).await.unwrap();
     stream.write_all(line.as_bytes()).await.unwrap();
-    let mut told = String::new();
-    timeout(PATIENCE, stream.read_to_string(&mut told)).await.expect("an answer").unwrap();
-    told
+    let mut response = String::new();
+    timeout(PATIENCE, stream.read_to_string(&mut response)).await.expect("an answer").unwrap();
+    response
 }
 
-async fn update(rig: &Rig, text: &str) {
+async fn send_update(rig: &Rig, text: &str) {
     rig.core
         .discovery_sender()
         .send(CoreMessage::EndpointUpdate(discovery::parse_update(text).unwrap()))
@@ -38,7 +38,7 @@
         .unwrap();
 }
 
-async fn status(rig: &Rig, call: u32) -> u16 {
+async fn read_status(rig: &Rig, call: u32) -> u16 {
     rig.ask(&request("consulta", call, 0, 900, "")).await.0
 }
 
@@ -46,19 +46,19 @@
 #[case::unknown_call("REBOOT\n")]
 #[case::no_id("SUSPEND\n")]
 #[case::two_ids("SUSPEND s0 s1\n")]
-#[case::id_too_many("PAUSE s0\n")]
+#[case::unexpected_id("PAUSE s0\n")]
 #[case::unknown_node("SUSPEND s9\n")]
-#[case::unknown_node_back("RESTORE s9\r\n")]
-#[case::small("status\n")]
-#[case::nothing("\n")]
+#[case::restore_of_unknown_node("RESTORE s9\r\n")]
+#[case::lower_case("status\n")]
+#[case::empty_line("\n")]
 #[case::not_text("\u{1}\u{2}\n")]
 #[tokio::test]
 async fn a_malformed_command_is_answered_with_an_error(#[case] line: &str) {
     let (_, nobody) = nobody();
-    let (rig, address) = attended(&[member("s0", nobody, 0, "in_service", 0)], 4).await;
-    rig.until(|c| c.endpoint_updates == 1).await;
-    assert!(call(address, line).await.starts_with("ERR "), "{line:?}");
-    assert_eq!(call(address, "STATUS\r\n").await, "OK\n");
+    let (rig, address) = rig_with_admin(&[member("s0", nobody, 0, "in_service", 0)], 4).await;
+    rig.until(|counters| counters.endpoint_updates == 1).await;
+    assert!(run_command(address, line).await.starts_with("ERR "), "{line:?}");
+    assert_eq!(run_command(address, "STATUS\r\n").await, "OK\n");
 }
 
 /// The metrics count final answers by class and kind, the attempts, and the nodes.
@@ -67,11 +67,11 @@
     let log = Log::default();
     let node = http_node(0, &[Does::Serve, Does::Error], &log).await;
     let members = [member("s0", node, 0, "in_service", 0), member("s1", node, 1, "terminating", 0)];
-    let (rig, address) = attended(&members, 4).await;
-    assert_eq!(status(&rig, 1).await, 200);
+    let (rig, address) = rig_with_admin(&members, 4).await;
+    assert_eq!(read_status(&rig, 1).await, 200);
     assert_eq!(rig.ask(&request("pedido", 2, 0, 900, "w")).await.0, 502);
     assert_eq!(rig.ask(&request("pedido", 3, 1, 900, "w")).await.0, 503);
-    let told = call(address, "METRICS\n").await;
+    let response = run_command(address, "METRICS\n").await;
     for figure in [
         "responses.consulta.ok=1",
         "responses.consulta.shed=0",
@@ -84,23 +84,23 @@
         "pool_size=2",
         "pool_ejected=1",
     ] {
-        assert!(told.lines().any(|line| line == format!("app.{figure}")), "{figure}: {told}");
+        assert!(response.lines().any(|line| line == format!("app.{figure}")), "{figure}: {response}");
     }
-    assert_eq!(told.lines().last(), Some("END"));
+    assert_eq!(response.lines().last(), Some("END"));
     assert_eq!(log.all().len(), 4, "attempts that reached the node");
 }
 
 /// Guards against connections that send no command, or part of one, and keep other operators out.
 #[tokio::test]
 async fn silent_connections_do_not_keep_other_operators_out() {
-    let (_rig, address) = attended(&[], 4).await;
+    let (_rig, address) = rig_with_admin(&[], 4).await;
     let mut silent = Vec::new();
     for _ in 0..12 {
         let mut stream = TcpStream::connect(address).await.unwrap();
         stream.write_all(b"STAT").await.unwrap();
         silent.push(stream);
     }
-    assert!(call(address, "STATUS\n").await.starts_with("ERR "), "no endpoint list yet");
+    assert!(run_command(address, "STATUS\n").await.starts_with("ERR "), "no endpoint list yet");
 }
 
 /// A suspended node stays suspended, whatever discovery reports and however often it was suspended, until it
@@ -110,10 +110,10 @@
     let log = Log::default();
     let node = http_node(0, &[Does::Serve], &log).await;
     let entry = |phase| member("s0", node, 0, phase, 0);
-    let (rig, address) = attended(&[entry("in_service")], 4).await;
-    assert_eq!(status(&rig, 1).await, 200);
+    let (rig, address) = rig_with_admin(&[entry("in_service")], 4).await;
+    assert_eq!(read_status(&rig, 1).await, 200);
     for _ in 0..2 {
-        assert_eq!(call(address, "SUSPEND s0\n").await, "OK\n");
+        assert_eq!(run_command(address, "SUSPEND s0\n").await, "OK\n");
     }
     let other = member("s1", node, 1, "in_service", 0);
     for (call, list) in [
@@ -121,43 +121,46 @@
         (3, format!(r#"{{"revision":9,"complete":true,"members":[{other}]}}"#)),
         (4, format!(r#"{{"revision":10,"complete":false,"members":[{}]}}"#, entry("in_service"))),
     ] {
-        update(&rig, &list).await;
-        assert_eq!(status(&rig, call).await, 503, "{list}");
+        send_update(&rig, &list).await;
+        assert_eq!(read_status(&rig, call).await, 503, "{list}");
     }
     assert_eq!(log.all().len(), 1);
-    assert_eq!(call(address, "RESTORE s0\n").await, "OK\n");
+    assert_eq!(run_command(address, "RESTORE s0\n").await, "OK\n");
     // The node is in slow start now, and gets this scheduler's share of what a node in slow start can serve.
-    let by = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + PATIENCE;
     let mut next = 5;
-    while status(&rig, next).await != 200 {
-        assert!(Instant::now() < by, "the restored node gets no requests");
+    while read_status(&rig, next).await != 200 {
+        assert!(Instant::now() < deadline, "the restored node gets no requests");
         next += 1;
     }
     // RESTORE does not undo a drain that discovery reports.
-    update(&rig, &format!(r#"{{"revision":11,"complete":false,"members":[{}]}}"#, entry("terminating")))
+    send_update(&rig, &format!(r#"{{"revision":11,"complete":false,"members":[{}]}}"#, entry("terminating")))
         .await;
-    assert_eq!(call(address, "RESTORE s0\n").await, "OK\n");
-    assert_eq!(status(&rig, 10_000).await, 503);
+    assert_eq!(run_command(address, "RESTORE s0\n").await, "OK\n");
+    assert_eq!(read_status(&rig, 10_000).await, 503);
 }
 
 /// Guards against sending, after `OK`, an attempt that was waiting for a connection before.
 #[rstest]
-#[case::out(true, AttemptEnd::NotSent, 0)]
+#[case::suspended(true, AttemptEnd::NotSent, 0)]
 #[case::in_service(false, AttemptEnd::Served, 1)]
 #[tokio::test]
 async fn an_attempt_waiting_for_a_suspended_node_is_not_sent(
-    #[case] out: bool,
+    #[case] suspended: bool,
     #[case] end: AttemptEnd,
-    #[case] seen: usize,
+    #[case] expected_requests: usize,
 ) {
     let log = Log::default();
     let node = http_node(0, &[Does::Serve], &log).await;
-    let (by, gate) = (Instant::now() + PATIENCE, SendGate::default());
-    gate.set_closed(out);
-    let attempt = attempt(gate, by);
-    let tries = attempt.written_attempts.clone();
-    let Ok(done) = HttpLink::new(node).call(Job { attempt, idle: None, connect_by: by }).await;
-    assert_eq!((done.end, log.all().len(), tries.total()), (end, seen, seen as u64));
+    let (deadline, gate) = (Instant::now() + PATIENCE, SendGate::default());
+    gate.set_closed(suspended);
+    let attempt = attempt(gate, deadline);
+    let written_attempts = attempt.written_attempts.clone();
+    let Ok(done) = HttpLink::new(node).call(Job { attempt, idle: None, connect_by: deadline }).await;
+    assert_eq!(
+        (done.end, log.all().len(), written_attempts.total()),
+        (end, expected_requests, expected_requests as u64)
+    );
 }
 
 /// A pause makes the health check fail at once, rejects no request, and has closed every connection before 4
@@ -166,7 +169,7 @@
 async fn a_pause_sends_clients_away_until_it_ends() {
     let log = Log::default();
     let node = http_node(0, &[Does::Serve], &log).await;
-    let (rig, address) = attended(&[member("s0", node, 0, "in_service", 0)], 4).await;
+    let (rig, address) = rig_with_admin(&[member("s0", node, 0, "in_service", 0)], 4).await;
     let health = HEALTH_CHECK;
     let mut kept = Vec::new();
     for call in 1..4 {
@@ -176,7 +179,7 @@
         kept.push(stream);
     }
     let paused = Instant::now();
-    assert_eq!(call(address, "PAUSE\n").await, "OK\n");
+    assert_eq!(run_command(address, "PAUSE\n").await, "OK\n");
     assert_eq!(rig.ask(health).await.0, 503);
     let mut new = TcpStream::connect(rig.front).await.unwrap();
     for (stream, call) in [(&mut new, 4), (&mut kept[0], 5)] {
@@ -188,8 +191,8 @@
         assert!(timeout(PATIENCE, read_message(stream)).await.expect("an end").is_none());
     }
     assert!(paused.elapsed() < Duration::from_millis(3500), "{:?}", paused.elapsed());
-    assert_eq!(call(address, "STATUS\n").await, "OK\n");
-    assert_eq!(call(address, "RESUME\n").await, "OK\n");
+    assert_eq!(run_command(address, "STATUS\n").await, "OK\n");
+    assert_eq!(run_command(address, "RESUME\n").await, "OK\n");
     assert_eq!(rig.ask(health).await.0, 200);
     let mut stream = TcpStream::connect(rig.front).await.unwrap();
     stream.write_all(request("consulta", 6, 0, 900, "").as_bytes()).await.unwrap();
--- a/crates/scheduler/tests/net/client_connections.rs
+++ b/crates/scheduler/tests/net/client_connections.rs
@@ -17,9 +17,9 @@
     let OneNode { rig, .. } = one_node(&[Does::Silent]).await;
     let mut stream = TcpStream::connect(rig.front).await.unwrap();
     stream.write_all(request("consulta", 2, 0, 900, "").as_bytes()).await.unwrap();
-    rig.until(|c| c.attempts_sent == 1).await;
+    rig.until(|counters| counters.attempts_sent == 1).await;
     drop(stream);
-    let counters = rig.until(|c| c.client_disconnects == 1).await;
+    let counters = rig.until(|counters| counters.client_disconnects == 1).await;
     assert_eq!(counters.total_answers(), AnswerCounts::default(), "{counters}");
 }
 
@@ -27,35 +27,38 @@
 /// such connections, clients with new requests must still be served.
 #[rstest]
 #[case::silent("", false)]
-#[case::half_a_head("GET /consulta/0000", false)]
-#[case::half_a_body("PUT /pedido/1/2 HTTP/1.1\r\nContent-Length: 9\r\n\r\nabc", false)]
-#[case::asked_once("", true)]
+#[case::incomplete_head("GET /consulta/0000", false)]
+#[case::incomplete_body("PUT /pedido/1/2 HTTP/1.1\r\nContent-Length: 9\r\n\r\nabc", false)]
+#[case::answered_once("", true)]
 #[tokio::test]
-async fn useless_connections_do_not_keep_other_clients_out(#[case] text: &str, #[case] ask: bool) {
+async fn idle_or_incomplete_connections_do_not_keep_other_clients_out(
+    #[case] text: &str,
+    #[case] sends_request: bool,
+) {
     let OneNode { rig, .. } = one_node(&[Does::Serve]).await;
-    let mut kept = Vec::new();
+    let mut connections = Vec::new();
     for call in 0..CONNECTIONS as u32 {
         let mut stream = TcpStream::connect(rig.front).await.unwrap();
         stream.write_all(text.as_bytes()).await.unwrap();
-        if ask {
+        if sends_request {
             stream.write_all(request("consulta", call, 0, 900, "").as_bytes()).await.unwrap();
             assert_eq!(answer(&mut stream).await.0, 200);
         }
-        kept.push(stream);
+        connections.push(stream);
     }
-    let by = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + PATIENCE;
     let mut call = 100;
     loop {
         // Some new connections may be rejected while the existing ones are still recent.
         let mut stream = TcpStream::connect(rig.front).await.unwrap();
-        let asked = stream.write_all(request("consulta", call, 0, 900, "").as_bytes()).await;
-        let told = timeout(PATIENCE, read_message(&mut stream)).await;
-        if asked.is_ok()
-            && told.expect("an answer or an end").is_some_and(|(head, ..)| head.contains(" 200 "))
+        let written = stream.write_all(request("consulta", call, 0, 900, "").as_bytes()).await;
+        let message = timeout(PATIENCE, read_message(&mut stream)).await;
+        if written.is_ok()
+            && message.expect("an answer or an end").is_some_and(|(head, ..)| head.contains(" 200 "))
         {
             break;
         }
-        assert!(Instant::now() < by, "no connection is evicted");
+        assert!(Instant::now() < deadline, "no connection is evicted");
         call += 1;
         sleep(Duration::from_millis(20)).await;
     }
@@ -66,12 +69,12 @@
 #[tokio::test]
 async fn in_a_full_table_answered_connections_are_evicted() {
     let OneNode { rig, .. } = one_node(&[Does::Serve]).await;
-    let mut kept = Vec::new();
+    let mut connections = Vec::new();
     for call in 0..2 * CONNECTIONS as u32 {
         let mut stream = TcpStream::connect(rig.front).await.unwrap();
         stream.write_all(request("consulta", call, 0, 900, "").as_bytes()).await.unwrap();
         assert_eq!(answer(&mut stream).await.0, 200, "client {call}");
-        kept.push(stream);
+        connections.push(stream);
         // Slow enough for a connection to be evicted each time; all requests are sent before a connection
         // counts as idle for too long.
         sleep(Duration::from_millis(5)).await;
@@ -79,8 +82,8 @@
     // They hold at most a third of the descriptors, which is two thirds of the places: if they held more, no
     // new client could connect.
     let mut open = 0;
-    for stream in &mut kept {
+    for stream in &mut connections {
         open += usize::from(timeout(Duration::from_millis(1), stream.readable()).await.is_err());
     }
-    assert!(open <= CONNECTIONS * 2 / 3, "{open} kept");
+    assert!(open <= CONNECTIONS * 2 / 3, "{open} open");
 }
--- a/crates/scheduler/tests/net/connection_close.rs
+++ b/crates/scheduler/tests/net/connection_close.rs
@@ -15,7 +15,7 @@
 use crate::support::{one_node, OneNode};
 
 /// Starts a front with a connection table of `places`. Sending true on the channel shuts it down.
-async fn front(rig: &Rig, places: usize) -> (SocketAddr, ConnectionTable, watch::Sender<bool>) {
+async fn start_front(rig: &Rig, places: usize) -> (SocketAddr, ConnectionTable, watch::Sender<bool>) {
     let (listener, address) = listen().await;
     let (stop, stopping) = watch::channel(false);
     let table = ConnectionTable::new(places);
@@ -25,7 +25,7 @@
 
 /// How a client disconnects.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Leaves {
+enum Disconnect {
     Close,
     HalfClose,
     Reset,
@@ -39,23 +39,23 @@
 #[case::many(200)]
 #[tokio::test]
 async fn a_client_disconnect_is_detected_behind_unread_bytes(
-    #[case] behind: u32,
-    #[values(Leaves::Close, Leaves::HalfClose, Leaves::Reset)] leaves: Leaves,
+    #[case] pipelined: u32,
+    #[values(Disconnect::Close, Disconnect::HalfClose, Disconnect::Reset)] disconnect: Disconnect,
 ) {
     let OneNode { rig, log, .. } = one_node(&[Does::Silent]).await;
     let mut stream = TcpStream::connect(rig.front).await.unwrap();
-    let text: String = (0..=behind).map(|call| request("consulta", call, 0, 1000, "")).collect();
+    let text: String = (0..=pipelined).map(|call| request("consulta", call, 0, 1000, "")).collect();
     stream.write_all(text.as_bytes()).await.unwrap();
-    rig.until(|c| c.attempts_sent == 1).await;
-    match leaves {
-        Leaves::Close => drop(stream),
-        Leaves::HalfClose => stream.shutdown().await.unwrap(),
-        Leaves::Reset => {
+    rig.until(|counters| counters.attempts_sent == 1).await;
+    match disconnect {
+        Disconnect::Close => drop(stream),
+        Disconnect::HalfClose => stream.shutdown().await.unwrap(),
+        Disconnect::Reset => {
             stream.set_zero_linger().unwrap();
             drop(stream);
         }
     }
-    let counters = rig.until(|c| c.client_disconnects == 1).await;
+    let counters = rig.until(|counters| counters.client_disconnects == 1).await;
     // Another client's request comes after all that was read of the one that left.
     assert!(matches!(rig.ask(&request("consulta", 1000, 0, 100, "")).await.0, 503 | 504));
     assert_eq!((counters.total_answers(), log.all().len()), (AnswerCounts::default(), 2), "{counters}");
@@ -68,13 +68,13 @@
     let OneNode { rig, log, .. } = one_node(&[Does::LateError, Does::Serve]).await;
     let mut stream = TcpStream::connect(rig.front).await.unwrap();
     stream.write_all(request("consulta", 1, 0, 1000, "").as_bytes()).await.unwrap();
-    rig.until(|c| c.attempts_sent == 1).await;
+    rig.until(|counters| counters.attempts_sent == 1).await;
     let flood = request("consulta", 2, 0, 1000, "").repeat(4_000);
     let (mut read, mut write) = stream.into_split();
     let writing = tokio::spawn(async move { write.write_all(flood.as_bytes()).await.map(|()| write) });
-    let mut came = Vec::new();
-    timeout(PATIENCE, read.read_to_end(&mut came)).await.expect("an end").unwrap();
-    let text = String::from_utf8(came).unwrap();
+    let mut received = Vec::new();
+    timeout(PATIENCE, read.read_to_end(&mut received)).await.expect("an end").unwrap();
+    let text = String::from_utf8(received).unwrap();
     assert!(text.contains("connection: close"), "{text}");
     assert_eq!(text.matches("HTTP/1.1").count(), 1, "{text}");
     drop(writing.await);
@@ -86,23 +86,23 @@
 /// and forwarded.
 #[rstest]
 #[case::nothing("")]
-#[case::half_a_head("GET /consulta/0000")]
+#[case::incomplete_head("GET /consulta/0000")]
 #[case::a_request(&request("consulta", 2, 0, 900, ""))]
 #[case::a_large_write(&request("pedido", 2, 0, 900, &"x".repeat(60_000)))]
 #[tokio::test]
-async fn a_request_that_crosses_an_eviction_is_not_read_and_not_reset(#[case] crosses: &str) {
+async fn a_request_that_crosses_an_eviction_is_not_read_and_not_reset(#[case] unread: &str) {
     let OneNode { rig, log, .. } = one_node(&[Does::Serve]).await;
-    let (address, table, _stop) = front(&rig, 2).await;
+    let (address, table, _stop) = start_front(&rig, 2).await;
     let mut stream = TcpStream::connect(address).await.unwrap();
     stream.write_all(request("consulta", 1, 0, 900, "").as_bytes()).await.unwrap();
     assert_eq!(answer(&mut stream).await.0, 200);
     // No other task runs between here and the new connection.
-    stream.try_write(crosses.as_bytes()).unwrap();
+    stream.try_write(unread.as_bytes()).unwrap();
     let newcomer = table.enter(Instant::now() + Duration::from_secs(5));
     assert!(newcomer.is_some(), "the idle connection is evicted");
-    let mut came = Vec::new();
-    let ended = timeout(PATIENCE, stream.read_to_end(&mut came)).await.expect("an end");
-    assert!(ended.is_ok() && came.is_empty(), "closed, not reset: {ended:?} {came:?}");
+    let mut received = Vec::new();
+    let ended = timeout(PATIENCE, stream.read_to_end(&mut received)).await.expect("an end");
+    assert!(ended.is_ok() && received.is_empty(), "closed, not reset: {ended:?} {received:?}");
     assert_eq!(log.all().len(), 1);
 }
 
@@ -111,13 +111,13 @@
 #[tokio::test]
 async fn a_request_being_received_at_shutdown_is_answered() {
     let OneNode { rig, .. } = one_node(&[Does::Serve]).await;
-    let (address, _table, stop) = front(&rig, 8).await;
+    let (address, _table, stop) = start_front(&rig, 8).await;
     let mut stream = TcpStream::connect(address).await.unwrap();
     let text = request("consulta", 1, 0, 900, "");
-    let (half, rest) = text.split_at(40);
+    let (first_part, rest) = text.split_at(40);
     stream.write_all(request("consulta", 2, 0, 900, "").as_bytes()).await.unwrap();
     assert_eq!(answer(&mut stream).await.0, 200);
-    stream.write_all(half.as_bytes()).await.unwrap();
+    stream.write_all(first_part.as_bytes()).await.unwrap();
     // An answer on another connection shows that the first part was read.
     assert_eq!(rig.ask(&request("consulta", 3, 0, 900, "")).await.0, 200);
     stop.send_replace(true);
--- a/crates/scheduler/tests/net/descriptor_exhaustion.rs
+++ b/crates/scheduler/tests/net/descriptor_exhaustion.rs
@@ -15,9 +15,9 @@
 /// The limit on descriptors of the process, which the system enforces.
 const DESCRIPTORS: usize = 64;
 /// The number of clients that connect and send nothing: twice as many as there are descriptors.
-const IDLE: usize = 2 * DESCRIPTORS;
+const IDLE_CLIENTS: usize = 2 * DESCRIPTORS;
 /// A change counts as told 6 s after discovery can be reached again; the bound allows for a loaded machine.
-const TOLD_BY: Duration = Duration::from_secs(6);
+const NOTIFIED_WITHIN: Duration = Duration::from_secs(6);
 
 /// Listens at the reserved address, which no other process has taken.
 fn listen_again(reserved: &TcpSocket) -> TcpListener {
@@ -28,7 +28,7 @@
 }
 
 /// Connects, sends nothing, and connects again as soon as its connection is closed.
-async fn insist(front: SocketAddr) {
+async fn reconnect_forever(front: SocketAddr) {
     loop {
         let Ok(mut client) = TcpStream::connect(front).await else { return };
         // A reset ends the read as well.
@@ -37,27 +37,27 @@
 }
 
 /// Waits until the clients hold half of the descriptors, which is the share that the process leaves them.
-async fn filled(child: &Child) {
+async fn wait_until_filled(child: &Child) {
     let folder = format!("/proc/{}/fd", child.id());
-    let by = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + PATIENCE;
     while std::fs::read_dir(&folder).unwrap().count() < DESCRIPTORS / 2 {
-        assert!(Instant::now() < by, "the clients do not fill the descriptors");
+        assert!(Instant::now() < deadline, "the clients do not fill the descriptors");
         sleep(Duration::from_millis(5)).await;
     }
 }
 
 /// Sends a request on a new connection, and returns the status of its answer. If the connection is closed
 /// without an answer, the request is sent again on another one.
-async fn ask(front: SocketAddr, call: u32) -> u16 {
-    let by = Instant::now() + PATIENCE;
+async fn status_of_new_connection(front: SocketAddr, call: u32) -> u16 {
+    let deadline = Instant::now() + PATIENCE;
     loop {
         let mut client = TcpStream::connect(front).await.unwrap();
-        let asked = client.write_all(request("consulta", call, 0, 900, "").as_bytes()).await;
-        let told = timeout(PATIENCE, read_message(&mut client)).await.expect("an answer or an end");
-        if let (Ok(()), Some((head, ..))) = (asked, told) {
+        let written = client.write_all(request("consulta", call, 0, 900, "").as_bytes()).await;
+        let message = timeout(PATIENCE, read_message(&mut client)).await.expect("an answer or an end");
+        if let (Ok(()), Some((head, ..))) = (written, message) {
             return head[9..12].parse().unwrap();
         }
-        assert!(Instant::now() < by, "no connection is evicted");
+        assert!(Instant::now() < deadline, "no connection is evicted");
         sleep(Duration::from_millis(20)).await;
     }
 }
@@ -68,7 +68,7 @@
 async fn idle_clients_that_fill_the_descriptors_leave_one_for_discovery() {
     let log = Log::default();
     let node = http_node(0, &[Does::Serve], &log).await;
-    let (kept, discovery) = reserved();
+    let (reserved_socket, discovery) = reserved();
     let members = member("s0", node, 0, "in_service", 0).replace('\n', "");
     let text = config_text("127.0.0.1:0", &discovery.to_string(), &members)
         .replace(r#""sockets":256"#, &format!(r#""sockets":{DESCRIPTORS}"#));
@@ -78,27 +78,27 @@
     let child = command.stderr(Stdio::piped()).stdout(Stdio::null()).spawn().unwrap();
     let (mut child, _lines, front) = wait_until_listening(child);
     let mut idle = JoinSet::new();
-    for _ in 0..IDLE {
-        idle.spawn(insist(front));
+    for _ in 0..IDLE_CLIENTS {
+        idle.spawn(reconnect_forever(front));
     }
-    filled(&child).await;
+    wait_until_filled(&child).await;
     // An answer shows that the process has seen all clients that connected before.
-    assert_eq!(ask(front, 1).await, 200);
-    let back = listen_again(&kept);
+    assert_eq!(status_of_new_connection(front, 1).await, 200);
+    let listener = listen_again(&reserved_socket);
     let reached = Instant::now();
-    let (mut watch, _) = watched(&back).await;
+    let (mut watch, _) = watched(&listener).await;
     let drained = members.replace("in_service", "terminating");
     tell(&mut watch, &format!("{{\"revision\":9,\"complete\":false,\"members\":[{drained}]}}\n")).await;
-    assert!(reached.elapsed() < TOLD_BY, "called after {:?}", reached.elapsed());
+    assert!(reached.elapsed() < NOTIFIED_WITHIN, "called after {:?}", reached.elapsed());
     let mut call = 2;
-    while ask(front, call).await == 200 {
+    while status_of_new_connection(front, call).await == 200 {
         assert!(reached.elapsed() < PATIENCE, "the drain is not applied");
         call += 1;
     }
     // The clients that have connected meanwhile do not exhaust the descriptors either.
-    let before = log.all().len();
-    assert_eq!(ask(front, call + 1).await, 503);
-    assert_eq!(log.all().len(), before);
+    let forwarded = log.all().len();
+    assert_eq!(status_of_new_connection(front, call + 1).await, 503);
+    assert_eq!(log.all().len(), forwarded);
     idle.shutdown().await;
     child.kill().unwrap();
     child.wait().unwrap();
--- a/crates/scheduler/tests/net/disconnect_while_connecting.rs
+++ b/crates/scheduler/tests/net/disconnect_while_connecting.rs
@@ -17,33 +17,33 @@
 #[tokio::test]
 async fn connecting_to_a_node_ends_when_the_client_disconnects() {
     let node = full_node().await;
-    let by = Instant::now() + PATIENCE * 10;
-    let attempt = attempt(SendGate::default(), by);
+    let deadline = Instant::now() + PATIENCE * 10;
+    let attempt = attempt(SendGate::default(), deadline);
     let cancel = attempt.cancel.clone();
-    let dialling =
-        tokio::spawn(HttpLink::new(node.address).call(Job { attempt, idle: None, connect_by: by }));
+    let connecting =
+        tokio::spawn(HttpLink::new(node.address).call(Job { attempt, idle: None, connect_by: deadline }));
     tokio::task::yield_now().await;
-    assert!(!dialling.is_finished());
+    assert!(!connecting.is_finished());
     cancel.cancel();
-    let Ok(done) = timeout(PATIENCE, dialling).await.expect("at once").unwrap();
+    let Ok(done) = timeout(PATIENCE, connecting).await.expect("at once").unwrap();
     assert_eq!(done.end, AttemptEnd::NotSent);
     assert!(done.idle.is_none());
 }
 
 /// Accepts connections, reads a request on each and answers it; reports the head of each request.
-async fn serve(listener: TcpListener, came: mpsc::UnboundedSender<String>) {
+async fn serve(listener: TcpListener, heads: mpsc::UnboundedSender<String>) {
     loop {
         let (mut stream, _) = listener.accept().await.unwrap();
         let mut text = Vec::new();
         while !text.ends_with(b"\r\n\r\nw") && stream.read_buf(&mut text).await.is_ok_and(|n| n > 0) {}
         if !text.is_empty() {
-            came.send(String::from_utf8(text).unwrap().to_lowercase()).unwrap();
+            heads.send(String::from_utf8(text).unwrap().to_lowercase()).unwrap();
             stream.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nhello").await.unwrap();
         }
     }
 }
 
-const LEAVING: usize = 12;
+const DISCONNECTING: usize = 12;
 const STAYING: usize = 6;
 
 /// Connections that are established late, one at each node, while most clients disconnect: none of the
@@ -52,7 +52,7 @@
 #[tokio::test]
 async fn requests_of_clients_that_disconnected_during_connecting_are_not_sent() {
     let mut nodes = Vec::new();
-    for _ in 0..LEAVING + STAYING {
+    for _ in 0..DISCONNECTING + STAYING {
         nodes.push(full_node().await);
     }
     let entry =
@@ -62,38 +62,38 @@
         .replace(r#""connectTimeoutMs":1000.0"#, r#""connectTimeoutMs":60000.0"#)
         .replace(r#""aimMs":250,"deadlineMs":700"#, r#""aimMs":120000,"deadlineMs":120000"#);
     let rig = rig_of(&text, None).await;
-    let mut leaving = Vec::new();
-    for call in 0..LEAVING + STAYING {
+    let mut clients = Vec::new();
+    for call in 0..DISCONNECTING + STAYING {
         let mut stream = TcpStream::connect(rig.front).await.unwrap();
-        let asked = request("pedido", call as u32, call as i32, 120_000, "w");
-        stream.write_all(asked.as_bytes()).await.unwrap();
-        rig.until(|c| c.attempts_sent == call as u64 + 1).await;
-        leaving.push(stream);
+        let request_text = request("pedido", call as u32, call as i32, 120_000, "w");
+        stream.write_all(request_text.as_bytes()).await.unwrap();
+        rig.until(|counters| counters.attempts_sent == call as u64 + 1).await;
+        clients.push(stream);
     }
-    let staying = leaving.split_off(LEAVING);
-    drop(leaving);
-    rig.until(|c| c.client_disconnects == LEAVING as u64).await;
-    let (came, mut heads) = mpsc::unbounded_channel();
+    let staying = clients.split_off(DISCONNECTING);
+    drop(clients);
+    rig.until(|counters| counters.client_disconnects == DISCONNECTING as u64).await;
+    let (sender, mut heads) = mpsc::unbounded_channel();
     let mut serving = JoinSet::new();
     for node in nodes {
-        serving.spawn(serve(node.take_connections(), came.clone()));
+        serving.spawn(serve(node.take_connections(), sender.clone()));
     }
     for mut stream in staying {
         assert_eq!(answer(&mut stream).await.0, 200);
     }
     serving.shutdown().await;
-    drop(came);
+    drop(sender);
     let mut sent = Vec::new();
     while let Some(head) = heads.recv().await {
         sent.push(usize::from_str_radix(header(&head, "x-call-id").unwrap(), 16).unwrap());
     }
-    let of_leavers = sent.iter().filter(|call| **call < LEAVING).count();
-    assert_eq!((of_leavers, sent.len()), (0, STAYING), "{sent:?}");
+    let of_disconnected = sent.iter().filter(|call| **call < DISCONNECTING).count();
+    assert_eq!((of_disconnected, sent.len()), (0, STAYING), "{sent:?}");
     rig.until_at_rest().await;
     let counters = rig.counters().await;
     assert_eq!(
         (counters.attempts_written, counters.client_disconnects),
-        (STAYING as u64, LEAVING as u64),
+        (STAYING as u64, DISCONNECTING as u64),
         "{counters}"
     );
 }
--- a/crates/scheduler/tests/net/support.rs
+++ b/crates/scheduler/tests/net/support.rs
@@ -57,11 +57,11 @@
 pub fn replace_by_pipe(path: &Path) -> oneshot::Receiver<File> {
     std::fs::remove_file(path).unwrap();
     assert!(Command::new("mkfifo").arg(path).status().unwrap().success());
-    let (opened, reader_is_there) = oneshot::channel();
+    let (sender, write_end) = oneshot::channel();
     let path = path.to_owned();
     // The pipe may never be opened for reading, so nothing waits for this thread.
-    std::thread::spawn(move || opened.send(File::options().write(true).open(path).unwrap()));
-    reader_is_there
+    std::thread::spawn(move || sender.send(File::options().write(true).open(path).unwrap()));
+    write_end
 }
 
 /// Starts the program with a configuration and further arguments.
@@ -79,10 +79,10 @@
 }
 
 /// Reads the next line, and returns the address that follows `prefix` in it.
-pub fn address_in_next_line(lines: &mut impl BufRead, what: &str) -> SocketAddr {
+pub fn address_in_next_line(lines: &mut impl BufRead, prefix: &str) -> SocketAddr {
     let mut line = String::new();
     lines.read_line(&mut line).unwrap();
-    line.trim().split_once(what).expect(&line).1.parse().unwrap()
+    line.trim().split_once(prefix).expect(&line).1.parse().unwrap()
 }
 
 /// Sends a signal, named as an option of kill, such as `-TERM`.
