--- a/crates/scheduler/tests/net/discovery_watch.rs
+++ b/crates/scheduler/tests/net/discovery_watch.rs
@@ -18,11 +18,11 @@
 use crate::support::{one_node, OneNode, HEALTH_CHECK};
 
 #[tokio::test]
-async fn it_is_ready_once_it_has_an_endpoint_list() {
+async fn the_scheduler_is_ready_once_it_has_an_endpoint_list() {
     let rig = rig(&[], None).await;
-    let ask = HEALTH_CHECK;
-    rig.until(|c| c.endpoint_updates == 1).await;
-    assert_eq!(rig.ask(ask).await.0, 503);
+    let health_check = HEALTH_CHECK;
+    rig.until(|counters| counters.endpoint_updates == 1).await;
+    assert_eq!(rig.ask(health_check).await.0, 503);
     let (_, address) = listen().await;
     let entry = member("s0", address, 0, "in_service", 0);
     let list = format!(r#"{{"revision":8,"complete":true,"members":[{entry}]}}"#);
@@ -31,15 +31,22 @@
         .send(CoreMessage::EndpointUpdate(discovery::parse_update(&list).unwrap()))
         .await
         .unwrap();
-    assert_eq!(rig.ask(ask).await.0, 200);
+    assert_eq!(rig.ask(health_check).await.0, 200);
 }
 
 /// Has the scheduler follow discovery at `address`, as one of 300 hosts, until the returned sender is
 /// dropped.
-fn follow(rig: &Rig, address: SocketAddr, lists: EndpointListMode) -> watch::Sender<DiscoveryAddress> {
+fn follow(rig: &Rig, address: SocketAddr, mode: EndpointListMode) -> watch::Sender<DiscoveryAddress> {
     let (keep, addresses) = watch::channel(DiscoveryAddress::from_now(address));
-    let pace = ReconnectPolicy::new(lists, FleetPosition { scheduler_index: 1, schedulers: 300 }, 1);
-    tokio::spawn(discovery::watch_endpoints(addresses, 7, lists, rig.core.discovery_sender(), pace));
+    let reconnect_policy =
+        ReconnectPolicy::new(mode, FleetPosition { scheduler_index: 1, schedulers: 300 }, 1);
+    tokio::spawn(discovery::watch_endpoints(
+        addresses,
+        7,
+        mode,
+        rig.core.discovery_sender(),
+        reconnect_policy,
+    ));
     keep
 }
 
@@ -55,8 +62,8 @@
     let (mut watch, head) = watched(&listener).await;
     assert!(head.starts_with("get /v1/servers?watch=1&after=7 "), "{head}");
     tell(&mut watch, &format!("{{\"revision\":8,\"members\":3}}\n{line}")).await;
-    assert_eq!(rig.until(|c| c.endpoint_updates == 2).await.endpoint_updates, 2);
-    let (_again, head) = watched(&listener).await;
+    assert_eq!(rig.until(|counters| counters.endpoint_updates == 2).await.endpoint_updates, 2);
+    let (_reopened_watch, head) = watched(&listener).await;
     assert!(head.starts_with("get /v1/servers?watch=1&after=9 "), "{head}");
 }
 
@@ -92,58 +99,61 @@
 /// fleet that stops while discovery is down. A call that waits for its turn at a shared service confirms
 /// nothing.
 #[rstest]
-#[case::the_agent_is_silent(EndpointListMode::Streamed, true, false)]
-#[case::nobody_takes_a_call(EndpointListMode::Streamed, false, true)]
-#[case::calls_wait_in_turn(EndpointListMode::Polled { max_interval: 10_000_000 }, true, true)]
+#[case::agent_without_changes(EndpointListMode::Streamed, true, false)]
+#[case::no_agent_accepts_calls(EndpointListMode::Streamed, false, true)]
+#[case::calls_wait_for_their_turn(EndpointListMode::Polled { max_interval: 10_000_000 }, true, true)]
 #[tokio::test]
 async fn nothing_is_sent_on_an_expired_endpoint_lease(
-    #[case] lists: EndpointListMode,
-    #[case] taken: bool,
-    #[case] stops: bool,
+    #[case] mode: EndpointListMode,
+    #[case] accepts_calls: bool,
+    #[case] expires: bool,
 ) {
     let log = Log::default();
     let node = http_node(0, &[Does::Serve], &log).await;
     let entry = member("s0", node, 0, "in_service", 0);
-    let ruled = config_text("127.0.0.1:1", "127.0.0.1:1", &entry).replacen(
+    let config = config_text("127.0.0.1:1", "127.0.0.1:1", &entry).replacen(
         r#""safety":{"#,
         r#""safety":{"stopSendingWithinMs":250,"#,
         1,
     );
-    let rig = rig_of(&ruled, None).await;
+    let rig = rig_of(&config, None).await;
     let mut call = 0;
-    let mut asked = async |status: u16| {
+    let mut expect_status = async |status: u16| {
         call += 1;
-        let (said, ..) = rig.ask(&request("consulta", call, 0, 900, "")).await;
-        let (healthy, _, why) = rig.ask(HEALTH_CHECK).await;
-        assert_eq!((said, healthy), (status, if status == 200 { 200 } else { 503 }));
+        let (answered, ..) = rig.ask(&request("consulta", call, 0, 900, "")).await;
+        let (healthy, _, reason) = rig.ask(HEALTH_CHECK).await;
+        assert_eq!((answered, healthy), (status, if status == 200 { 200 } else { 503 }));
         assert_eq!(
-            why.starts_with(b"nothing heard from discovery for "),
+            reason.starts_with(b"nothing heard from discovery for "),
             status == 503,
             "the health answer gives the reason"
         );
     };
-    asked(503).await;
+    expect_status(503).await;
     let (listener, address) = listen().await;
-    let _keep = follow(&rig, address, lists);
+    let _keep = follow(&rig, address, mode);
     let (mut watch, _) = watched(&listener).await;
     tell(&mut watch, "\n").await;
-    let heard = Instant::now();
+    let last_line_at = Instant::now();
     // The system accepts connections that the listener does not, and nothing answers on them.
-    let listener = Some(listener).filter(|_| taken);
+    let listener = Some(listener).filter(|_| accepts_calls);
     rig.until_ready(true).await;
-    asked(200).await;
+    expect_status(200).await;
     tell(&mut watch, "{\"revision\":8}\n").await;
-    if stops {
+    if expires {
         rig.until_ready(false).await;
-        assert!(heard.elapsed() >= Duration::from_secs(6), "a malformed line does not renew the lease");
-        asked(503).await;
+        assert!(
+            last_line_at.elapsed() >= Duration::from_secs(6),
+            "a malformed line does not renew the lease"
+        );
+        expect_status(503).await;
         assert_eq!(log.all().len(), 1, "nothing was sent");
     } else {
         sleep(Duration::from_secs(10)).await;
     }
     tell(&mut watch, "\n").await;
     rig.until_ready(true).await;
-    asked(200).await;
+    expect_status(200).await;
     drop(listener);
 }
 
@@ -168,7 +178,7 @@
             let length = list.len();
             let answer = format!("HTTP/1.1 200 OK\r\ncontent-length: {length}\r\n\r\n{list}");
             stream.write_all(answer.as_bytes()).await.unwrap();
-            rig.until(|c| c.endpoint_updates == 2).await;
+            rig.until(|counters| counters.endpoint_updates == 2).await;
         }
         silent.push(stream);
     }
@@ -190,7 +200,7 @@
     sleep(Duration::from_millis(3500)).await;
     let drain = member("s0", node, 0, "terminating", 0).replace('\n', "");
     tell(&mut watch, &format!("{{\"revision\":9,\"complete\":false,\"members\":[{drain}]}}\n")).await;
-    rig.until(|c| c.endpoint_updates == 2).await;
+    rig.until(|counters| counters.endpoint_updates == 2).await;
     assert_eq!(rig.ask(&request("consulta", 1, 0, 900, "")).await.0, 503);
 }
 
@@ -203,7 +213,7 @@
     for seed in [1, 2] {
         let (listener, address) = listen().await;
         let (_keep, addresses) = watch::channel(DiscoveryAddress::from_now(address));
-        let pace = ReconnectPolicy::new(
+        let reconnect_policy = ReconnectPolicy::new(
             EndpointListMode::Streamed,
             FleetPosition { scheduler_index: 0, schedulers: 1 },
             seed,
@@ -213,24 +223,24 @@
             7,
             EndpointListMode::Streamed,
             rig.core.discovery_sender(),
-            pace,
+            reconnect_policy,
         ));
-        let mut seen = Vec::new();
-        while seen.len() < 5 {
+        let mut opened_at = Vec::new();
+        while opened_at.len() < 5 {
             // Closes the connection at once.
             drop(timeout(PATIENCE, listener.accept()).await.expect("a watch").unwrap());
-            seen.push(Instant::now());
+            opened_at.push(Instant::now());
         }
         following.abort();
-        gaps.push(seen.windows(2).map(|pair| pair[1] - pair[0]).collect::<Vec<_>>());
+        gaps.push(opened_at.windows(2).map(|pair| pair[1] - pair[0]).collect::<Vec<_>>());
     }
     // At least a tenth of 60, 120, 240 and 480 ms, and hardly more than these; the two seeds differ by
     // milliseconds.
     for (gap, least) in gaps.iter().flat_map(|gaps| gaps.iter().zip([6, 12, 24, 48])) {
         assert!(*gap >= Duration::from_millis(least), "{gaps:?}");
     }
-    let apart = gaps[0].iter().zip(&gaps[1]).map(|(a, b)| a.abs_diff(*b)).max();
-    assert!(apart > Some(Duration::from_millis(3)), "{gaps:?}");
+    let largest_difference = gaps[0].iter().zip(&gaps[1]).map(|(a, b)| a.abs_diff(*b)).max();
+    assert!(largest_difference > Some(Duration::from_millis(3)), "{gaps:?}");
 }
 
 /// A watch fails: none of what it delivered is applied, the list before it stays in force, and the watch is
@@ -241,27 +251,27 @@
 #[case::no_line("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n", 5 << 20)]
 #[tokio::test]
 async fn a_rejected_truncated_or_oversized_list_keeps_the_last_valid_one(
-    #[case] begins: &str,
-    #[case] noise: usize,
+    #[case] first_bytes: &str,
+    #[case] noise_bytes: usize,
 ) {
     let OneNode { rig, node, .. } = one_node(&[Does::Serve]).await;
     let (listener, address) = listen().await;
     let _keep = follow(&rig, address, EndpointListMode::Streamed);
     let (mut watch, _) = timeout(PATIENCE, listener.accept()).await.expect("a watch").unwrap();
-    watch.write_all(begins.as_bytes()).await.unwrap();
-    for _ in 0..noise >> 16 {
+    watch.write_all(first_bytes.as_bytes()).await.unwrap();
+    for _ in 0..noise_bytes >> 16 {
         // The connection may be closed before the last of it is written.
         let _ = watch.write_all(format!("10000\r\n{}\r\n", "x".repeat(1 << 16)).as_bytes()).await;
     }
-    if noise == 0 {
+    if noise_bytes == 0 {
         drop(watch);
     }
-    let (mut again, head) = watched(&listener).await;
+    let (mut reopened_watch, head) = watched(&listener).await;
     assert!(head.starts_with("get /v1/servers?watch=1&after=7 "), "{head}");
     assert_eq!(rig.ask(&request("consulta", 1, 0, 900, "")).await.0, 200);
     let gone = member("s0", node, 0, "terminated", 0).replace('\n', "");
-    tell(&mut again, &format!("{{\"revision\":9,\"complete\":false,\"members\":[{gone}]}}\n")).await;
-    rig.until(|c| c.endpoint_updates == 2).await;
+    tell(&mut reopened_watch, &format!("{{\"revision\":9,\"complete\":false,\"members\":[{gone}]}}\n")).await;
+    rig.until(|counters| counters.endpoint_updates == 2).await;
     assert_eq!(rig.ask(&request("consulta", 2, 0, 900, "")).await.0, 503);
 }
 
@@ -271,11 +281,11 @@
 #[tokio::test]
 async fn a_late_update_that_replaces_most_nodes_moves_every_shard() {
     let (old, new) = (Log::default(), Log::default());
-    let (mut listed, mut kept) = (Vec::new(), Vec::new());
+    let (mut listed, mut reserved_sockets) = (Vec::new(), Vec::new());
     for shard in 0..10 {
         // Six of the old nodes are gone: nothing listens at their addresses.
         let (socket, gone) = nobody();
-        kept.push(socket);
+        reserved_sockets.push(socket);
         let address = if shard < 6 { gone } else { http_node(shard, &[Does::Serve], &old).await };
         listed.push(member(&format!("old{shard}"), address, shard, "in_service", 0));
     }
@@ -295,7 +305,7 @@
     }
     let changes = changes.join(",").replace('\n', "");
     tell(&mut watch, &format!("{{\"revision\":9,\"complete\":false,\"members\":[{changes}]}}\n")).await;
-    rig.until(|c| c.endpoint_updates == 2).await;
+    rig.until(|counters| counters.endpoint_updates == 2).await;
     for shard in 0..10 {
         let status = rig.ask(&request("consulta", 101 + shard, shard as i32, 900, "")).await.0;
         assert_eq!(status, 200, "shard {shard} by the new list");
--- a/crates/scheduler/tests/net/drain_during_reload.rs
+++ b/crates/scheduler/tests/net/drain_during_reload.rs
@@ -15,15 +15,15 @@
 
 /// The agent that reports the drain, and when.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Tells {
+enum DrainReport {
     /// The agent before the reload, together with the signal.
     OldAgent,
     /// The agent before the reload, after the new one has been called.
-    OldAgentLater,
+    OldAgentAfterCall,
     /// The new agent, in its first line.
     NewAgent,
     /// The new agent, whose first message is a complete list on several lines.
-    NewAgentWhole,
+    NewAgentCompleteList,
 }
 
 /// The time within which a change must be applied after it was told.
@@ -33,13 +33,19 @@
 #[rstest]
 #[tokio::test]
 async fn a_drain_that_arrives_during_a_reload_is_applied(
-    #[values(Tells::OldAgent, Tells::OldAgentLater, Tells::NewAgent, Tells::NewAgentWhole)] tells: Tells,
+    #[values(
+        DrainReport::OldAgent,
+        DrainReport::OldAgentAfterCall,
+        DrainReport::NewAgent,
+        DrainReport::NewAgentCompleteList
+    )]
+    drain_report: DrainReport,
 ) {
     let log = Log::default();
     let node = http_node(0, &[Does::Serve], &log).await;
     let members = member("s0", node, 0, "in_service", 0).replace('\n', "");
     let ((old, first), (new, second)) = (listen().await, listen().await);
-    let name = format!("crossed{tells:?}");
+    let name = format!("crossed{drain_report:?}");
     let path = write_config(&name, &config_text("127.0.0.1:0", &first.to_string(), &members));
     let (mut child, _lines, address) = wait_until_listening(start_program(&path, &[]));
     let (mut old, _) = watched(&old).await;
@@ -47,34 +53,35 @@
     assert_eq!(status_of_read(address, 1, 0).await, 200);
     let drained = members.replace("in_service", "terminating");
     let change = format!("{{\"revision\":9,\"complete\":false,\"members\":[{drained}]}}\n");
-    let whole = format!("{{\n \"revision\": 9,\n \"complete\": true,\n \"members\": [\n{drained}\n]}}\n");
+    let complete_list =
+        format!("{{\n \"revision\": 9,\n \"complete\": true,\n \"members\": [\n{drained}\n]}}\n");
     send_signal(&child, "-STOP");
     write_config(&name, &config_text("127.0.0.1:0", &second.to_string(), &members));
-    if tells == Tells::OldAgent {
+    if drain_report == DrainReport::OldAgent {
         tell(&mut old, &change).await;
     }
     send_signal(&child, "-HUP");
     send_signal(&child, "-CONT");
     let (mut new, head) = watched(&new).await;
-    match tells {
-        Tells::OldAgent => {}
-        Tells::OldAgentLater => tell(&mut old, &change).await,
-        Tells::NewAgent => tell(&mut new, &change).await,
-        Tells::NewAgentWhole => tell(&mut new, &whole).await,
+    match drain_report {
+        DrainReport::OldAgent => {}
+        DrainReport::OldAgentAfterCall => tell(&mut old, &change).await,
+        DrainReport::NewAgent => tell(&mut new, &change).await,
+        DrainReport::NewAgentCompleteList => tell(&mut new, &complete_list).await,
     }
-    let by = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + PATIENCE;
     let mut call = 2;
     while status_of_read(address, call, 0).await == 200 {
-        assert!(Instant::now() < by, "the drain is not applied: {head}");
+        assert!(Instant::now() < deadline, "the drain is not applied: {head}");
         call += 1;
     }
     // An older revision of the other agent does not undo it.
     let stale = format!("{{\"revision\":8,\"complete\":true,\"members\":[{members}]}}\n");
-    tell(if tells == Tells::OldAgent { &mut new } else { &mut old }, &stale).await;
+    tell(if drain_report == DrainReport::OldAgent { &mut new } else { &mut old }, &stale).await;
     sleep(GRACE).await;
-    let before = log.all().len();
+    let forwarded = log.all().len();
     assert_eq!(status_of_read(address, call + 1, 0).await, 503);
-    assert_eq!(log.all().len(), before, "sent to a node that drains");
+    assert_eq!(log.all().len(), forwarded, "sent to a node that drains");
     child.kill().unwrap();
     child.wait().unwrap();
 }
@@ -119,7 +126,10 @@
     let last = log.all().last().unwrap().at;
     child.kill().unwrap();
     child.wait().unwrap();
-    let used = last.saturating_duration_since(signalled);
-    assert!(used < LEASE_AFTER_SIGHUP + GRACE, "the old list was used for {used:?} after SIGHUP");
-    assert!(used > LEASE_AFTER_SIGHUP / 2, "the lease ended before its time: {used:?}");
+    let list_used_for = last.saturating_duration_since(signalled);
+    assert!(
+        list_used_for < LEASE_AFTER_SIGHUP + GRACE,
+        "the old list was used for {list_used_for:?} after SIGHUP"
+    );
+    assert!(list_used_for > LEASE_AFTER_SIGHUP / 2, "the lease ended before its time: {list_used_for:?}");
 }
--- a/crates/scheduler/tests/net/endpoint_lease.rs
+++ b/crates/scheduler/tests/net/endpoint_lease.rs
@@ -18,7 +18,7 @@
 
 /// How a discovery call that delivers no list ends.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Call {
+enum CallEnd {
     /// Rejected by the agent.
     Refused,
     /// Disconnected before its answer.
@@ -29,26 +29,26 @@
 }
 
 /// A change that discovery gets just after its last message counts as told after this time.
-const TOLD_BY: Duration = Duration::from_secs(6);
+const NOTIFIED_WITHIN: Duration = Duration::from_secs(6);
 /// The allowed delay on a loaded machine; the settings allow a host that has not called at all 10 s.
-const LATE: Duration = Duration::from_secs(2);
+const MAX_DELAY: Duration = Duration::from_secs(2);
 
 const PUSHED: &str = r#""discovery":"pushed","resolutionMs""#;
-const ASKED: EndpointListMode = EndpointListMode::Polled { max_interval: 10_000_000 };
+const POLLED: EndpointListMode = EndpointListMode::Polled { max_interval: 10_000_000 };
 
 /// Ends all calls in that way, and keeps the connections that are never answered.
-async fn end_calls(listener: TcpListener, call: Call) {
-    let mut kept = Vec::new();
+async fn end_calls(listener: TcpListener, call_end: CallEnd) {
+    let mut unanswered = Vec::new();
     loop {
         let (mut stream, _) = listener.accept().await.unwrap();
-        match call {
-            Call::Refused => {
+        match call_end {
+            CallEnd::Refused => {
                 let _ = read_message(&mut stream).await;
                 let answer = "HTTP/1.1 503 Service Unavailable\r\ncontent-length: 0\r\n\r\n";
                 let _ = stream.write_all(answer.as_bytes()).await;
             }
-            Call::Failed => drop(read_message(&mut stream).await),
-            Call::GivenUp => kept.push(stream),
+            CallEnd::Failed => drop(read_message(&mut stream).await),
+            CallEnd::GivenUp => unanswered.push(stream),
         }
     }
 }
@@ -56,29 +56,32 @@
 /// A change follows the last message, and this host does not receive it, as its calls fail although discovery
 /// can be reached. Guards against a longer use of the list because of these calls.
 #[rstest]
-#[case::refused(Call::Refused)]
-#[case::failed(Call::Failed)]
+#[case::refused(CallEnd::Refused)]
+#[case::failed(CallEnd::Failed)]
 #[tokio::test]
-async fn a_failed_discovery_call_does_not_extend_the_endpoint_lease(#[case] call: Call) {
-    let gone_by = gone_by_for(EndpointListMode::Streamed, call).await;
-    assert!(gone_by < TOLD_BY + LATE, "used the list for {gone_by:?}");
+async fn a_failed_discovery_call_does_not_extend_the_endpoint_lease(#[case] call_end: CallEnd) {
+    let used_for = list_used_for(EndpointListMode::Streamed, call_end).await;
+    assert!(used_for < NOTIFIED_WITHIN + MAX_DELAY, "used the list for {used_for:?}");
 }
 
 /// Guards against use of a polled list for as long as the settings allow a host that has not called, if its
 /// calls fail.
 #[tokio::test]
 async fn a_failed_discovery_call_does_not_extend_the_lease_of_a_polled_list() {
-    let gone_by = tokio::join!(
-        gone_by_for(ASKED, Call::Refused),
-        gone_by_for(ASKED, Call::Failed),
-        gone_by_for(ASKED, Call::GivenUp)
+    let used_for = tokio::join!(
+        list_used_for(POLLED, CallEnd::Refused),
+        list_used_for(POLLED, CallEnd::Failed),
+        list_used_for(POLLED, CallEnd::GivenUp)
+    );
+    let used_for = [used_for.0, used_for.1, used_for.2];
+    assert!(
+        used_for.iter().all(|span| *span < NOTIFIED_WITHIN + MAX_DELAY),
+        "used the list for {used_for:?}"
     );
-    let gone_by = [gone_by.0, gone_by.1, gone_by.2];
-    assert!(gone_by.iter().all(|span| *span < TOLD_BY + LATE), "used the list for {gone_by:?}");
 }
 
 /// Returns how long after the last message the list was used.
-async fn gone_by_for(lists: EndpointListMode, call: Call) -> Duration {
+async fn list_used_for(mode: EndpointListMode, call_end: CallEnd) -> Duration {
     let log = Log::default();
     let node = http_node(0, &[Does::Serve], &log).await;
     let member = member("s0", node, 0, "in_service", 0);
@@ -87,24 +90,30 @@
         r#""safety":{"stopSendingWithinMs":250,"mustAskInMs":10000.0,"#,
         1,
     );
-    let text = match lists {
+    let text = match mode {
         EndpointListMode::Streamed => text,
         EndpointListMode::Polled { .. } => text.replace(PUSHED, &PUSHED.replace("pushed", "on_request")),
     };
     let rig = rig_of(&text, None).await;
     let (listener, address) = listen().await;
     let (_keep, addresses) = watch::channel(DiscoveryAddress::from_now(address));
-    let pace = ReconnectPolicy::new(lists, FleetPosition { scheduler_index: 0, schedulers: 1 }, 1);
-    tokio::spawn(discovery::watch_endpoints(addresses, 7, lists, rig.core.discovery_sender(), pace));
+    let reconnect_policy = ReconnectPolicy::new(mode, FleetPosition { scheduler_index: 0, schedulers: 1 }, 1);
+    tokio::spawn(discovery::watch_endpoints(
+        addresses,
+        7,
+        mode,
+        rig.core.discovery_sender(),
+        reconnect_policy,
+    ));
     let (mut watch, _) = watched(&listener).await;
     tell(&mut watch, "\n").await;
-    let heard = Instant::now();
+    let last_message_at = Instant::now();
     rig.until_ready(true).await;
     drop(watch);
-    let ending = tokio::spawn(end_calls(listener, call));
+    let ending = tokio::spawn(end_calls(listener, call_end));
     rig.until_ready(false).await;
     ending.abort();
-    heard.elapsed()
+    last_message_at.elapsed()
 }
 
 /// Guards against a closed watch that counts as a failed call, and against a failed call that counts as a
@@ -114,13 +123,14 @@
     let (listener, address) = listen().await;
     let (_keep, addresses) = watch::channel(DiscoveryAddress::from_now(address));
     let (core, mut messages) = mpsc::channel(16);
-    let pace = ReconnectPolicy::new(ASKED, FleetPosition { scheduler_index: 0, schedulers: 1 }, 1);
-    tokio::spawn(discovery::watch_endpoints(addresses, 7, ASKED, core, pace));
+    let reconnect_policy =
+        ReconnectPolicy::new(POLLED, FleetPosition { scheduler_index: 0, schedulers: 1 }, 1);
+    tokio::spawn(discovery::watch_endpoints(addresses, 7, POLLED, core, reconnect_policy));
     assert!(matches!(messages.recv().await, Some(CoreMessage::WatchClosed)), "no call was made yet");
-    let (mut standing, _) = watched(&listener).await;
-    tell(&mut standing, "\n").await;
+    let (mut open_watch, _) = watched(&listener).await;
+    tell(&mut open_watch, "\n").await;
     assert!(matches!(messages.recv().await, Some(CoreMessage::DiscoveryContact(_))));
-    drop(standing);
+    drop(open_watch);
     assert!(
         matches!(messages.recv().await, Some(CoreMessage::WatchClosed)),
         "a watch that delivered a line ended"
--- a/crates/scheduler/tests/net/forwarding.rs
+++ b/crates/scheduler/tests/net/forwarding.rs
@@ -20,9 +20,9 @@
         let line = format!("{method} /{class}/00000003b4d60021/7f3a9c21e0b4d655?v=1 HTTP/1.1\r\n");
         assert!(seen.head.starts_with(&line), "{}", seen.head);
         assert_eq!((seen.call.as_str(), seen.body.as_slice()), ("0000000000000009", body.as_bytes()));
-        let small = seen.head.to_lowercase();
-        assert_eq!(header(&small, "idempotency-key"), (class == "pedido").then_some("k9"));
-        let budget: u32 = header(&small, "x-budget-ms").unwrap().parse().unwrap();
+        let lower_case_head = seen.head.to_lowercase();
+        assert_eq!(header(&lower_case_head, "idempotency-key"), (class == "pedido").then_some("k9"));
+        let budget: u32 = header(&lower_case_head, "x-budget-ms").unwrap().parse().unwrap();
         assert!((1..=900).contains(&budget), "{budget}");
     }
     assert_eq!(count(&rig.counters().await, AttemptEnd::Served), 2);
@@ -35,25 +35,25 @@
 #[case::served("consulta", Does::Serve, AttemptEnd::Served, 1, 200)]
 #[case::error_read("consulta", Does::Error, AttemptEnd::Error, 3, 503)]
 #[case::error_write("pedido", Does::Error, AttemptEnd::Error, 3, 502)]
-#[case::full("pedido", Does::Reject, AttemptEnd::Rejected, 1, 503)]
+#[case::rejected("pedido", Does::Reject, AttemptEnd::Rejected, 1, 503)]
 #[case::reset_read("consulta", Does::Reset, AttemptEnd::Reset, 3, 503)]
 #[case::reset_write("pedido", Does::Reset, AttemptEnd::Reset, 3, 502)]
-#[case::cut("consulta", Does::Cut, AttemptEnd::Reset, 3, 503)]
+#[case::cut_short("consulta", Does::Cut, AttemptEnd::Reset, 3, 503)]
 #[tokio::test]
 async fn the_end_of_an_attempt_decides_on_retries_and_the_answer(
     #[case] class: &str,
     #[case] does: Does,
     #[case] end: AttemptEnd,
-    #[case] tries: u64,
+    #[case] attempts: u64,
     #[case] status: u16,
 ) {
     let OneNode { rig, log, .. } = one_node(&[does]).await;
-    let (told, head, _) = rig.ask(&request(class, 1, 0, 1400, "")).await;
+    let (answered, head, _) = rig.ask(&request(class, 1, 0, 1400, "")).await;
     rig.until_at_rest().await;
-    assert_eq!(told, status, "{head}");
+    assert_eq!(answered, status, "{head}");
     assert_eq!(header(&head, "retry-after").is_some(), status == 503, "{head}");
     let counters = rig.counters().await;
-    assert!(count(&counters, end) == tries && counters.attempts_sent == tries, "{counters}");
+    assert!(count(&counters, end) == attempts && counters.attempts_sent == attempts, "{counters}");
     assert_eq!(
         counters.total_answers().served + counters.total_answers().shed + counters.total_answers().failed,
         1,
@@ -77,11 +77,11 @@
 #[case::chunk("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\nzz\r\n0\r\n\r\n")]
 #[case::huge("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nhello")]
 #[case::stopped_short("HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nhello")]
-#[case::spoilt_rejection("HTTP/1.1 503 Full\r\nX-Rejected: 1\r\nContent-Length: -1\r\n\r\n")]
-#[case::other_kind("HTTP/1.1 101 Switching Protocols\r\nConnection: upgrade\r\nUpgrade: x\r\n\r\n")]
+#[case::malformed_rejection("HTTP/1.1 503 Full\r\nX-Rejected: 1\r\nContent-Length: -1\r\n\r\n")]
+#[case::protocol_switch("HTTP/1.1 101 Switching Protocols\r\nConnection: upgrade\r\nUpgrade: x\r\n\r\n")]
 #[tokio::test]
-async fn a_malformed_node_answer_is_not_forwarded(#[case] spoilt: &'static str) {
-    let OneNode { rig, log, .. } = one_node(&[Does::Say(spoilt), Does::Serve, Does::Say(spoilt)]).await;
+async fn a_malformed_node_answer_is_not_forwarded(#[case] malformed: &'static str) {
+    let OneNode { rig, log, .. } = one_node(&[Does::Say(malformed), Does::Serve, Does::Say(malformed)]).await;
     let (status, _, body) = rig.ask(&request("consulta", 1, 0, 1000, "")).await;
     let counters = rig.counters().await;
     assert_eq!(
@@ -106,13 +106,13 @@
 #[case::second_copy("", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello")]
 #[case::noise("", "\x07\x08nothing\r\n\r\n")]
 #[tokio::test]
-async fn a_valid_node_answer_is_served_despite_surrounding_bytes(#[case] before: &str, #[case] behind: &str) {
+async fn a_valid_node_answer_is_served_despite_surrounding_bytes(#[case] before: &str, #[case] after: &str) {
     let good = "HTTP/1.1 200 OK\r\nX-Volume-Use: TEXT \r\nContent-Length: 5\r\n\r\nfirst";
-    let text: &'static str = Box::leak(format!("{before}{good}{behind}").into_boxed_str());
+    let text: &'static str = Box::leak(format!("{before}{good}{after}").into_boxed_str());
     let OneNode { rig, .. } = one_node(&[Does::Say(text), Does::Serve]).await;
     for (call, body) in [(1, "first"), (2, "hello")] {
-        let told = rig.ask(&request("consulta", call, 0, 900, "")).await;
-        assert_eq!((told.0, told.2), (200, body.as_bytes().to_vec()));
+        let answered = rig.ask(&request("consulta", call, 0, 900, "")).await;
+        assert_eq!((answered.0, answered.2), (200, body.as_bytes().to_vec()));
     }
     assert_eq!(rig.counters().await.attempts_sent, 2);
 }
@@ -126,7 +126,10 @@
     let rig = rig(&members, None).await;
     assert_eq!(rig.ask(&request("pedido", 5, 0, 1400, "w")).await.0, 200);
     let seen = log.all();
-    assert_eq!(seen.iter().map(|s| (s.node, s.call.as_str())).collect::<Vec<_>>(), [(0, &*seen[0].call); 2]);
+    assert_eq!(
+        seen.iter().map(|request| (request.node, request.call.as_str())).collect::<Vec<_>>(),
+        [(0, &*seen[0].call); 2]
+    );
     assert!(seen[1].at - seen[0].at < Duration::from_millis(2500));
     log.check_one_at_a_time();
 }
--- a/crates/scheduler/tests/net/fragmented_requests.rs
+++ b/crates/scheduler/tests/net/fragmented_requests.rs
@@ -9,23 +9,23 @@
 
 use crate::support::{one_node, OneNode, HEALTH_CHECK};
 
-fn as_it_is(text: String) -> String {
+fn unchanged(text: String) -> String {
     text
 }
 
 /// Writes header names in capitals, with no space after the colons.
-fn other_spelling(text: String) -> String {
+fn with_capitals(text: String) -> String {
     let (head, body) = text.split_once("\r\n\r\n").unwrap();
     let mut lines = head.split("\r\n");
-    let mut spelt = lines.next().unwrap().to_owned();
+    let mut respelled = lines.next().unwrap().to_owned();
     for line in lines {
         let (name, value) = line.split_once(": ").unwrap();
-        spelt += &format!("\r\n{}:{value}", name.to_uppercase());
+        respelled += &format!("\r\n{}:{value}", name.to_uppercase());
     }
-    format!("{spelt}\r\n\r\n{body}")
+    format!("{respelled}\r\n\r\n{body}")
 }
 
-fn in_chunks(text: String) -> String {
+fn chunked(text: String) -> String {
     text.replace("Content-Length: 8\r\n", "Transfer-Encoding: chunked\r\n")
         .replace("\r\n\r\nan order", "\r\n\r\n3\r\nan \r\n5\r\norder\r\n0\r\n\r\n")
 }
@@ -35,7 +35,7 @@
 #[rstest]
 #[tokio::test]
 async fn a_fragmented_request_is_forwarded_once_and_complete(
-    #[values(as_it_is, other_spelling, in_chunks)] form: fn(String) -> String,
+    #[values(unchanged, with_capitals, chunked)] form: fn(String) -> String,
     #[values(1, 2, 7, 50)] piece: usize,
 ) {
     let OneNode { rig, log, .. } = one_node(&[Does::Serve]).await;
--- a/crates/scheduler/tests/net/handover.rs
+++ b/crates/scheduler/tests/net/handover.rs
@@ -53,7 +53,7 @@
 
 /// The listen address, reserved for this scheduler, and the folder that its processes share.
 struct SchedulerInstance {
-    _kept: TcpSocket,
+    _reserved_socket: TcpSocket,
     listen: SocketAddr,
     folder: PathBuf,
     config: PathBuf,
@@ -63,14 +63,14 @@
     fn new(members: &str) -> Self {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
-        let (kept, listen) = reserved();
+        let (reserved_socket, listen) = reserved();
         // A short path, as that of a Unix socket has at most 108 bytes.
         let folder = std::env::temp_dir().join(format!("hw-{}-{number}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
         let config = folder.join("config.json");
         let text = config_text(&listen.to_string(), "127.0.0.1:1", members);
         std::fs::write(&config, text.replacen('{', r#"{"ops":"127.0.0.1:0","#, 1)).unwrap();
-        Self { _kept: kept, listen, folder, config }
+        Self { _reserved_socket: reserved_socket, listen, folder, config }
     }
 
     fn socket(&self) -> PathBuf {
@@ -91,11 +91,11 @@
     }
 }
 
-async fn served(process: &Program) -> bool {
+async fn has_served(process: &Program) -> bool {
     !process.call("METRICS").await.contains("responses.consulta.ok=0\n")
 }
 
-async fn ask(stream: &mut TcpStream, call: u32, shard: i32) -> (u16, String) {
+async fn send_read(stream: &mut TcpStream, call: u32, shard: i32) -> (u16, String) {
     stream.write_all(request("consulta", call, shard, 900, "").as_bytes()).await.unwrap();
     let (status, head, _) = answer(stream).await;
     (status, head)
@@ -111,14 +111,14 @@
     let instance = SchedulerInstance::new(&members);
     let mut old = instance.start();
     assert_eq!(old.call("SUSPEND s1").await, "OK\n");
-    let mut kept = TcpStream::connect(instance.listen).await.unwrap();
-    assert_eq!(ask(&mut kept, 1, 0).await.0, 200);
+    let mut connection = TcpStream::connect(instance.listen).await.unwrap();
+    assert_eq!(send_read(&mut connection, 1, 0).await.0, 200);
     let new = instance.start();
     assert_eq!(new.call("STATUS").await, "OK\n");
     old.until("peer process: serving");
     // A connection to the old process is served there for the last time; new connections go to the new
     // process.
-    let (status, head) = ask(&mut kept, 2, 0).await;
+    let (status, head) = send_read(&mut connection, 2, 0).await;
     assert_eq!((status, header(&head, "connection")), (200, Some("close")));
     assert_eq!(
         status_of_read(instance.listen, 3, 1).await,
@@ -126,7 +126,7 @@
         "suspended by a command to the previous process"
     );
     assert_eq!(status_of_read(instance.listen, 4, 0).await, 200);
-    assert!(served(&new).await);
+    assert!(has_served(&new).await);
     // A command to either process applies to both.
     assert_eq!(new.call("SUSPEND s0").await, "OK\n");
     assert!(old.call("METRICS").await.contains("pool_ejected=2\n"));
@@ -146,33 +146,33 @@
 
 /// What is in place of the previous process.
 #[derive(Clone, Copy, Debug)]
-enum Before {
-    File,
+enum Previous {
+    StaleFile,
     Silent,
-    Other,
+    OtherVersion,
 }
 
 /// A stale socket file, a process that sends nothing and one of another version prevent no start.
 #[rstest]
-#[case::stale_file(Before::File)]
-#[case::silent(Before::Silent)]
-#[case::other_version(Before::Other)]
+#[case::stale_file(Previous::StaleFile)]
+#[case::silent(Previous::Silent)]
+#[case::other_version(Previous::OtherVersion)]
 #[tokio::test]
-async fn no_fault_of_the_previous_process_prevents_a_start(#[case] before: Before) {
+async fn no_fault_of_the_previous_process_prevents_a_start(#[case] previous: Previous) {
     let instance = SchedulerInstance::new("");
     let mut other = None;
-    match before {
-        Before::File => std::fs::write(instance.socket(), "stale").unwrap(),
-        Before::Silent | Before::Other => {
+    match previous {
+        Previous::StaleFile => std::fs::write(instance.socket(), "stale").unwrap(),
+        Previous::Silent | Previous::OtherVersion => {
             let listener = UnixListener::bind(instance.socket()).unwrap();
             other = Some(tokio::spawn(async move {
-                let mut taken = Vec::new();
+                let mut accepted = Vec::new();
                 loop {
                     let (mut stream, _) = listener.accept().await.unwrap();
-                    if matches!(before, Before::Other) {
+                    if matches!(previous, Previous::OtherVersion) {
                         stream.write_all(b"HEATHWARD 0\n").await.unwrap();
                     }
-                    taken.push(stream);
+                    accepted.push(stream);
                 }
             }));
         }
@@ -197,19 +197,19 @@
 #[case::other_version("HEATHWARD 9\n")]
 #[case::serves_and_dies("HEATHWARD 1\nREADY\n")]
 #[tokio::test]
-async fn a_peer_process_that_dies_at_any_step_changes_nothing(#[case] says: &str) {
+async fn a_peer_process_that_dies_at_any_step_changes_nothing(#[case] sent: &str) {
     let log = Log::default();
     let node = http_node(0, &[Does::Serve], &log).await;
     let instance = SchedulerInstance::new(&member("s0", node, 0, "in_service", 0));
     let mut running = instance.start();
     let mut stream = tokio::net::UnixStream::connect(instance.socket()).await.unwrap();
-    stream.write_all(says.as_bytes()).await.unwrap();
+    stream.write_all(sent.as_bytes()).await.unwrap();
     sleep(Duration::from_millis(20)).await;
     drop(stream);
     running.until("peer process: exited");
-    let by = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + PATIENCE;
     while status_of_read(instance.listen, 1, 0).await != 200 {
-        assert!(Instant::now() < by, "the running process does not serve");
+        assert!(Instant::now() < deadline, "the running process does not serve");
     }
     // The next process gets the whole handover.
     let next = instance.start();
--- a/crates/scheduler/tests/net/large_bodies.rs
+++ b/crates/scheduler/tests/net/large_bodies.rs
@@ -11,24 +11,24 @@
 
 use heathward_fakes::*;
 
-const LONG: usize = 3 << 20;
+const LONG_BODY: usize = 3 << 20;
 
 /// Starts a node that receives one request, with a length or in chunks, reports its head and body, and
 /// answers with these pieces one after the other.
 async fn node(pieces: Vec<Vec<u8>>) -> (SocketAddr, oneshot::Receiver<(String, Vec<u8>)>) {
     let (listener, address) = listen().await;
-    let (tell, told) = oneshot::channel();
+    let (sender, received) = oneshot::channel();
     tokio::spawn(async move {
         let (mut stream, _) = listener.accept().await.unwrap();
         let (head, _, body) = read_message(&mut stream).await.unwrap();
-        let _ = tell.send((head, body));
+        let _ = sender.send((head, body));
         for piece in pieces {
             // The client may have disconnected.
             let _ = stream.write_all(&piece).await;
             sleep(Duration::from_millis(2)).await;
         }
     });
-    (address, told)
+    (address, received)
 }
 
 fn chunked(body: &[u8], size: usize) -> Vec<u8> {
@@ -37,7 +37,7 @@
 }
 
 fn noise(size: usize) -> Vec<u8> {
-    (0..size).map(|at| (at * 31 % 251) as u8).collect()
+    (0..size).map(|index| (index * 31 % 251) as u8).collect()
 }
 
 /// Answers of every form, split at arbitrary positions.
@@ -47,14 +47,14 @@
 #[case::until_closed("", false)]
 #[tokio::test]
 async fn a_long_answer_is_streamed_completely(#[case] framing: &str, #[case] chunks: bool) {
-    let body = noise(LONG);
+    let body = noise(LONG_BODY);
     let sent = if chunks { chunked(&body, 70_001) } else { body.clone() };
     let mut pieces = vec![format!("HTTP/1.1 200 OK\r\n{framing}\r").into_bytes(), b"\n".to_vec()];
     pieces.extend(sent.chunks(500_003).map(<[u8]>::to_vec));
-    let (address, _told) = node(pieces).await;
+    let (address, _received) = node(pieces).await;
     let rig = rig(&[member("s0", address, 0, "in_service", 0)], None).await;
-    let (status, _, got) = rig.ask(&request("consulta", 1, 0, 900, "")).await;
-    assert!(status == 200 && got == body, "{status}, {} bytes", got.len());
+    let (status, _, received_bytes) = rig.ask(&request("consulta", 1, 0, 900, "")).await;
+    assert!(status == 200 && received_bytes == body, "{status}, {} bytes", received_bytes.len());
 }
 
 /// Guards against an answer that looks complete to its client although its node broke it off, and against
@@ -63,14 +63,18 @@
 async fn an_answer_cut_by_the_node_is_cut_for_the_client() {
     let head = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n".to_vec();
     let part = chunked(&noise(200_000), 100_000);
-    let (address, _told) = node(vec![head, part[..150_000].to_vec()]).await;
+    let (address, _received) = node(vec![head, part[..150_000].to_vec()]).await;
     let rig = rig(&[member("s0", address, 0, "in_service", 0)], None).await;
     let mut stream = TcpStream::connect(rig.front).await.unwrap();
     stream.write_all(request("consulta", 1, 0, 900, "").as_bytes()).await.unwrap();
-    let mut got = Vec::new();
+    let mut received_bytes = Vec::new();
     // Closed or reset.
-    let _ = timeout(PATIENCE, stream.read_to_end(&mut got)).await.expect("an end");
-    assert!(got.starts_with(b"HTTP/1.1 200 OK") && !got.ends_with(b"0\r\n\r\n"), "{} bytes", got.len());
+    let _ = timeout(PATIENCE, stream.read_to_end(&mut received_bytes)).await.expect("an end");
+    assert!(
+        received_bytes.starts_with(b"HTTP/1.1 200 OK") && !received_bytes.ends_with(b"0\r\n\r\n"),
+        "{} bytes",
+        received_bytes.len()
+    );
     let metrics = rig.core.metrics().await.unwrap();
     assert_eq!((metrics.active_requests, metrics.counters.total_answers().served), (0, 1));
 }
@@ -79,8 +83,8 @@
 /// longer than the time budget.
 #[rstest]
 #[case::short_chunks(1000, true, 64)]
-#[case::long(LONG, false, 400_000)]
-#[case::long_chunks(LONG, true, 400_000)]
+#[case::long(LONG_BODY, false, 400_000)]
+#[case::long_chunks(LONG_BODY, true, 400_000)]
 #[tokio::test]
 async fn a_body_of_any_size_is_forwarded_completely(
     #[case] size: usize,
@@ -88,7 +92,7 @@
     #[case] piece: usize,
 ) {
     let answer_text = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok".to_vec();
-    let (address, told) = node(vec![answer_text]).await;
+    let (address, received) = node(vec![answer_text]).await;
     let rig = rig(&[member("s0", address, 0, "in_service", 0)], None).await;
     let body = noise(size);
     let sent = if chunks { chunked(&body, 9001) } else { body.clone() };
@@ -102,9 +106,9 @@
         // All parts together take longer than the client waits after its last byte.
         sleep(Duration::from_millis(50)).await;
     }
-    let (status, _, got) = answer(&mut stream).await;
-    assert_eq!((status, got.as_slice()), (200, b"ok".as_slice()));
-    let (head, seen) = told.await.unwrap();
+    let (status, _, received_bytes) = answer(&mut stream).await;
+    assert_eq!((status, received_bytes.as_slice()), (200, b"ok".as_slice()));
+    let (head, seen) = received.await.unwrap();
     assert!(seen == body, "{} bytes of {size}: {head}", seen.len());
     assert!(header(&head, "x-budget-ms").unwrap().parse::<u32>().unwrap() <= 300, "{head}");
     assert_eq!(rig.core.metrics().await.unwrap().counters.attempts_written, 1, "its last byte was written");
@@ -124,13 +128,13 @@
 /// A body that stops arriving is given up, and its request id is free again.
 #[tokio::test]
 async fn a_body_that_stalls_times_out() {
-    let (address, _told) = node(Vec::new()).await;
+    let (address, _received) = node(Vec::new()).await;
     let rig = rig(&[member("s0", address, 0, "in_service", 0)], None).await;
     let text = request("pedido", 1, 0, 900, &"x".repeat(200_000));
     let mut stream = TcpStream::connect(rig.front).await.unwrap();
     stream.write_all(&text.as_bytes()[..100_000]).await.unwrap();
     assert_eq!(answer(&mut stream).await.0, 408);
-    rig.until(|c| c.client_disconnects == 1).await;
+    rig.until(|counters| counters.client_disconnects == 1).await;
     assert_eq!(rig.core.metrics().await.unwrap().active_requests, 0);
 }
 
@@ -149,15 +153,15 @@
         let _ = write.write_all(text.as_bytes()).await;
         std::future::pending::<()>().await;
     };
-    let mut told = [0; 12];
+    let mut first_bytes = [0; 12];
     tokio::select! {
-        read = timeout(PATIENCE, read.read_exact(&mut told)) => {
-            assert_eq!(read.expect("an answer").unwrap(), told.len());
+        read = timeout(PATIENCE, read.read_exact(&mut first_bytes)) => {
+            assert_eq!(read.expect("an answer").unwrap(), first_bytes.len());
         }
         () = writing => {}
     }
-    assert_eq!(&told, b"HTTP/1.1 503", "its last byte was never written");
-    rig.until(|c| c.attempt_ends.iter().sum::<u64>() == 1).await;
+    assert_eq!(&first_bytes, b"HTTP/1.1 503", "its last byte was never written");
+    rig.until(|counters| counters.attempt_ends.iter().sum::<u64>() == 1).await;
     assert_eq!(rig.core.metrics().await.unwrap().active_requests, 0);
     drop(listener);
 }
--- a/crates/scheduler/tests/net/large_fleet.rs
+++ b/crates/scheduler/tests/net/large_fleet.rs
@@ -12,21 +12,21 @@
 
 use crate::support::status_of_read;
 
-const MANY: u32 = 1024;
+const NODES: u32 = 1024;
 
 /// Returns a list of `nodes` nodes that all have that address, on one line.
-fn list(revision: u32, complete: bool, nodes: u32, at: SocketAddr, phase: &str) -> String {
-    let members: Vec<_> = (0..nodes).map(|n| member(&format!("node-{n}"), at, n, phase, 0)).collect();
+fn list(revision: u32, complete: bool, nodes: u32, address: SocketAddr, phase: &str) -> String {
+    let members: Vec<_> = (0..nodes).map(|n| member(&format!("node-{n}"), address, n, phase, 0)).collect();
     let members = members.join(",").replace('\n', "");
     format!("{{\"revision\":{revision},\"complete\":{complete},\"members\":[{members}]}}\n")
 }
 
 /// Writes a configuration with as many peers, the rule on drains, and limits of 32 MB and 256 descriptors.
 fn config(discovery: SocketAddr) -> PathBuf {
-    let peers: Vec<_> = (0..MANY).map(|n| format!("\"10.3.{}.{}:7946\"", n / 256, n % 256)).collect();
+    let peers: Vec<_> = (0..NODES).map(|n| format!("\"10.3.{}.{}:7946\"", n / 256, n % 256)).collect();
     let text = config_text("127.0.0.1:0", &discovery.to_string(), "")
         .replacen('{', &format!("{{\"peers\":[{}],", peers.join(",")), 1)
-        .replace("\"balancers\":1,", &format!("\"balancers\":{MANY},"))
+        .replace("\"balancers\":1,", &format!("\"balancers\":{NODES},"))
         .replace("\"memory_mb\":192", "\"memory_mb\":32")
         .replace("\"safety\":{", "\"safety\":{\"stopSendingWithinMs\":250,");
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("fleet-{}.json", discovery.port()));
@@ -38,7 +38,9 @@
 /// removes all of them.
 #[rstest]
 #[tokio::test]
-async fn a_list_of_1024_nodes_is_served_within_32_mb_and_256_descriptors(#[values(true, false)] whole: bool) {
+async fn a_list_of_1024_nodes_is_served_within_32_mb_and_256_descriptors(
+    #[values(true, false)] complete: bool,
+) {
     let log = Log::default();
     let node = http_node(0, &[Does::Serve], &log).await;
     let (discovery, address) = listen().await;
@@ -46,28 +48,28 @@
     command.env("GW_CONFIG", config(address));
     let program = Program::start(command);
     let (mut watch, _) = watched(&discovery).await;
-    tell(&mut watch, &list(8, whole, MANY, node, "in_service")).await;
-    let by = Instant::now() + PATIENCE;
-    while status_of_read(program.listen, MANY, 0).await != 200 {
-        assert!(Instant::now() < by, "the list is never applied");
+    tell(&mut watch, &list(8, complete, NODES, node, "in_service")).await;
+    let deadline = Instant::now() + PATIENCE;
+    while status_of_read(program.listen, NODES, 0).await != 200 {
+        assert!(Instant::now() < deadline, "the list is never applied");
         sleep(Duration::from_millis(20)).await;
     }
-    let mut most = program.held();
-    for shard in 0..MANY {
+    let mut peak = program.held();
+    for shard in 0..NODES {
         assert_eq!(status_of_read(program.listen, shard, shard as i32).await, 200, "shard {shard}");
         if shard % 64 == 0 {
-            most.descriptors = most.descriptors.max(program.held().descriptors);
+            peak.descriptors = peak.descriptors.max(program.held().descriptors);
         }
     }
-    let held = program.held();
-    assert!(held.peak_kb <= 32 << 10 && most.descriptors <= 256, "{held:?}, {most:?}");
-    tell(&mut watch, &list(9, false, MANY, node, "terminating")).await;
-    while status_of_read(program.listen, MANY + 1, 0).await != 503 {
-        assert!(Instant::now() < by + PATIENCE, "the drain is never applied");
+    let usage = program.held();
+    assert!(usage.peak_kb <= 32 << 10 && peak.descriptors <= 256, "{usage:?}, {peak:?}");
+    tell(&mut watch, &list(9, false, NODES, node, "terminating")).await;
+    while status_of_read(program.listen, NODES + 1, 0).await != 503 {
+        assert!(Instant::now() < deadline + PATIENCE, "the drain is never applied");
         sleep(Duration::from_millis(20)).await;
     }
     let served = log.all().len();
-    for shard in 0..MANY {
+    for shard in 0..NODES {
         assert_eq!(status_of_read(program.listen, shard, shard as i32).await, 503, "shard {shard}");
     }
     assert_eq!(log.all().len(), served, "nothing more is forwarded");
--- a/crates/scheduler/tests/net/node_connections.rs
+++ b/crates/scheduler/tests/net/node_connections.rs
@@ -17,13 +17,13 @@
     let socket = TcpSocket::new_v4().unwrap();
     socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let address = socket.local_addr().unwrap();
-    let _full = socket.listen(1).unwrap();
-    let fill = (0..8).map(|_| tokio::spawn(TcpStream::connect(address))).collect::<Vec<_>>();
+    let _listener = socket.listen(1).unwrap();
+    let queued = (0..8).map(|_| tokio::spawn(TcpStream::connect(address))).collect::<Vec<_>>();
     sleep(Duration::from_millis(100)).await;
     let rig = rig(&[member("s0", address, 0, "in_service", 0)], None).await;
     assert_eq!(rig.ask(&request("pedido", 1, 0, 690, "w")).await.0, 503);
     assert_eq!(count(&rig.counters().await, AttemptEnd::NotConnected), 1);
-    fill.into_iter().for_each(|connect| connect.abort());
+    queued.into_iter().for_each(|connect| connect.abort());
 }
 
 /// Guards against a request that is still open when the program is killed.
@@ -56,15 +56,15 @@
 #[tokio::test]
 async fn an_unresponsive_node_times_out_and_the_answer_comes_by_the_deadline() {
     let OneNode { rig, log, .. } = one_node(&[Does::Silent]).await;
-    let asked = Instant::now();
+    let sent_at = Instant::now();
     let (status, ..) = rig.ask(&request("pedido", 2, 0, 300, "w")).await;
     // A write that may have been executed is never reported as refused.
     assert!(matches!(status, 502 | 504), "{status}");
-    assert!(asked.elapsed() >= Duration::from_millis(250), "{:?}", asked.elapsed());
-    rig.until(|c| count(c, AttemptEnd::TimedOut) == 1).await;
-    let by = Instant::now() + PATIENCE;
+    assert!(sent_at.elapsed() >= Duration::from_millis(250), "{:?}", sent_at.elapsed());
+    rig.until(|counters| count(counters, AttemptEnd::TimedOut) == 1).await;
+    let deadline = Instant::now() + PATIENCE;
     while log.open.lock().unwrap().values().any(|n| *n > 0) {
-        assert!(Instant::now() < by, "timed out, but its connection is still open");
+        assert!(Instant::now() < deadline, "timed out, but its connection is still open");
         tokio::task::yield_now().await;
     }
 }
--- a/crates/scheduler/tests/net/node_states.rs
+++ b/crates/scheduler/tests/net/node_states.rs
@@ -35,31 +35,31 @@
 async fn a_node_in_slow_start_is_not_overloaded() {
     let log = Log::default();
     let node = http_node(0, &[Does::Serve], &log).await;
-    let born = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis();
-    let rig = rig(&[member("s0", node, 0, "in_service", born)], None).await;
-    let begun = Instant::now();
-    let mut asks = tokio::task::JoinSet::new();
+    let started_ms = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis();
+    let rig = rig(&[member("s0", node, 0, "in_service", started_ms)], None).await;
+    let clients_started_at = Instant::now();
+    let mut clients = tokio::task::JoinSet::new();
     for call in 0..120 {
         let text = request("consulta", call, 0, 900, "");
         let front = rig.front;
-        asks.spawn(async move {
+        clients.spawn(async move {
             sleep(Duration::from_millis(u64::from(call) * 10)).await;
             let mut stream = TcpStream::connect(front).await.unwrap();
             stream.write_all(text.as_bytes()).await.unwrap();
             answer(&mut stream).await.0
         });
     }
-    let told = asks.join_all().await;
-    assert!(told.iter().all(|status| matches!(status, 200 | 503 | 504)), "{told:?}");
+    let statuses = clients.join_all().await;
+    assert!(statuses.iter().all(|status| matches!(status, 200 | 503 | 504)), "{statuses:?}");
     let sent: Vec<_> = log.all().iter().map(|seen| seen.at).collect();
     assert!(!sent.is_empty());
     // The units that it can serve at the end of the run if it is as cold as possible: an upper bound for
     // every window. A window of half the length allows for a machine that delays attempts that were sent in
     // order.
-    let age = begun.elapsed().as_secs_f64().min(6.0) / 6.0;
-    let bears = 24.0 * (0.24 + 0.76 * age) / 0.24;
+    let age = clients_started_at.elapsed().as_secs_f64().min(6.0) / 6.0;
+    let max_units = 24.0 * (0.24 + 0.76 * age) / 0.24;
     for from in &sent {
         let window = sent.iter().filter(|at| *at >= from && **at < *from + Duration::from_millis(250));
-        assert!(window.count() as f64 * 2.0 <= bears, "more than {bears} units within the window");
+        assert!(window.count() as f64 * 2.0 <= max_units, "more than {max_units} units within the window");
     }
 }
