--- a/crates/scheduler/tests/net/nvme.rs
+++ b/crates/scheduler/tests/net/nvme.rs
@@ -1,4 +1,5 @@
-//! The rules over NVMe/TCP: stand-in hosts before the front, HTTP nodes and stand-in targets mixed behind it.
+//! The rules over NVMe/TCP: stand-in hosts connect to the front; HTTP nodes and stand-in targets are its
+//! storage nodes.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,8 +19,8 @@
 
 const LARGE: usize = 32 * 1024;
 
-/// Namespace 1 lies on shards 0 (HTTP) and 1 (a target) in turn, 256 blocks each; 2 on shard 2, an address
-/// where nobody listens.
+/// Returns an NVMe map. Namespace 1 alternates between shard 0 (HTTP) and shard 1 (a target), 256 blocks
+/// each; namespace 2 is on shard 2, an address where nothing listens.
 fn map() -> String {
     let namespace = |nsid: u32, shards: &str| {
         format!(
@@ -44,7 +45,7 @@
     _kept: tokio::net::TcpSocket,
 }
 
-/// The scheduler with both fronts; `script` is done by the HTTP node and the target alike.
+/// Starts the scheduler with both fronts. The HTTP node and the target both follow `script`.
 async fn mixed(script: &[Does], up_since_ms: u128) -> Mixed {
     let log = Log::default();
     let http = http_node(0, script, &log).await;
@@ -91,7 +92,8 @@
     assert_eq!((&namespace[0..8], namespace[130]), (&[0, 16, 0, 0, 0, 0, 0, 0][..], 9));
     let (body, sgl) = page(1, 2);
     assert_eq!(ask(&mut host.admin, 1, body, sgl, Bytes::new()).await.1[..8], [2, 0, 0, 0, 0, 0, 0, 0]);
-    // Blocks from 0 lie on the HTTP node, from 256 on the target; in the capsule and by R2T.
+    // Blocks from 0 are on the HTTP node, those from 256 on the target; small writes send their data in the
+    // capsule, large ones by R2T.
     for (first, size) in [(0, SMALL), (8, LARGE), (256, SMALL), (264, LARGE)] {
         assert_eq!(host.write(1, first, vec![first as u8 + 3; size]).await, Status::SUCCESS, "{first}");
         let seen = mixed.log.all().pop().unwrap();
@@ -101,7 +103,7 @@
         if first >= 256 {
             assert_eq!(data, vec![first as u8 + 3; size]);
         } else {
-            assert!(data.starts_with(b"hello\0\0"), "what was not written reads as zeros");
+            assert!(data.starts_with(b"hello\0\0"), "data that was not written reads as zeros");
         }
     }
     let counters = mixed.rig.counters().await;
@@ -109,8 +111,9 @@
     mixed.log.check_one_at_a_time();
 }
 
-/// The table of answers: what the node does, how often it is tried, and how the command ends. Guards against
-/// a repeat of what may have run, and against "interrupted" for a write that may have run.
+/// The table of answers: the node's behaviour, the number of attempts and the status of the command. Guards
+/// against a retry of a command that may have been executed, other than after an error, and against
+/// "interrupted" for a write that may have been executed.
 #[rstest]
 #[case::error_read(Does::Error, SMALL, false, AttemptEnd::Error, 3, Status::INTERRUPTED)]
 #[case::error_write(Does::Error, SMALL, true, AttemptEnd::Error, 3, Status::INTERNAL.last())]
@@ -145,18 +148,18 @@
         host.read(1, first, size).await.0.status
     };
     assert_eq!(Status { delay: 0, ..status }, ends);
-    assert_eq!(status.delay > 0, ends == Status::INTERRUPTED, "a hint when to come again");
+    assert_eq!(status.delay > 0, ends == Status::INTERRUPTED, "with a hint when to retry");
     let counters = mixed.rig.counters().await;
     assert!(counters.attempts_ended(end) == tries && counters.attempts_sent == tries, "{counters}");
     let seen = mixed.log.all();
-    assert!(seen.iter().all(|s| s.node == u32::from(first >= 256)), "only at its shard: {seen:?}");
+    assert!(seen.iter().all(|s| s.node == u32::from(first >= 256)), "only on its shard: {seen:?}");
     let span = seen.last().unwrap().at - seen[0].at;
-    assert!(span < Duration::from_millis(2500), "repeats within the window: {span:?}");
+    assert!(span < Duration::from_millis(2500), "retries within the window: {span:?}");
     mixed.log.check_one_at_a_time();
 }
 
-/// A target that closes its queue mid-command: before the data of a write had all been asked for, it never
-/// ran; after the last byte it may have.
+/// A target closes its queue during a command: before it had requested all data of a write, the write was not
+/// executed; after the last byte it may have been.
 #[rstest]
 #[case::before_its_data(Does::HangUp, LARGE, AttemptEnd::NotConnected, Status::INTERRUPTED)]
 #[case::after_its_data(Does::Reset, LARGE, AttemptEnd::Reset, Status::INTERNAL.last())]
@@ -173,11 +176,11 @@
     let status = host.write(1, 256, vec![7; size]).await;
     assert_eq!(Status { delay: 0, ..status }, ends);
     let counters = mixed.rig.counters().await;
-    // A reset is repeated, as an error is.
+    // A reset is retried, as an error is.
     assert_eq!(counters.attempts_ended(end), if end == AttemptEnd::Reset { 3 } else { 1 }, "{counters}");
 }
 
-/// A write that is out at its deadline comes as Command Abort Requested, and not before.
+/// A write that is unanswered at its deadline ends with Command Abort Requested, and not earlier.
 #[rstest]
 #[tokio::test]
 async fn a_deadline_that_has_passed_is_command_abort_requested(#[values(0, 256)] first: u64) {
@@ -272,7 +275,8 @@
     assert_eq!(counters.total_answers(), AnswerCounts::default(), "{counters}");
 }
 
-/// A host that breaks a queue off, or whose admin queue goes, gets no answer, and the module hears of it.
+/// A host that closes a queue, or whose admin queue closes, gets no answer, and the disconnect is reported to
+/// the decision module.
 #[rstest]
 #[tokio::test]
 async fn commands_are_cancelled_when_their_queue_disconnects(#[values(true, false)] admin: bool) {
@@ -297,7 +301,7 @@
     assert!(timeout(PATIENCE, admin.next()).await.expect("in time").is_err());
 }
 
-/// At the program's end a queue closes once its commands are answered, an idle one at once.
+/// At shutdown a queue closes once its commands are answered, an idle one at once.
 #[tokio::test]
 async fn after_sigterm_queues_close_as_soon_as_nothing_is_open() {
     let mixed = mixed(&[Does::Silent], 0).await;
@@ -307,7 +311,7 @@
     mixed.rig.until(|c| c.attempts_sent == 1).await;
     mixed.stop.send_replace(true);
     assert!(timeout(PATIENCE, idle.io.next()).await.expect("in time").is_err());
-    assert_eq!(mixed.rig.counters().await.total_answers().shed, 0, "the other still waits");
+    assert_eq!(mixed.rig.counters().await.total_answers().shed, 0, "the other command still waits");
     let status = finish(&mut busy.io, 3, Bytes::new()).await.0.status;
     assert_eq!(Status { delay: 0, ..status }, Status::INTERRUPTED);
     for queue in [&mut busy.io, &mut busy.admin, &mut idle.admin] {
@@ -315,7 +319,7 @@
     }
 }
 
-/// Guards memory against a host that does not keep to its queue's size.
+/// Guards against unbounded memory use by a host that sends more commands than its queue holds.
 #[tokio::test]
 async fn more_commands_than_the_queue_holds_end_the_connection() {
     let mixed = mixed(&[Does::Silent], 0).await;
@@ -326,14 +330,14 @@
     for _ in 0..32 {
         assert!(matches!(next_pdu(&mut host.io).await, Pdu::R2t { .. }));
     }
-    let Pdu::TermReq { fatal, .. } = next_pdu(&mut host.io).await else { panic!("no reason") };
+    let Pdu::TermReq { fatal, .. } = next_pdu(&mut host.io).await else { panic!("no termination request") };
     assert_eq!(
         (fatal, mixed.rig.until(|c| c.malformed_requests == 1).await.requests_received),
         (Fatal::SEQUENCE, 0)
     );
 }
 
-/// Malformed PDUs end the connection with the reason; the front goes on for others.
+/// Malformed PDUs end the connection with the reason; the front still serves other hosts.
 #[rstest]
 #[case::no_ic(true, vec![4, 0, 72, 0, 72, 0, 0, 0], 72, Fatal::SEQUENCE)]
 #[case::version(true, vec![0, 0, 128, 0, 128, 0, 0, 0, 9], 128, Fatal::parameter(8))]
@@ -365,7 +369,7 @@
         assert!(matches!(next_pdu(&mut wire).await, Pdu::IcResp { .. }));
     }
     let Pdu::TermReq { by_host: false, fatal: told, .. } = next_pdu(&mut wire).await else {
-        panic!("no reason")
+        panic!("no termination request")
     };
     assert_eq!(told, fatal);
     drop(wire);
@@ -387,12 +391,14 @@
     let Pdu::R2t { ttag, .. } = next_pdu(&mut host.io).await else { panic!("not asked for data") };
     let data = Bytes::from(vec![0; size]);
     host.io.send(&[Pdu::H2cData { cid: 4, ttag, offset, last: true, data }]).await.unwrap();
-    let Pdu::TermReq { fatal: told, .. } = next_pdu(&mut host.io).await else { panic!("no reason") };
+    let Pdu::TermReq { fatal: told, .. } = next_pdu(&mut host.io).await else {
+        panic!("no termination request")
+    };
     assert_eq!((told, mixed.rig.counters().await.requests_received), (fatal, 0));
 }
 
-/// Both kinds of node start at 24% of their capacity: guards against a burst through the second front, which
-/// the guard of the first would not see if the two did not share it.
+/// Both kinds of node start at 24% of their capacity. Guards against a burst through the NVMe front, which
+/// the slow-start limit of the HTTP front would not include if the two fronts did not share it.
 #[tokio::test]
 async fn nodes_of_both_kinds_in_slow_start_are_not_overloaded() {
     let born = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis();
@@ -400,7 +406,7 @@
     let begun = Instant::now();
     let mut hosts = tokio::task::JoinSet::new();
     for host in 0..16 {
-        // Sixteen connections would be all that the front takes, two for a host.
+        // Sixteen connections are all that the front accepts, two per host.
         let address = mixed.address;
         if host % 2 == 0 {
             hosts.spawn(async move {
@@ -419,11 +425,11 @@
     let bears = 24.0 * (0.24 + 0.76 * age) / 0.24;
     for node in 0..2 {
         let sent: Vec<_> = mixed.log.all().iter().filter(|s| s.node == node).map(|s| s.at).collect();
-        assert!(!sent.is_empty(), "node {node} got nothing");
+        assert!(!sent.is_empty(), "node {node} got no requests");
         for from in &sent {
             let window = sent.iter().filter(|at| *at >= from && **at < *from + Duration::from_millis(250));
             let units = window.count() as f64 * 4.0;
-            assert!(units <= bears, "node {node}: {units} units within the window, {bears} borne");
+            assert!(units <= bears, "node {node}: {units} units within the window, at most {bears} allowed");
         }
     }
 }
--- a/crates/scheduler/tests/net/parsers.rs
+++ b/crates/scheduler/tests/net/parsers.rs
@@ -38,7 +38,7 @@
         bytes.as_bytes().chunks(piece).for_each(|part| written.note(part));
         assert_eq!(written.whole(), whole);
     }
-    assert_eq!(tries.total(), if whole { 2 } else { 0 }, "counted once each");
+    assert_eq!(tries.total(), if whole { 2 } else { 0 }, "each is counted once");
 }
 
 #[rstest]
@@ -76,7 +76,7 @@
     }
 }
 
-/// A PDU of 128 bytes in all, or of 24 bytes and data.
+/// Returns `start`, padded with zeros to `size` bytes.
 fn pdu(start: &[u8], size: usize) -> Vec<u8> {
     let mut bytes = start.to_vec();
     bytes.resize(size, 0);
@@ -157,7 +157,7 @@
 fn pdus_round_trip(#[case] bytes: Vec<u8>, #[case] pdu: Pdu) {
     let mut input = BytesMut::new();
     for byte in &bytes {
-        assert_eq!(Pdu::decode(&mut input), Ok(None), "not whole after {} bytes", input.len());
+        assert_eq!(Pdu::decode(&mut input), Ok(None), "not complete after {} bytes", input.len());
         input.extend_from_slice(&[*byte]);
     }
     assert_eq!(Pdu::decode(&mut input), Ok(Some(pdu.clone())));
@@ -206,7 +206,7 @@
     heathward_config::parse_configuration(&text).unwrap().deployment
 }
 
-/// The deployment's own file: guards against one that only the tests could read.
+/// Includes the deployment's own file: guards against one that only the tests could read.
 #[rstest]
 #[case::same("", "", None)]
 #[case::class("\"read\": \"consulta\"", "\"read\": \"pedido\"", Some("read"))]
@@ -246,7 +246,8 @@
     Rules::parse(text, Arc::new(deployment())).unwrap()
 }
 
-/// What a source's entry becomes: time, class, volume, data, units, shard.
+/// Returns the time, class, volume, key, units and shard of the request that an entry of a load source
+/// becomes.
 fn told(recorded: &Recorded) -> (u64, u16, u64, u64, u32, u64) {
     let call = recorded.taken_at(Instant::now());
     let shard = u64::from(call.shard.unwrap().0);
@@ -345,8 +346,8 @@
     }
 }
 
-/// Whatever pieces it comes in: objects, on one line or over several, and the lines between them; broken ones
-/// do not take with them what follows.
+/// In pieces of any size: objects, on one line or over several, and the lines between them. A malformed line
+/// or object does not affect those that follow it.
 #[rstest]
 #[case::one_a_line("{\"a\":1}\n\n{\"b\":{\"c\":2}}\n", &["{\"a\":1}", "", "{\"b\":{\"c\":2}}"])]
 #[case::no_end_of_line("{\"a\":1}", &["{\"a\":1}"])]
--- a/crates/scheduler/tests/net/process.rs
+++ b/crates/scheduler/tests/net/process.rs
@@ -1,4 +1,4 @@
-//! The program itself: what it says of a wrong configuration, and how it ends.
+//! The program as a process: its messages on an invalid configuration, its reloads, and how it ends.
 
 use std::io::{BufRead, BufReader, Read};
 use std::net::SocketAddr;
@@ -16,7 +16,7 @@
 
 use crate::support::{address_in_next_line, send_signal, start_program, wait_until_listening, write_config};
 
-/// The NVMe front is off unless the program is pointed at its file.
+/// The NVMe front is off unless the command line names an NVMe map.
 #[tokio::test]
 async fn the_nvme_front_listens_where_its_map_says() {
     let config = write_config("nvme-config", &config_text("127.0.0.1:0", "127.0.0.1:1", ""));
@@ -60,7 +60,8 @@
     assert!(said.lines().count() == 1 && said.contains(field), "{said}");
 }
 
-/// Guards against losing what is open at a planned restart, and against refusing those who still come.
+/// Guards against losing open requests at a planned restart, and against rejecting clients that still
+/// connect.
 #[tokio::test]
 async fn after_sigterm_open_and_new_requests_are_answered_before_the_exit() {
     let log = Log::default();
@@ -76,11 +77,12 @@
     assert_eq!(answer(&mut idle).await.0, 200);
     open.write_all(request("consulta", 2, 0, 900, "").as_bytes()).await.unwrap();
     while log.all().len() < 2 {
-        assert!(Instant::now() < by, "it never sends");
+        assert!(Instant::now() < by, "no request is forwarded");
         sleep(Duration::from_millis(5)).await;
     }
     send_signal(&child, "-TERM");
-    // Old and new connections are served, the open request is answered; then they are closed.
+    // Requests on old and new connections are served, and the open request is answered; then the connections
+    // are closed.
     let mut new = TcpStream::connect(address).await.unwrap();
     for (stream, call) in [(&mut idle, 3), (&mut new, 4)] {
         stream.write_all(request("consulta", call, 1, 900, "").as_bytes()).await.unwrap();
@@ -97,8 +99,9 @@
     assert!(last.contains("counters taken=4 ") && last.contains(" served=3 refused=1 "), "{said}");
 }
 
-/// Clients may wait for longer than the platform lets it run on after SIGTERM. Guards against an end of their
-/// connections in place of an answer: what is out then has failed, and comes with a status.
+/// Clients may wait longer than the platform lets the process run after SIGTERM. Guards against a connection
+/// that is closed without an answer: a request that is unanswered then has failed, and its client gets a
+/// status.
 #[tokio::test]
 async fn requests_open_past_the_shutdown_deadline_are_answered_before_it() {
     let log = Log::default();
@@ -111,7 +114,7 @@
     open.write_all(request("consulta", 1, 0, 9_000, "").as_bytes()).await.unwrap();
     let by = Instant::now() + PATIENCE;
     while log.all().is_empty() {
-        assert!(Instant::now() < by, "it never sends");
+        assert!(Instant::now() < by, "no request is forwarded");
         sleep(Duration::from_millis(5)).await;
     }
     send_signal(&child, "-TERM");
@@ -119,7 +122,7 @@
     let answered = timeout(PATIENCE, read_message(&mut open)).await.expect("an answer or an end");
     let (head, ..) = answered.expect("an answer before the end");
     assert!(head.starts_with("http/1.1 504"), "{head}");
-    assert!(told.elapsed() > Duration::from_secs(2), "it had the time that there was");
+    assert!(told.elapsed() > Duration::from_secs(2), "it was given the time until the shutdown deadline");
     assert!(child.wait().unwrap().success());
 }
 
@@ -129,8 +132,9 @@
     line
 }
 
-/// SIGHUP ended the program once. A file that makes no sense is named and leaves all as it was; a good one is
-/// gone by as a whole, with what is open going on, also when they come in a row.
+/// Guards against a SIGHUP that ends the program. An invalid file is reported by its field and changes
+/// nothing; a valid one is applied as a whole while open requests continue, also after several invalid ones
+/// in a row.
 #[tokio::test]
 async fn sighup_reloads_the_configuration() {
     let log = Log::default();
@@ -159,16 +163,16 @@
     assert!(line(&mut lines).contains("configuration reloaded"));
     let (_watch, head) = watched(&new).await;
     assert!(head.contains("after=7 "), "{head}");
-    // The old watch still counts: it tells of a drain.
+    // The old watch still counts: it reports a drain.
     let drained = members.replace("in_service", "terminating");
     tell(&mut watch, &format!("{{\"revision\":9,\"complete\":false,\"members\":[{drained}]}}\n")).await;
-    assert!(matches!(answer(&mut open).await.0, 503 | 504), "what is open is answered");
+    assert!(matches!(answer(&mut open).await.0, 503 | 504), "the open request is answered");
     let by = Instant::now() + PATIENCE;
     let mut call = 2;
     loop {
         let mut client = TcpStream::connect(address).await.unwrap();
-        // A budget that lets the request wait no longer than its aim: what drains is refused, with the new
-        // hint.
+        // With this time budget the request waits no longer than its latency objective: a request to a
+        // draining node is rejected, with the new retry hint.
         client
             .write_all(request("consulta", call, 0, 900, "").replace("prioritario", "basico").as_bytes())
             .await
@@ -178,14 +182,14 @@
             assert_eq!(header(&head, "retry-after"), Some("1.500"));
             break;
         }
-        assert!(Instant::now() < by, "the drain is not heard of");
+        assert!(Instant::now() < by, "the drain is not applied");
         call += 1;
     }
     child.kill().unwrap();
     child.wait().unwrap();
 }
 
-/// The counters come on SIGUSR1, while it runs.
+/// SIGUSR1 writes the counters to the log while the program runs.
 #[tokio::test]
 async fn sigusr1_writes_the_counters_to_the_log() {
     let path = write_config("counts", &config_text("127.0.0.1:0", "127.0.0.1:1", ""));
@@ -251,7 +255,7 @@
     assert!(held.0 == Some(2) && held.2.contains("namespaces.1.plan"), "{held:?}");
 }
 
-/// Whatever an operator file does, it is refused in time, in one line that says why, and nothing hangs.
+/// Whatever an operator file contains, it is rejected in time, with a one-line reason, and nothing hangs.
 #[rstest]
 #[case::syntax("{", "operator file")]
 #[case::slip("{ logs: {} }", "logs")]
@@ -281,7 +285,8 @@
     assert!(code == Some(0) && out.contains("operator file, would be taken"), "{out}{err}");
 }
 
-/// On SIGHUP the file acts whole or not at all: its log's level changes, and a wrong one leaves the old.
+/// On SIGHUP the operator file is applied as a whole or not at all: the format of the log changes, and an
+/// invalid file leaves the old one.
 #[test]
 fn sighup_reloads_the_operator_file() {
     let config = write_config("reread-config", &config_text("127.0.0.1:0", "127.0.0.1:1", ""));
@@ -291,7 +296,7 @@
     let mut lines = BufReader::new(child.stderr.take().unwrap());
     let mut until = |what: &str| loop {
         let mut line = String::new();
-        assert!(lines.read_line(&mut line).unwrap() > 0, "it ended and never said {what:?}");
+        assert!(lines.read_line(&mut line).unwrap() > 0, "it ended without logging {what:?}");
         if line.contains(what) {
             return line;
         }
@@ -305,7 +310,7 @@
     }
     std::fs::write(&operator, "{ log: { filter: 'info' } }").unwrap();
     send_signal(&child, "-HUP");
-    assert!(!until("configuration reloaded").starts_with('{'), "text from now on");
+    assert!(!until("configuration reloaded").starts_with('{'), "the format is text from now on");
     child.kill().unwrap();
     child.wait().unwrap();
 }
--- a/crates/scheduler/tests/net/rejected_requests.rs
+++ b/crates/scheduler/tests/net/rejected_requests.rs
@@ -41,12 +41,16 @@
     assert!(text.contains(from));
     let (status, head, _) = rig.ask(&(text.replacen(from, to, 1) + "xy")).await;
     assert_eq!((status, header(&head, "connection")), (400, Some("close")), "{head}");
-    assert_eq!(rig.ask(&text).await.0, 200, "and goes on serving");
-    assert_eq!((rig.counters().await.requests_received, log.all().len()), (1, 1), "never passed on");
+    assert_eq!(rig.ask(&text).await.0, 200, "the front still serves requests");
+    assert_eq!(
+        (rig.counters().await.requests_received, log.all().len()),
+        (1, 1),
+        "the request is not forwarded"
+    );
 }
 
-/// A body with two lengths may hide a request, whichever of them stands first. Guards against passing on
-/// either, and against reading what is hidden as a request of its own.
+/// A body with two lengths may hide a request, whichever length comes first. Guards against forwarding the
+/// request or the hidden one, and against reading the hidden bytes as a request.
 #[rstest]
 #[case::chunked_last("Content-Length: 5\r\nTransfer-Encoding: chunked")]
 #[case::chunked_first("Transfer-Encoding: chunked\r\nContent-Length: 5")]
@@ -63,7 +67,7 @@
     assert_eq!((rig.counters().await.requests_received, log.all().len()), (0, 0));
 }
 
-/// Guards against two attempts at once for what a node takes for one request.
+/// Guards against two concurrent attempts that a node takes for the same request.
 #[tokio::test]
 async fn the_id_of_an_open_request_is_rejected() {
     let OneNode { rig, log, .. } = one_node(&[Does::Silent, Does::Serve]).await;
@@ -71,12 +75,13 @@
     first.write_all(request("consulta", 1, 0, 900, "").as_bytes()).await.unwrap();
     rig.until(|c| c.attempts_sent == 1).await;
     assert_eq!(rig.ask(&request("consulta", 1, 0, 900, "")).await.0, 400);
-    assert!(matches!(answer(&mut first).await.0, 503 | 504), "the first goes on to its own end");
-    assert_ne!(rig.ask(&request("consulta", 1, 0, 900, "")).await.0, 400, "and frees its id");
+    assert!(matches!(answer(&mut first).await.0, 503 | 504), "the first request is still answered");
+    assert_ne!(rig.ask(&request("consulta", 1, 0, 900, "")).await.0, 400, "its id is free again");
     log.check_one_at_a_time();
 }
 
-/// What never comes to its end: within 3 s of connecting its client is told so, or cut off.
+/// A request that is never completed: within 3 s of connecting its client gets an answer that says so, or is
+/// disconnected.
 #[rstest]
 #[case::nothing("", None)]
 #[case::half_a_head("GET /consulta/0000", Some(408))]
@@ -93,8 +98,8 @@
     assert_eq!(told.map(|(head, ..)| head[9..12].parse().unwrap()), status);
 }
 
-/// The client sends all the same, as fast as it can, and reads then. Guards against a reset that overtakes
-/// the answer, and against reading what was refused.
+/// The client keeps sending as fast as it can, and reads only then. Guards against a reset that arrives
+/// before the answer, and against reading a body that was rejected.
 #[rstest]
 #[case::body("Content-Length: 60000000\r\n", 413)]
 #[case::head("X-Pad: ", 431)]
--- a/crates/scheduler/tests/net/request_writer.rs
+++ b/crates/scheduler/tests/net/request_writer.rs
@@ -1,4 +1,4 @@
-//! The one place from which a request's first byte goes out, on a real socket.
+//! The only place from which the first byte of a request is written, tested on a real socket.
 
 use std::convert::Infallible;
 use std::future::{ready, Ready};
@@ -25,22 +25,23 @@
     (Counted::new(near, written.clone()), written, listener.accept().await.unwrap().0)
 }
 
-/// What shuts the way to a node, or ends the wish to go there.
+/// What closes the send gate of a node, or ends the attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Shuts {
-    /// The list says that it drains.
+    /// The endpoint list marks the node as draining.
     Drain,
-    /// The list may no longer be gone by.
+    /// The endpoint lease has expired.
     Silence,
-    /// The attempt's time is over, as it waited somewhere.
+    /// The deadline of the attempt has passed while it waited.
     Time,
-    /// The client has left, or has its answer.
+    /// The client has disconnected, or has its answer.
     Cancel,
 }
 
-/// Guards against an attempt that was decided before the news, and whose connection comes up after the grace:
-/// nothing of it is written, whatever it has waited for; one that has begun goes on to its end. And against
-/// one whose client has left: of that no byte more is written.
+/// Guards against an attempt that was decided before the node's state changed, and whose connection is
+/// established after the grace period: no byte of it is written, whatever it waited for, but an attempt that
+/// has begun is completed. Also guards against an attempt whose client has disconnected: no further byte of
+/// it is written.
 #[rstest]
 #[tokio::test]
 async fn no_first_byte_is_written_once_the_gate_is_closed_and_no_request_is_cut(
@@ -66,7 +67,7 @@
     let rest = near.write_all(&HEAD[before..]).await;
     let stopped = before == 0 || shuts == Shuts::Cancel;
     assert_eq!((rest.is_err(), written.withheld(), written.whole()), (stopped, stopped, !stopped));
-    // Not even where the way opens again meanwhile: the attempt has been told as never sent.
+    // Not even if the gate opens again meanwhile: the attempt has been reported as never sent.
     gate.set_closed(false);
     end.set(None);
     assert_eq!(near.write_all(HEAD).await.is_err(), stopped);
@@ -77,7 +78,8 @@
     assert_eq!(came.len(), whole, "{came:?}");
 }
 
-/// What a node does on a connection that has carried a request, in the very moment in which the next is due.
+/// What a node does on a connection that has carried a request, at the moment at which the next request is
+/// due.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Crosses {
     Nothing,
@@ -86,9 +88,9 @@
     Close,
 }
 
-/// The runtime has not been told of it, as nothing here waits for the socket: only the system knows. Guards
-/// against a second answer that is taken for that of the next request, and against a request that may have
-/// run for want of a look at a connection that was closed before.
+/// The runtime has not polled the socket, as no task waits for it: only the system knows of the event. Guards
+/// against a second answer that is taken for that of the next request, and against a request that counts as
+/// possibly executed because a connection that was closed earlier was not checked.
 #[rstest]
 #[tokio::test]
 async fn a_connection_with_unexpected_bytes_takes_no_further_request(
@@ -128,7 +130,7 @@
     }
 }
 
-/// Serves at once, and tells of each attempt whether it came on a kept connection.
+/// Serves each attempt at once, and reports whether it used a kept connection.
 struct AtOnce(mpsc::UnboundedSender<bool>);
 
 impl tower::Service<Job<Kept>> for AtOnce {
@@ -146,8 +148,8 @@
     }
 }
 
-/// "A second answer may come some milliseconds later": guards against a connection that is in use again by
-/// then. Of those that have rested one is used, and none is opened.
+/// "A second answer may come some milliseconds later": guards against a connection that has been reused by
+/// then. One of the connections that have paused is used, and no new one is opened.
 #[tokio::test(start_paused = true)]
 async fn a_connection_pauses_after_an_answer_before_the_next_attempt() {
     let config = config_text("127.0.0.1:1", "127.0.0.1:1", "");
--- a/crates/scheduler/tests/net/shutdown.rs
+++ b/crates/scheduler/tests/net/shutdown.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown: what is owed then, crossed by what still comes.
+//! Graceful shutdown: requests that must be answered, and requests that still arrive.
 
 use std::net::SocketAddr;
 
@@ -11,10 +11,10 @@
 use crate::support::{send_signal, start_program, wait_until_listening, write_config, HEALTH_CHECK};
 use heathward_fakes::*;
 
-/// What came of a request that was written whole.
+/// What a client receives for a request that was completely written.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Came {
-    /// A whole answer.
+    /// A complete answer.
     Answer(u16),
     /// The connection was closed before anything came.
     Nothing,
@@ -34,11 +34,11 @@
     }
 }
 
-/// Asks and asks again, on one connection, until that ends.
+/// Sends requests on one connection, each after the answer to the one before, until the connection ends.
 async fn insist(mut stream: TcpStream, first: u32) -> Vec<(u32, Came)> {
     let mut asked = Vec::new();
     for call in first.. {
-        // What can't be written any more was never taken.
+        // A request that cannot be written any more was never received.
         if stream.write_all(request("consulta", call, 0, 900, "").as_bytes()).await.is_err() {
             break;
         }
@@ -51,7 +51,7 @@
     asked
 }
 
-/// A connection that has carried a request.
+/// Returns a connection on which a request has been answered.
 async fn rested(address: SocketAddr, call: u32) -> TcpStream {
     let mut stream = TcpStream::connect(address).await.unwrap();
     stream.write_all(request("consulta", call, 0, 900, "").as_bytes()).await.unwrap();
@@ -60,15 +60,15 @@
 }
 
 const CLIENTS: u32 = 10;
-/// Requests that a node that nothing is known of gets at a time.
+/// The number of requests that a node with unknown capacity gets at a time.
 const NODE_BUDGET_REQUESTS: u32 = 4;
-/// Ids of one client.
+/// The number of request ids reserved for each client.
 const SPACE: u32 = 1 << 20;
 
-/// The process stands still while SIGTERM, once or twice, whole requests and half ones come: it meets all of
-/// it at once. Then clients come again as soon as they are answered, until it closes their connections.
-/// Guards against a request that is read and not answered, one that is sent on and not answered, an answer in
-/// part, and an end that waits for nobody or for ever.
+/// The process is stopped while SIGTERM, once or twice, and complete and partial requests arrive, so that it
+/// finds all of them at once. Then the clients send further requests as soon as they are answered, until
+/// their connections are closed. Guards against a request that is read and not answered, one that is
+/// forwarded and not answered, a partial answer, and an exit that waits for no request or forever.
 #[rstest]
 #[tokio::test]
 async fn requests_that_cross_the_shutdown_are_answered_or_never_read(#[values(1, 2)] times: usize) {
@@ -102,11 +102,12 @@
     let ended = Instant::now();
     let mut asked = insisting.join_all().await.concat();
     asked.sort_by_key(|(call, _)| *call);
-    // A close crosses a half request, which can then be sent again; one that was read is told why it ends.
+    // A client whose partial request was not read when its connection closed can send it again; if it was
+    // read, the client is told why the connection ends.
     for stream in &mut halves {
         assert!(matches!(came(stream).await, Came::Nothing | Came::Answer(408)));
     }
-    assert_eq!(came(&mut resting).await, Came::Nothing, "whoever rests is closed in order");
+    assert_eq!(came(&mut resting).await, Came::Nothing, "an idle connection is closed, not reset");
     let status = tokio::task::spawn_blocking(move || child.wait().unwrap()).await.unwrap();
     assert!(status.success());
     assert!(ended.elapsed() < Duration::from_secs(10), "{:?}", ended.elapsed());
@@ -119,21 +120,22 @@
             Came::Nothing => sent == 0,
             _ => false,
         };
-        assert!(kept, "{call:#x}: {came:?}, sent on {sent} times");
+        assert!(kept, "{call:#x}: {came:?}, forwarded {sent} times");
     }
     assert!(asked.iter().filter(|(_, came)| *came == Came::Answer(200)).count() > CLIENTS as usize);
 }
 
-/// Clients that the system has accepted for a process that stands still, their requests written whole or in
-/// part or not at all, with SIGTERM behind them, or when it has been heeded. Guards against a listener that
-/// is closed over them: each whole request has its answer, and nobody is reset.
+/// The system has accepted clients for a stopped process. Their requests are written completely, in part or
+/// not at all, and SIGTERM follows them or has already been handled. Guards against a listener that is closed
+/// with connections in its queue: each complete request is answered, and no connection is reset.
 #[rstest]
 #[tokio::test]
 async fn connections_waiting_to_be_accepted_at_shutdown_are_answered(#[values(false, true)] heeded: bool) {
     check_connections_waiting_to_be_accepted(heeded, "150").await;
 }
 
-/// The same where requests are not shed for having queued too long, as a loaded machine makes them do.
+/// Connections that wait to be accepted are served. The latency objective is so long that no request is shed
+/// for its queueing delay, which a loaded machine may cause.
 #[rstest]
 #[tokio::test]
 async fn connections_waiting_to_be_accepted_at_shutdown_are_served_without_a_tight_objective(
@@ -152,7 +154,7 @@
     let name = format!("accept{heeded}{objective_ms}");
     let (mut child, _lines, address) = wait_until_listening(start_program(&write_config(&name, &text), &[]));
     let mut resting = rested(address, SPACE).await;
-    // Until this has its answer the process has not ended.
+    // The process does not exit before this request is answered.
     let mut open = TcpStream::connect(address).await.unwrap();
     open.write_all(request("consulta", 2 * SPACE, 1, 3_000, "").as_bytes()).await.unwrap();
     while log.all().len() < 2 {
@@ -188,8 +190,8 @@
     assert_eq!(log.all().len(), 2 + CLIENTS as usize);
 }
 
-/// Nodes hang just then, and clients would wait for longer than the platform lets the program run, or for
-/// less than a moment: all are answered before it ends.
+/// Nodes hang during the shutdown, and clients would wait longer than the platform lets the process run, or
+/// only for a moment: all are answered before the exit.
 #[rstest]
 #[case::short(100)]
 #[case::long(10_000)]
@@ -208,10 +210,10 @@
         stream.write_all(request("consulta", call, 0, budget, "").as_bytes()).await.unwrap();
         open.push(stream);
     }
-    // The first is at the node: the others are there, or wait behind it.
+    // The first request is at the node; the others are there too, or queued behind it.
     let by = Instant::now() + PATIENCE;
     while log.all().is_empty() {
-        assert!(Instant::now() < by, "it never sends");
+        assert!(Instant::now() < by, "no request is forwarded");
         tokio::task::yield_now().await;
     }
     send_signal(&child, "-TERM");
@@ -224,8 +226,8 @@
     assert!(status.success());
 }
 
-/// Guards against requests that are demoted and shed for the time that a shutdown takes from them, as though
-/// their clients had waited for that time before.
+/// Guards against requests that are demoted and shed because the shutdown shortens their time, as if their
+/// clients had already waited for that time.
 #[tokio::test]
 async fn requests_during_a_shutdown_keep_their_priority() {
     let log = Log::default();
@@ -247,8 +249,8 @@
     assert_eq!(log.all().len(), NODE_BUDGET_REQUESTS as usize, "not all were forwarded: {statuses:?}");
 }
 
-/// Guards against 504 for a request that was never forwarded, as though a node might have executed it: its
-/// attempt waits for a connection when the time of the shutdown is over.
+/// Guards against 504 for a request that was never forwarded, as if a node might have executed it: its
+/// attempt still waits for a connection when the time for the shutdown is over.
 #[rstest]
 #[tokio::test]
 async fn requests_that_wait_for_a_connection_at_the_end_of_a_shutdown_are_shed(
@@ -259,24 +261,25 @@
     let mut client = TcpStream::connect(rig.front).await.unwrap();
     client.write_all(request(class, 1, 0, 700, "").as_bytes()).await.unwrap();
     rig.until(|counters| counters.attempts_sent == 1).await;
-    // By then no connection is given up yet: an attempt waits for one for up to half of its request's time.
+    // No connection attempt has timed out by then: an attempt waits for a connection for up to half of its
+    // request's time.
     rig.core.set_shutdown_deadline(Instant::now() + Duration::from_millis(100)).await;
     assert_eq!(answer(&mut client).await.0, 503);
     rig.until_at_rest().await;
     assert_eq!(rig.counters().await.attempts_written, 0);
 }
 
-/// What a program that starts finds of discovery.
+/// The state of discovery at startup.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Agent {
-    /// Nobody takes a call.
+    /// No connection is accepted.
     Down,
-    /// Calls are taken, and nothing is said.
+    /// Connections are accepted, and nothing is sent on them.
     Silent,
 }
 
-/// Ready within 10 s whatever discovery does, by its saved list, which nothing tells it to distrust; and told
-/// to end before it is ready, it ends.
+/// The program is ready within 10 s whatever discovery does, with its cached list, which nothing contradicts;
+/// and it exits if it is told to before it is ready.
 #[rstest]
 #[tokio::test]
 async fn start_and_shutdown_need_no_discovery(
--- a/crates/scheduler/tests/net/shutdown_stall.rs
+++ b/crates/scheduler/tests/net/shutdown_stall.rs
@@ -1,5 +1,5 @@
-//! Shutdown of a process that is held up: by the platform for up to 0.15 s, at the signal or before its last
-//! answers, or by a reload.
+//! Shutdown of a process that is delayed: stopped by the platform for up to 0.15 s, at the signal or before
+//! its last answers, or by a reload.
 
 use std::path::PathBuf;
 use std::process::Child;
@@ -14,20 +14,20 @@
 use crate::support::{replace_by_pipe, start_program, wait_until_listening, write_config};
 use heathward_fakes::*;
 
-/// The platform holds a process for so long at most.
+/// The longest time for which the platform stops a process.
 const STALL: Duration = Duration::from_millis(150);
 /// The longest deadline of a class in these tests.
 const DEADLINE: Duration = Duration::from_millis(1000);
-/// SIGKILL follows SIGTERM this much after the longest deadline.
+/// The time between the longest deadline after SIGTERM and SIGKILL.
 const KILL_DELAY: Duration = Duration::from_millis(700);
 /// A request that comes this long after SIGTERM or later is lost if SIGKILL finds it unanswered.
 const COUNTED_AFTER: Duration = Duration::from_millis(700);
-/// When the clients ask, after SIGTERM.
+/// When the clients send their requests, after SIGTERM.
 const ASKED_AFTER: Duration = Duration::from_millis(760);
-/// Requests that a node that nothing is known of gets at a time.
+/// The number of requests that a node with unknown capacity gets at a time.
 const CLIENTS: u32 = 4;
 
-/// A program before a node that answers nothing, with clients that are connected.
+/// A program with a node that answers nothing, and connected clients.
 struct HangingNode {
     child: Child,
     process: Pid,
@@ -41,7 +41,7 @@
         let log = Log::default();
         let node = http_node(0, &[Does::Silent], &log).await;
         let members = member("s0", node, 0, "in_service", 0);
-        // An attempt lasts for as long as its client waits.
+        // An attempt lasts as long as its client waits.
         let text =
             config_text("127.0.0.1:0", "127.0.0.1:1", &members).replace("\"aimMs\":150", "\"aimMs\":1000");
         let config = write_config(name, &text);
@@ -54,7 +54,7 @@
         Self { child, process, config, log, clients }
     }
 
-    /// Stops the process over a time.
+    /// Stops the process for [`STALL`], beginning at `from`.
     async fn stall(&self, from: Instant) {
         sleep_until(from).await;
         kill_process(self.process, Signal::STOP).unwrap();
@@ -62,10 +62,13 @@
         kill_process(self.process, Signal::CONT).unwrap();
     }
 
-    /// Has the clients ask, so that all of them are in flight.
+    /// Sends a request from each client, so that all of them are in flight.
     async fn ask(&mut self, signalled: Instant) -> JoinSet<Option<String>> {
         sleep_until(signalled + ASKED_AFTER).await;
-        assert!(ASKED_AFTER >= COUNTED_AFTER && signalled.elapsed() < DEADLINE, "the clients ask too late");
+        assert!(
+            ASKED_AFTER >= COUNTED_AFTER && signalled.elapsed() < DEADLINE,
+            "the clients send their requests too late"
+        );
         let mut answers = JoinSet::new();
         for (call, mut stream) in (0..).zip(std::mem::take(&mut self.clients)) {
             stream.write_all(request("consulta", call, 0, 1000, "").as_bytes()).await.unwrap();
@@ -74,10 +77,11 @@
         answers
     }
 
-    /// Kills the process when the platform does, and checks that all clients have their answers.
+    /// Kills the process at the time at which the platform does, and checks that all clients have their
+    /// answers.
     async fn kill(mut self, signalled: Instant, answers: JoinSet<Option<String>>) {
         sleep_until(signalled + DEADLINE + KILL_DELAY).await;
-        // One that has ended is none to kill.
+        // The process may have exited by then.
         let _ = kill_process(self.process, Signal::KILL);
         let answers = answers.join_all().await;
         self.child.wait().unwrap();
@@ -86,8 +90,8 @@
     }
 }
 
-/// Guards against a shutdown that counts from the moment at which SIGTERM is heeded, or leaves no time to
-/// write its last answers: SIGKILL then finds requests unanswered.
+/// Guards against a shutdown that counts from when SIGTERM is received, or leaves no time to write its last
+/// answers: requests are then unanswered at SIGKILL.
 #[rstest]
 #[tokio::test]
 async fn requests_are_answered_before_sigkill_if_the_process_stalls(
@@ -111,8 +115,7 @@
     program.kill(signalled, answers).await;
 }
 
-/// Guards against a reload that keeps the program from heeding SIGTERM: its configuration is never read to
-/// the end.
+/// Guards against a reload that delays the handling of SIGTERM: the configuration is never read to its end.
 #[tokio::test]
 async fn requests_are_answered_before_sigkill_if_a_reload_hangs() {
     let operator = write_config("reload-hangs-operator", "{}");
