--- a/crates/scheduler/tests/net/nvme.rs
+++ b/crates/scheduler/tests/net/nvme.rs
@@ -42,15 +42,15 @@
     log: Log,
     address: SocketAddr,
     stop: watch::Sender<bool>,
-    _kept: tokio::net::TcpSocket,
+    _reserved_socket: tokio::net::TcpSocket,
 }
 
 /// Starts the scheduler with both fronts. The HTTP node and the target both follow `script`.
-async fn mixed(script: &[Does], up_since_ms: u128) -> Mixed {
+async fn start_mixed(script: &[Does], up_since_ms: u128) -> Mixed {
     let log = Log::default();
     let http = http_node(0, script, &log).await;
     let target = target(1, script, &log).await;
-    let (kept, nobody) = nobody();
+    let (reserved_socket, nobody) = nobody();
     let members = [
         member("s0", http, 0, "in_service", up_since_ms),
         member("s1", target, 1, "in_service", up_since_ms),
@@ -63,7 +63,7 @@
     let (listener, address) = listen().await;
     let (stop, stopping) = watch::channel(false);
     tokio::spawn(serve(listener, subsystem, 16, stopping));
-    Mixed { rig, log, address, stop, _kept: kept }
+    Mixed { rig, log, address, stop, _reserved_socket: reserved_socket }
 }
 
 /// A write of one block.
@@ -71,7 +71,7 @@
 
 #[tokio::test]
 async fn a_host_discovers_its_namespaces_and_reads_and_writes_on_both_kinds_of_node() {
-    let mixed = mixed(&[Does::Serve], 0).await;
+    let mixed = start_mixed(&[Does::Serve], 0).await;
     let mut host = Host::connect(mixed.address).await;
     for (offset, wide, value) in
         [(0x00, true, 63 | 1 << 16 | 1 << 24 | 1 << 37), (0x08, false, 0x0001_0400), (0x1c, false, 1)]
@@ -118,9 +118,16 @@
 #[case::error_read(Does::Error, SMALL, false, AttemptEnd::Error, 3, Status::INTERRUPTED)]
 #[case::error_write(Does::Error, SMALL, true, AttemptEnd::Error, 3, Status::INTERNAL.last())]
 #[case::error_large(Does::Error, LARGE, true, AttemptEnd::Error, 3, Status::INTERNAL.last())]
-#[case::full(Does::Reject, SMALL, true, AttemptEnd::Rejected, 1, Status::INTERRUPTED)]
-#[case::spoilt_read(Does::Say("no sense\r\n\r\n"), SMALL, false, AttemptEnd::Error, 3, Status::INTERRUPTED)]
-#[case::spoilt_write(
+#[case::rejected(Does::Reject, SMALL, true, AttemptEnd::Rejected, 1, Status::INTERRUPTED)]
+#[case::malformed_read(
+    Does::Say("no sense\r\n\r\n"),
+    SMALL,
+    false,
+    AttemptEnd::Error,
+    3,
+    Status::INTERRUPTED
+)]
+#[case::malformed_write(
     Does::Say("no sense\r\n\r\n"),
     SMALL,
     true,
@@ -136,23 +143,26 @@
     #[case] size: usize,
     #[case] write: bool,
     #[case] end: AttemptEnd,
-    #[case] tries: u64,
-    #[case] ends: Status,
+    #[case] attempts: u64,
+    #[case] expected_status: Status,
     #[values(0, 256)] first: u64,
 ) {
-    let mixed = mixed(&[does], 0).await;
+    let mixed = start_mixed(&[does], 0).await;
     let mut host = Host::connect(mixed.address).await;
     let status = if write {
         host.write(1, first, vec![7; size]).await
     } else {
         host.read(1, first, size).await.0.status
     };
-    assert_eq!(Status { delay: 0, ..status }, ends);
-    assert_eq!(status.delay > 0, ends == Status::INTERRUPTED, "with a hint when to retry");
+    assert_eq!(Status { delay: 0, ..status }, expected_status);
+    assert_eq!(status.delay > 0, expected_status == Status::INTERRUPTED, "with a hint when to retry");
     let counters = mixed.rig.counters().await;
-    assert!(counters.attempts_ended(end) == tries && counters.attempts_sent == tries, "{counters}");
+    assert!(counters.attempts_ended(end) == attempts && counters.attempts_sent == attempts, "{counters}");
     let seen = mixed.log.all();
-    assert!(seen.iter().all(|s| s.node == u32::from(first >= 256)), "only on its shard: {seen:?}");
+    assert!(
+        seen.iter().all(|request| request.node == u32::from(first >= 256)),
+        "only on its shard: {seen:?}"
+    );
     let span = seen.last().unwrap().at - seen[0].at;
     assert!(span < Duration::from_millis(2500), "retries within the window: {span:?}");
     mixed.log.check_one_at_a_time();
@@ -163,18 +173,18 @@
 #[rstest]
 #[case::before_its_data(Does::HangUp, LARGE, AttemptEnd::NotConnected, Status::INTERRUPTED)]
 #[case::after_its_data(Does::Reset, LARGE, AttemptEnd::Reset, Status::INTERNAL.last())]
-#[case::after_a_whole_capsule(Does::HangUp, SMALL, AttemptEnd::Reset, Status::INTERNAL.last())]
+#[case::after_a_complete_capsule(Does::HangUp, SMALL, AttemptEnd::Reset, Status::INTERNAL.last())]
 #[tokio::test]
 async fn a_target_closes_a_queue_mid_command(
     #[case] does: Does,
     #[case] size: usize,
     #[case] end: AttemptEnd,
-    #[case] ends: Status,
+    #[case] expected_status: Status,
 ) {
-    let mixed = mixed(&[does], 0).await;
+    let mixed = start_mixed(&[does], 0).await;
     let mut host = Host::connect(mixed.address).await;
     let status = host.write(1, 256, vec![7; size]).await;
-    assert_eq!(Status { delay: 0, ..status }, ends);
+    assert_eq!(Status { delay: 0, ..status }, expected_status);
     let counters = mixed.rig.counters().await;
     // A reset is retried, as an error is.
     assert_eq!(counters.attempts_ended(end), if end == AttemptEnd::Reset { 3 } else { 1 }, "{counters}");
@@ -184,18 +194,18 @@
 #[rstest]
 #[tokio::test]
 async fn a_deadline_that_has_passed_is_command_abort_requested(#[values(0, 256)] first: u64) {
-    let mixed = mixed(&[Does::Silent], 0).await;
+    let mixed = start_mixed(&[Does::Silent], 0).await;
     let mut host = Host::connect(mixed.address).await;
-    let asked = Instant::now();
+    let sent_at = Instant::now();
     assert_eq!(host.write(1, first, vec![7; SMALL]).await, Status::ABORTED);
-    assert!(asked.elapsed() >= Duration::from_millis(650), "{:?}", asked.elapsed());
-    let counters = mixed.rig.until(|c| c.total_answers().failed == 1).await;
+    assert!(sent_at.elapsed() >= Duration::from_millis(650), "{:?}", sent_at.elapsed());
+    let counters = mixed.rig.until(|counters| counters.total_answers().failed == 1).await;
     assert_eq!((counters.attempts_sent, counters.overdue_requests), (1, 0), "{counters}");
 }
 
 #[tokio::test]
 async fn a_node_that_is_down_is_interrupted_with_a_hint() {
-    let mixed = mixed(&[Does::Serve], 0).await;
+    let mixed = start_mixed(&[Does::Serve], 0).await;
     let mut host = Host::connect(mixed.address).await;
     let status = host.write(2, 0, vec![7; SMALL]).await;
     assert!(
@@ -220,11 +230,11 @@
 async fn a_malformed_io_command_gets_its_status_code_and_the_queue_goes_on(
     #[case] body: Body,
     #[case] sgl: Sgl,
-    #[case] ends: Status,
+    #[case] expected_status: Status,
 ) {
-    let mixed = mixed(&[Does::Serve], 0).await;
+    let mixed = start_mixed(&[Does::Serve], 0).await;
     let mut host = Host::connect(mixed.address).await;
-    assert_eq!(ask(&mut host.io, 8, body, sgl, Bytes::new()).await.0.status, ends);
+    assert_eq!(ask(&mut host.io, 8, body, sgl, Bytes::new()).await.0.status, expected_status);
     assert_eq!(host.read(1, 0, SMALL).await.0.status, Status::SUCCESS);
     assert_eq!(mixed.rig.counters().await.requests_received, 1);
 }
@@ -241,17 +251,17 @@
 #[tokio::test]
 async fn a_malformed_admin_command_gets_its_status_code_and_the_queue_goes_on(
     #[case] body: Body,
-    #[case] ends: Status,
+    #[case] expected_status: Status,
 ) {
-    let mixed = mixed(&[Does::Serve], 0).await;
+    let mixed = start_mixed(&[Does::Serve], 0).await;
     let mut host = Host::connect(mixed.address).await;
-    assert_eq!(ask(&mut host.admin, 8, body, NONE, Bytes::new()).await.0.status, ends);
+    assert_eq!(ask(&mut host.admin, 8, body, NONE, Bytes::new()).await.0.status, expected_status);
     assert_eq!(ask(&mut host.admin, 9, Body::KeepAlive, NONE, Bytes::new()).await.0.status, Status::SUCCESS);
 }
 
 #[tokio::test]
 async fn a_queue_is_connected_first_and_to_a_controller_of_its_host() {
-    let mixed = mixed(&[Does::Serve], 0).await;
+    let mixed = start_mixed(&[Does::Serve], 0).await;
     let mut early = wire(mixed.address).await;
     assert_eq!(ask(&mut early, 1, Body::KeepAlive, NONE, Bytes::new()).await.0.status, Status::SEQUENCE);
     assert_eq!(join(&mut early, 1, 77, 0).await.status, Status::CONNECT_PARAMETER, "no such controller");
@@ -262,16 +272,16 @@
 
 #[tokio::test]
 async fn an_abort_ends_a_command_and_reports_whether_it_did() {
-    let mixed = mixed(&[Does::Silent], 0).await;
+    let mixed = start_mixed(&[Does::Silent], 0).await;
     let mut host = Host::connect(mixed.address).await;
     let (body, sgl) = read_of(1, 256, SMALL);
     host.io.send(&[capsule(3, body, sgl, Bytes::new())]).await.unwrap();
-    mixed.rig.until(|c| c.attempts_sent == 1).await;
+    mixed.rig.until(|counters| counters.attempts_sent == 1).await;
     let abort = |cid| Body::Abort { queue: 1, cid };
     assert_eq!(ask(&mut host.admin, 5, abort(99), NONE, Bytes::new()).await.0.result, 1, "no such command");
     assert_eq!(ask(&mut host.admin, 6, abort(3), NONE, Bytes::new()).await.0.result, 0);
     assert_eq!(finish(&mut host.io, 3, Bytes::new()).await.0.status, Status::ABORTED);
-    let counters = mixed.rig.until(|c| c.client_disconnects == 1).await;
+    let counters = mixed.rig.until(|counters| counters.client_disconnects == 1).await;
     assert_eq!(counters.total_answers(), AnswerCounts::default(), "{counters}");
 }
 
@@ -280,22 +290,22 @@
 #[rstest]
 #[tokio::test]
 async fn commands_are_cancelled_when_their_queue_disconnects(#[values(true, false)] admin: bool) {
-    let mixed = mixed(&[Does::Silent], 0).await;
+    let mixed = start_mixed(&[Does::Silent], 0).await;
     let Host { admin: first, mut io } = Host::connect(mixed.address).await;
     for cid in 3..6 {
         let (body, sgl) = read_of(1, 256, SMALL);
         io.send(&[capsule(cid, body, sgl, Bytes::new())]).await.unwrap();
     }
-    mixed.rig.until(|c| c.requests_received == 3).await;
-    let kept = if admin { (drop(first), Some(io)).1 } else { (drop(io), Some(first)).1 };
-    let counters = mixed.rig.until(|c| c.client_disconnects == 3).await;
+    mixed.rig.until(|counters| counters.requests_received == 3).await;
+    let open_queue = if admin { (drop(first), Some(io)).1 } else { (drop(io), Some(first)).1 };
+    let counters = mixed.rig.until(|counters| counters.client_disconnects == 3).await;
     assert_eq!(counters.total_answers(), AnswerCounts::default(), "{counters}");
-    drop(kept);
+    drop(open_queue);
 }
 
 #[tokio::test]
 async fn a_host_that_misses_its_keep_alive_loses_its_controller() {
-    let mixed = mixed(&[Does::Serve], 0).await;
+    let mixed = start_mixed(&[Does::Serve], 0).await;
     let mut admin = wire(mixed.address).await;
     assert_eq!(join(&mut admin, 0, 0xffff, 300).await.status, Status::SUCCESS);
     assert!(timeout(PATIENCE, admin.next()).await.expect("in time").is_err());
@@ -304,11 +314,11 @@
 /// At shutdown a queue closes once its commands are answered, an idle one at once.
 #[tokio::test]
 async fn after_sigterm_queues_close_as_soon_as_nothing_is_open() {
-    let mixed = mixed(&[Does::Silent], 0).await;
+    let mixed = start_mixed(&[Does::Silent], 0).await;
     let (mut idle, mut busy) = (Host::connect(mixed.address).await, Host::connect(mixed.address).await);
     let (body, sgl) = read_of(1, 256, SMALL);
     busy.io.send(&[capsule(3, body, sgl, Bytes::new())]).await.unwrap();
-    mixed.rig.until(|c| c.attempts_sent == 1).await;
+    mixed.rig.until(|counters| counters.attempts_sent == 1).await;
     mixed.stop.send_replace(true);
     assert!(timeout(PATIENCE, idle.io.next()).await.expect("in time").is_err());
     assert_eq!(mixed.rig.counters().await.total_answers().shed, 0, "the other command still waits");
@@ -322,28 +332,28 @@
 /// Guards against unbounded memory use by a host that sends more commands than its queue holds.
 #[tokio::test]
 async fn more_commands_than_the_queue_holds_end_the_connection() {
-    let mixed = mixed(&[Does::Silent], 0).await;
+    let mixed = start_mixed(&[Does::Silent], 0).await;
     let mut host = Host::connect(mixed.address).await;
-    let asks: Vec<Pdu> =
+    let commands: Vec<Pdu> =
         (0..33).map(|cid| capsule(cid, WRITE, Sgl::Transport { length: 512 }, Bytes::new())).collect();
-    host.io.send(&asks).await.unwrap();
+    host.io.send(&commands).await.unwrap();
     for _ in 0..32 {
         assert!(matches!(next_pdu(&mut host.io).await, Pdu::R2t { .. }));
     }
     let Pdu::TermReq { fatal, .. } = next_pdu(&mut host.io).await else { panic!("no termination request") };
     assert_eq!(
-        (fatal, mixed.rig.until(|c| c.malformed_requests == 1).await.requests_received),
+        (fatal, mixed.rig.until(|counters| counters.malformed_requests == 1).await.requests_received),
         (Fatal::SEQUENCE, 0)
     );
 }
 
 /// Malformed PDUs end the connection with the reason; the front still serves other hosts.
 #[rstest]
-#[case::no_ic(true, vec![4, 0, 72, 0, 72, 0, 0, 0], 72, Fatal::SEQUENCE)]
+#[case::no_initialization(true, vec![4, 0, 72, 0, 72, 0, 0, 0], 72, Fatal::SEQUENCE)]
 #[case::version(true, vec![0, 0, 128, 0, 128, 0, 0, 0, 9], 128, Fatal::parameter(8))]
 #[case::alignment(true, vec![0, 0, 128, 0, 128, 0, 0, 0, 0, 0, 32], 128, Fatal::header(10))]
 #[case::kind(false, vec![0x55, 0, 8, 0, 8, 0, 0, 0], 8, Fatal::header(0))]
-#[case::second_ic(false, vec![0, 0, 128, 0, 128, 0, 0, 0], 128, Fatal::SEQUENCE)]
+#[case::second_initialization(false, vec![0, 0, 128, 0, 128, 0, 0, 0], 128, Fatal::SEQUENCE)]
 #[case::length(false, vec![4, 0, 72, 0, 0, 0, 0, 255], 8, Fatal::header(4))]
 #[case::stray_data(false, vec![6, 4, 24, 0, 24, 0, 0, 0, 1], 24, Fatal::header(8))]
 #[case::from_the_wrong_side(false, vec![5, 0, 24, 0, 24, 0, 0, 0], 24, Fatal::SEQUENCE)]
@@ -355,23 +365,23 @@
     #[case] fatal: Fatal,
 ) {
     use tokio::io::AsyncWriteExt;
-    let mixed = mixed(&[Does::Serve], 0).await;
+    let mixed = start_mixed(&[Does::Serve], 0).await;
     let mut stream = TcpStream::connect(mixed.address).await.unwrap();
-    let mut ic = vec![0, 0, 128, 0, 128, 0, 0, 0];
-    ic.resize(128, 0);
+    let mut initialization = vec![0, 0, 128, 0, 128, 0, 0, 0];
+    initialization.resize(128, 0);
     bytes.resize(size, 0);
     if !first {
-        stream.write_all(&ic).await.unwrap();
+        stream.write_all(&initialization).await.unwrap();
     }
     stream.write_all(&bytes).await.unwrap();
     let mut wire = Wire::new(stream).unwrap();
     if !first {
         assert!(matches!(next_pdu(&mut wire).await, Pdu::IcResp { .. }));
     }
-    let Pdu::TermReq { by_host: false, fatal: told, .. } = next_pdu(&mut wire).await else {
+    let Pdu::TermReq { by_host: false, fatal: reported, .. } = next_pdu(&mut wire).await else {
         panic!("no termination request")
     };
-    assert_eq!(told, fatal);
+    assert_eq!(reported, fatal);
     drop(wire);
     assert_eq!(Host::connect(mixed.address).await.read(1, 0, SMALL).await.0.status, Status::SUCCESS);
 }
@@ -385,25 +395,25 @@
     #[case] size: usize,
     #[case] fatal: Fatal,
 ) {
-    let mixed = mixed(&[Does::Serve], 0).await;
+    let mixed = start_mixed(&[Does::Serve], 0).await;
     let mut host = Host::connect(mixed.address).await;
     host.io.send(&[capsule(4, WRITE, Sgl::Transport { length: 512 }, Bytes::new())]).await.unwrap();
     let Pdu::R2t { ttag, .. } = next_pdu(&mut host.io).await else { panic!("not asked for data") };
     let data = Bytes::from(vec![0; size]);
     host.io.send(&[Pdu::H2cData { cid: 4, ttag, offset, last: true, data }]).await.unwrap();
-    let Pdu::TermReq { fatal: told, .. } = next_pdu(&mut host.io).await else {
+    let Pdu::TermReq { fatal: reported, .. } = next_pdu(&mut host.io).await else {
         panic!("no termination request")
     };
-    assert_eq!((told, mixed.rig.counters().await.requests_received), (fatal, 0));
+    assert_eq!((reported, mixed.rig.counters().await.requests_received), (fatal, 0));
 }
 
 /// Both kinds of node start at 24% of their capacity. Guards against a burst through the NVMe front, which
 /// the slow-start limit of the HTTP front would not include if the two fronts did not share it.
 #[tokio::test]
 async fn nodes_of_both_kinds_in_slow_start_are_not_overloaded() {
-    let born = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis();
-    let mixed = mixed(&[Does::Serve], born).await;
-    let begun = Instant::now();
+    let started_ms = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis();
+    let mixed = start_mixed(&[Does::Serve], started_ms).await;
+    let first_sent_at = Instant::now();
     let mut hosts = tokio::task::JoinSet::new();
     for host in 0..16 {
         // Sixteen connections are all that the front accepts, two per host.
@@ -411,7 +421,7 @@
         if host % 2 == 0 {
             hosts.spawn(async move {
                 let mut host = Host::connect(address).await;
-                while begun.elapsed() < Duration::from_millis(1200) {
+                while first_sent_at.elapsed() < Duration::from_millis(1200) {
                     for first in [0, 256] {
                         host.read(1, first, LARGE).await;
                     }
@@ -421,15 +431,19 @@
         }
     }
     hosts.join_all().await;
-    let age = begun.elapsed().as_secs_f64().min(6.0) / 6.0;
-    let bears = 24.0 * (0.24 + 0.76 * age) / 0.24;
+    let age = first_sent_at.elapsed().as_secs_f64().min(6.0) / 6.0;
+    let max_units = 24.0 * (0.24 + 0.76 * age) / 0.24;
     for node in 0..2 {
-        let sent: Vec<_> = mixed.log.all().iter().filter(|s| s.node == node).map(|s| s.at).collect();
+        let sent: Vec<_> =
+            mixed.log.all().iter().filter(|request| request.node == node).map(|request| request.at).collect();
         assert!(!sent.is_empty(), "node {node} got no requests");
         for from in &sent {
             let window = sent.iter().filter(|at| *at >= from && **at < *from + Duration::from_millis(250));
             let units = window.count() as f64 * 4.0;
-            assert!(units <= bears, "node {node}: {units} units within the window, at most {bears} allowed");
+            assert!(
+                units <= max_units,
+                "node {node}: {units} units within the window, at most {max_units} allowed"
+            );
         }
     }
 }
--- a/crates/scheduler/tests/net/parsers.rs
+++ b/crates/scheduler/tests/net/parsers.rs
@@ -19,26 +19,26 @@
 use heathward_fakes::*;
 
 #[rstest]
-#[case::whole("GET / HTTP/1.1\r\na: b\r\n\r\n", 0, true)]
+#[case::complete("GET / HTTP/1.1\r\na: b\r\n\r\n", 0, true)]
 #[case::head_cut("GET / HTTP/1.1\r\na: b\r\n\r", 0, false)]
 #[case::body_cut("PUT / HTTP/1.1\r\n\r\nabc", 4, false)]
 #[case::body("PUT / HTTP/1.1\r\n\r\nabcd", 4, true)]
-#[case::odd_ends("PUT / HTTP/1.1\r\r\n\r\n", 0, true)]
+#[case::extra_carriage_return("PUT / HTTP/1.1\r\r\n\r\n", 0, true)]
 #[case::nothing("", 0, false)]
 fn written_bytes_tell_whether_a_request_is_complete(
     #[case] bytes: &str,
     #[case] body: usize,
-    #[case] whole: bool,
+    #[case] complete: bool,
     #[values(1, 3, 1000)] piece: usize,
 ) {
     let (written, attempt) = (Written::default(), attempt(SendGate::default(), Instant::now()));
-    let tries = attempt.written_attempts.clone();
+    let written_attempts = attempt.written_attempts.clone();
     for _ in 0..2 {
         written.begin(body, attempt.clone());
         bytes.as_bytes().chunks(piece).for_each(|part| written.note(part));
-        assert_eq!(written.whole(), whole);
+        assert_eq!(written.whole(), complete);
     }
-    assert_eq!(tries.total(), if whole { 2 } else { 0 }, "each is counted once");
+    assert_eq!(written_attempts.total(), if complete { 2 } else { 0 }, "each is counted once");
 }
 
 #[rstest]
@@ -61,10 +61,10 @@
 #[case::phase("terminating", "asleep", false)]
 #[case::no_zone("\"locality\":\"a\",", "", true)]
 #[case::whole_number("12.5", "12", true)]
-#[case::same("", "", true)]
-fn endpoint_updates_are_decoded_or_rejected(#[case] from: &str, #[case] to: &str, #[case] sound: bool) {
+#[case::unchanged("", "", true)]
+fn endpoint_updates_are_decoded_or_rejected(#[case] from: &str, #[case] to: &str, #[case] valid: bool) {
     let update = discovery::parse_update(&ENTRY.replacen(from, to, 1));
-    assert_eq!(update.is_ok(), sound, "{update:?}");
+    assert_eq!(update.is_ok(), valid, "{update:?}");
     if let Ok(update) = update {
         assert_eq!(
             (update.revision, update.kind, update.endpoints.len()),
@@ -208,7 +208,7 @@
 
 /// Includes the deployment's own file: guards against one that only the tests could read.
 #[rstest]
-#[case::same("", "", None)]
+#[case::unchanged("", "", None)]
 #[case::class("\"read\": \"consulta\"", "\"read\": \"pedido\"", Some("read"))]
 #[case::no_class("\"write\": \"pedido\"", "\"write\": \"nada\"", Some("write"))]
 #[case::block("\"block\": 512", "\"block\": 500", Some("block"))]
@@ -223,12 +223,12 @@
 fn an_invalid_nvme_map_names_the_field_at_fault(
     #[case] from: &str,
     #[case] to: &str,
-    #[case] wrong: Option<&str>,
+    #[case] invalid_field: Option<&str>,
 ) {
     let text = include_str!("../../../../deploy/nvme.json");
     assert!(text.contains(from));
     let map = Map::parse(&text.replacen(from, to, 1), &deployment());
-    assert_eq!(map.as_ref().err().map(|error| error.field.as_str()), wrong);
+    assert_eq!(map.as_ref().err().map(|error| error.field.as_str()), invalid_field);
     if let Ok(map) = map {
         let namespace = map.namespace(2).unwrap();
         assert_eq!([0, 255, 256, 512].map(|block| namespace.shard(block).0), [3, 3, 4, 3]);
@@ -248,7 +248,7 @@
 
 /// Returns the time, class, volume, key, units and shard of the request that an entry of a load source
 /// becomes.
-fn told(recorded: &Recorded) -> (u64, u16, u64, u64, u32, u64) {
+fn fields(recorded: &Recorded) -> (u64, u16, u64, u64, u32, u64) {
     let call = recorded.taken_at(Instant::now());
     let shard = u64::from(call.shard.unwrap().0);
     (
@@ -271,7 +271,7 @@
      "response":{"status":200,"content":{"size":1e9}}}]}}"#;
 
 #[rstest]
-#[case::same("", "", [Ok(()), Ok(())])]
+#[case::unchanged("", "", [Ok(()), Ok(())])]
 #[case::time("T08:00:00.250Z", "T08:00", [Err("startedDateTime"), Ok(())])]
 #[case::before_1970("2026-12-01T09", "1926-12-01T09", [Ok(()), Err("startedDateTime")])]
 #[case::method("\"PUT\"", "\"CONNECT\"", [Err("method"), Ok(())])]
@@ -281,12 +281,12 @@
 fn har_entries_become_requests_or_are_skipped(
     #[case] from: &str,
     #[case] to: &str,
-    #[case] each: [Result<(), &str>; 2],
+    #[case] expected: [Result<(), &str>; 2],
 ) {
     let found = har(&HAR.replacen(from, to, 1), &rules());
     assert_eq!(found.len(), 2);
-    for ((found, expected), place) in found.iter().zip(&each).zip(1..) {
-        match (found, expected) {
+    for ((entry, outcome), place) in found.iter().zip(&expected).zip(1..) {
+        match (entry, outcome) {
             (Ok(_), Ok(())) => {}
             (Err(skipped), Err(why)) => {
                 assert!(skipped.place == place && skipped.why.contains(why), "{skipped}")
@@ -294,8 +294,8 @@
             other => panic!("{place}: {other:?}"),
         }
     }
-    if each == [Ok(()), Ok(())] {
-        let [write, read] = [&found[0], &found[1]].map(|found| told(found.as_ref().unwrap()));
+    if expected == [Ok(()), Ok(())] {
+        let [write, read] = [&found[0], &found[1]].map(|found| fields(found.as_ref().unwrap()));
         assert_eq!(write, (1_796_112_000_250_000, 1, 7, 0x15, 3, 0x15 % 9));
         assert_eq!((read.0, read.1, read.4, read.5), (1_796_112_001_000_000, 0, 8, read.3 % 9));
         assert_eq!(&*found[0].as_ref().unwrap().taken_at(Instant::now()).node_request.body, b"w");
@@ -335,8 +335,8 @@
     let found = access_log(&format!("\n{line}\n"), &rules());
     match (found.first(), expected) {
         (Some(Ok(recorded)), Ok((class, units))) => {
-            let (at, of, _, _, size, _) = told(recorded);
-            assert_eq!((at, of, size), (1_796_112_001_000_000, class, units));
+            let (at, class_index, _, _, recorded_units, _) = fields(recorded);
+            assert_eq!((at, class_index, recorded_units), (1_796_112_001_000_000, class, units));
         }
         (Some(Err(skipped)), Err(why)) => {
             assert!(skipped.place == 2 && skipped.why.contains(why), "{skipped}");
@@ -349,30 +349,31 @@
 /// In pieces of any size: objects, on one line or over several, and the lines between them. A malformed line
 /// or object does not affect those that follow it.
 #[rstest]
-#[case::one_a_line("{\"a\":1}\n\n{\"b\":{\"c\":2}}\n", &["{\"a\":1}", "", "{\"b\":{\"c\":2}}"])]
+#[case::one_per_line("{\"a\":1}\n\n{\"b\":{\"c\":2}}\n", &["{\"a\":1}", "", "{\"b\":{\"c\":2}}"])]
 #[case::no_end_of_line("{\"a\":1}", &["{\"a\":1}"])]
 #[case::carriage_returns("{\"a\":1}\r\n\r\n", &["{\"a\":1}", ""])]
 #[case::indented("{\n  \"a\": [\n    {\n      \"b\": 1\n    }\n  ]\n}\n\n", &["{\"a\":[{\"b\":1}]}", ""])]
-#[case::over_lines("{\n\"a\":[\n{\"b\":1},\n{}]\n}\n", &["{\"a\":[{\"b\":1},{}]}"])]
-#[case::indented_by_all("  {\"a\":1}\n\t{\n\t\"b\":2}  \n", &["{\"a\":1}", "{\"b\":2}"])]
+#[case::over_several_lines("{\n\"a\":[\n{\"b\":1},\n{}]\n}\n", &["{\"a\":[{\"b\":1},{}]}"])]
+#[case::mixed_indentation("  {\"a\":1}\n\t{\n\t\"b\":2}  \n", &["{\"a\":1}", "{\"b\":2}"])]
 #[case::two_on_a_line("{\"a\":1}{\"b\":2}\n", &["{\"a\":1}", "{\"b\":2}"])]
-#[case::signs_in_text("{\"}\\\"{\":\"\\\\\"}\n\n", &["{\"}\\\"{\":\"\\\\\"}", ""])]
+#[case::braces_in_strings("{\"}\\\"{\":\"\\\\\"}\n\n", &["{\"}\\\"{\":\"\\\\\"}", ""])]
 #[case::noise("nothing\n{\"a\":1}\n", &["nothing", "{\"a\":1}"])]
 #[case::broken_off("{\"a\":[{\"b\n{\"a\":1}\n", &["{\"a\":[{\"b", "{\"a\":1}"])]
 #[case::broken_off_then_silence("{\"a\":[{\n\n{\"a\":1}\n", &["{\"a\":[{", "", "{\"a\":1}"])]
 #[case::closed_too_often("{\"a\":1}}\n{\"b\":2}\n", &["{\"a\":1}", "}", "{\"b\":2}"])]
 fn a_watch_stream_is_split_into_snapshots_and_lines(
     #[case] text: &str,
-    #[case] cut: &[&str],
+    #[case] expected: &[&str],
     #[values(1, 2, 3, 1000)] piece: usize,
 ) {
     let mut lines = discovery::StreamSplitter::default();
-    let mut came = Vec::new();
+    let mut items = Vec::new();
     for part in text.as_bytes().chunks(piece) {
         lines.extend(part);
-        came.extend(std::iter::from_fn(|| lines.next_item()));
+        items.extend(std::iter::from_fn(|| lines.next_item()));
     }
-    let told = |line: Vec<u8>| String::from_utf8(line).unwrap().split_whitespace().collect::<String>();
-    assert_eq!(came.into_iter().map(told).collect::<Vec<_>>(), cut);
+    let without_spaces =
+        |line: Vec<u8>| String::from_utf8(line).unwrap().split_whitespace().collect::<String>();
+    assert_eq!(items.into_iter().map(without_spaces).collect::<Vec<_>>(), expected);
     assert_eq!(lines.buffered(), 0);
 }
--- a/crates/scheduler/tests/net/process.rs
+++ b/crates/scheduler/tests/net/process.rs
@@ -20,8 +20,8 @@
 #[tokio::test]
 async fn the_nvme_front_listens_where_its_map_says() {
     let config = write_config("nvme-config", &config_text("127.0.0.1:0", "127.0.0.1:1", ""));
-    let (mut off, ..) = wait_until_listening(start_program(&config, &[]));
-    off.kill().unwrap();
+    let (mut without_front, ..) = wait_until_listening(start_program(&config, &[]));
+    without_front.kill().unwrap();
     let map = include_str!("../../../../deploy/nvme.json").replace("127.0.0.1:4420", "127.0.0.1:0");
     let map = write_config("nvme-map", &map);
     let mut child = start_program(&config, &["--nvme", map.to_str().unwrap()]);
@@ -31,14 +31,14 @@
     wire.send(&[Pdu::IcReq { pfv: 0, hpda: 0, digests: 3, max_r2t: 0 }]).await.unwrap();
     let answer = timeout(PATIENCE, wire.next()).await.expect("in time").unwrap();
     child.kill().unwrap();
-    for mut child in [off, child] {
+    for mut child in [without_front, child] {
         child.wait().unwrap();
     }
     assert!(matches!(answer, Pdu::IcResp { digests: 0, .. }), "{answer:?}");
 }
 
 #[rstest]
-#[case::json("{", "{ ", "configuration")]
+#[case::not_json("{", "{ ", "configuration")]
 #[case::listen("127.0.0.1:1", "somewhere", "listen")]
 #[case::seed("8c1f30d27a5be964", "none", "seed")]
 #[case::sockets("\"sockets\":256", "\"sockets\":3", "limits.sockets")]
@@ -51,13 +51,13 @@
     #[case] to: &str,
     #[case] field: &str,
 ) {
-    let sound = config_text("127.0.0.1:1", "127.0.0.1:2", "");
-    let text = if from == "{" { "{".to_owned() } else { sound.replacen(from, to, 1) };
+    let valid = config_text("127.0.0.1:1", "127.0.0.1:2", "");
+    let text = if from == "{" { "{".to_owned() } else { valid.replacen(from, to, 1) };
     let path = write_config(&format!("wrong-{field}"), &text);
     let output = start_program(&path, &[]).wait_with_output().unwrap();
-    let said = String::from_utf8(output.stderr).unwrap();
-    assert_eq!(output.status.code(), Some(2), "{said}");
-    assert!(said.lines().count() == 1 && said.contains(field), "{said}");
+    let output_text = String::from_utf8(output.stderr).unwrap();
+    assert_eq!(output.status.code(), Some(2), "{output_text}");
+    assert!(output_text.lines().count() == 1 && output_text.contains(field), "{output_text}");
 }
 
 /// Guards against losing open requests at a planned restart, and against rejecting clients that still
@@ -70,14 +70,14 @@
     let members = [member("s0", slow, 0, "in_service", 0), member("s1", quick, 1, "in_service", 0)];
     let path = write_config("ends", &config_text("127.0.0.1:0", "127.0.0.1:1", &members.join(",")));
     let (mut child, mut log_lines, address) = wait_until_listening(start_program(&path, &[]));
-    let by = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + PATIENCE;
     let mut open = TcpStream::connect(address).await.unwrap();
     let mut idle = TcpStream::connect(address).await.unwrap();
     idle.write_all(request("consulta", 1, 1, 900, "").as_bytes()).await.unwrap();
     assert_eq!(answer(&mut idle).await.0, 200);
     open.write_all(request("consulta", 2, 0, 900, "").as_bytes()).await.unwrap();
     while log.all().len() < 2 {
-        assert!(Instant::now() < by, "no request is forwarded");
+        assert!(Instant::now() < deadline, "no request is forwarded");
         sleep(Duration::from_millis(5)).await;
     }
     send_signal(&child, "-TERM");
@@ -92,11 +92,11 @@
     for stream in [&mut open, &mut idle, &mut new] {
         assert!(timeout(PATIENCE, read_message(stream)).await.expect("an end").is_none());
     }
-    let mut said = String::new();
-    log_lines.read_to_string(&mut said).unwrap();
-    assert!(child.wait().unwrap().success(), "{said}");
-    let last = said.lines().last().unwrap();
-    assert!(last.contains("counters taken=4 ") && last.contains(" served=3 refused=1 "), "{said}");
+    let mut output_text = String::new();
+    log_lines.read_to_string(&mut output_text).unwrap();
+    assert!(child.wait().unwrap().success(), "{output_text}");
+    let last = output_text.lines().last().unwrap();
+    assert!(last.contains("counters taken=4 ") && last.contains(" served=3 refused=1 "), "{output_text}");
 }
 
 /// Clients may wait longer than the platform lets the process run after SIGTERM. Guards against a connection
@@ -112,21 +112,24 @@
     let (mut child, _lines, address) = wait_until_listening(start_program(&write_config("long", &text), &[]));
     let mut open = TcpStream::connect(address).await.unwrap();
     open.write_all(request("consulta", 1, 0, 9_000, "").as_bytes()).await.unwrap();
-    let by = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + PATIENCE;
     while log.all().is_empty() {
-        assert!(Instant::now() < by, "no request is forwarded");
+        assert!(Instant::now() < deadline, "no request is forwarded");
         sleep(Duration::from_millis(5)).await;
     }
     send_signal(&child, "-TERM");
-    let told = Instant::now();
+    let signalled_at = Instant::now();
     let answered = timeout(PATIENCE, read_message(&mut open)).await.expect("an answer or an end");
     let (head, ..) = answered.expect("an answer before the end");
     assert!(head.starts_with("http/1.1 504"), "{head}");
-    assert!(told.elapsed() > Duration::from_secs(2), "it was given the time until the shutdown deadline");
+    assert!(
+        signalled_at.elapsed() > Duration::from_secs(2),
+        "it was given the time until the shutdown deadline"
+    );
     assert!(child.wait().unwrap().success());
 }
 
-fn line(lines: &mut impl BufRead) -> String {
+fn next_line(lines: &mut impl BufRead) -> String {
     let mut line = String::new();
     lines.read_line(&mut line).unwrap();
     line
@@ -155,19 +158,22 @@
     ] {
         write_config("again", &text(second).replace(from, to));
         send_signal(&child, "-HUP");
-        let said = line(&mut lines);
-        assert!(said.contains("configuration rejected: ") && said.contains(field), "{said}");
+        let output_text = next_line(&mut lines);
+        assert!(
+            output_text.contains("configuration rejected: ") && output_text.contains(field),
+            "{output_text}"
+        );
     }
     write_config("again", &text(second).replace("\"maxRetryAfterMs\":2000", "\"maxRetryAfterMs\":1500"));
     send_signal(&child, "-HUP");
-    assert!(line(&mut lines).contains("configuration reloaded"));
+    assert!(next_line(&mut lines).contains("configuration reloaded"));
     let (_watch, head) = watched(&new).await;
     assert!(head.contains("after=7 "), "{head}");
     // The old watch still counts: it reports a drain.
     let drained = members.replace("in_service", "terminating");
     tell(&mut watch, &format!("{{\"revision\":9,\"complete\":false,\"members\":[{drained}]}}\n")).await;
     assert!(matches!(answer(&mut open).await.0, 503 | 504), "the open request is answered");
-    let by = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + PATIENCE;
     let mut call = 2;
     loop {
         let mut client = TcpStream::connect(address).await.unwrap();
@@ -182,7 +188,7 @@
             assert_eq!(header(&head, "retry-after"), Some("1.500"));
             break;
         }
-        assert!(Instant::now() < by, "the drain is not applied");
+        assert!(Instant::now() < deadline, "the drain is not applied");
         call += 1;
     }
     child.kill().unwrap();
@@ -210,10 +216,11 @@
     let mut command = Command::new(env!("CARGO_BIN_EXE_heathward"));
     command.env("GW_CONFIG", config).args(["--access-log", &log, "--rules", &rules]);
     let output = command.output().unwrap();
-    let (listed, said) = (String::from_utf8_lossy(&output.stdout), String::from_utf8_lossy(&output.stderr));
-    assert!(output.status.success(), "{said}");
+    let (listed, output_text) =
+        (String::from_utf8_lossy(&output.stdout), String::from_utf8_lossy(&output.stderr));
+    assert!(output.status.success(), "{output_text}");
     assert!(listed.lines().count() == 2 && listed.contains("write /pedido/0000000000000007/"), "{listed}");
-    assert!(said.lines().count() == 1 && said.contains("entry 3"), "{said}");
+    assert!(output_text.lines().count() == 1 && output_text.contains("entry 3"), "{output_text}");
 }
 
 fn check(files: &[&PathBuf]) -> (Option<i32>, String, String) {
@@ -224,7 +231,7 @@
 }
 
 #[test]
-fn check_reports_of_each_file_whether_it_is_accepted() {
+fn check_reports_whether_each_file_is_accepted() {
     let config = write_config("check-sound", &config_text("127.0.0.1:1", "127.0.0.1:2", ""));
     let nvme = write_config("check-nvme", include_str!("../../../../deploy/nvme.json"));
     let rules = write_config("check-rules", include_str!("../../../../examples/rules.json"));
@@ -235,10 +242,10 @@
 
 #[rstest]
 #[case::configuration("\"aimMs\":150", "\"aimMs\":-150", "settings.lanes.0.aimMs")]
-#[case::cut_off("\"seed\"", "\"seed", "not JSON")]
+#[case::unterminated_string("\"seed\"", "\"seed", "not JSON")]
 fn check_names_the_field_at_fault(#[case] from: &str, #[case] to: &str, #[case] field: &str) {
-    let sound = config_text("127.0.0.1:1", "127.0.0.1:2", "");
-    let path = write_config(&format!("check-{}", field.len()), &sound.replacen(from, to, 1));
+    let valid = config_text("127.0.0.1:1", "127.0.0.1:2", "");
+    let path = write_config(&format!("check-{}", field.len()), &valid.replacen(from, to, 1));
     let (code, out, err) = check(&[&path]);
     assert_eq!(code, Some(2), "{out}{err}");
     assert!(out.is_empty() && err.contains(field), "{out}{err}");
@@ -248,17 +255,23 @@
 fn check_validates_an_nvme_map_against_its_configuration() {
     let map = include_str!("../../../../deploy/nvme.json");
     let config = write_config("check-held", &config_text("127.0.0.1:1", "127.0.0.1:2", ""));
-    let alone = check(&[&write_config("check-alone", map)]);
-    assert!(alone.0 == Some(2) && alone.2.contains("a configuration"), "{alone:?}");
-    let wrong = write_config("check-plan", &map.replacen("basico", "nobody", 1));
-    let held = check(&[&config, &wrong]);
-    assert!(held.0 == Some(2) && held.2.contains("namespaces.1.plan"), "{held:?}");
+    let without_configuration = check(&[&write_config("check-alone", map)]);
+    assert!(
+        without_configuration.0 == Some(2) && without_configuration.2.contains("a configuration"),
+        "{without_configuration:?}"
+    );
+    let invalid = write_config("check-plan", &map.replacen("basico", "nobody", 1));
+    let with_configuration = check(&[&config, &invalid]);
+    assert!(
+        with_configuration.0 == Some(2) && with_configuration.2.contains("namespaces.1.plan"),
+        "{with_configuration:?}"
+    );
 }
 
 /// Whatever an operator file contains, it is rejected in time, with a one-line reason, and nothing hangs.
 #[rstest]
 #[case::syntax("{", "operator file")]
-#[case::slip("{ logs: {} }", "logs")]
+#[case::unknown_key("{ logs: {} }", "logs")]
 #[case::wrong_value("{ log: { format: 'xml' } }", "log.format")]
 #[case::error("error 'no way'", "no way")]
 #[case::endless("local f(x) = f(x + 1) tailstrict; f(0)", "operator file")]
@@ -268,13 +281,13 @@
 #[case::outside("import '../secret.json'", "own folder")]
 #[case::absolute("importstr '/etc/hostname'", "own folder")]
 #[case::missing("import 'nowhere.json'", "nowhere.json")]
-fn a_hostile_operator_file_is_rejected(#[case] text: &str, #[case] why: &str) {
+fn a_hostile_operator_file_is_rejected(#[case] text: &str, #[case] reason: &str) {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
     let path = path.join(format!("operator-{:x}-{}.jsonnet", text.len(), std::process::id()));
     std::fs::write(&path, text).unwrap();
     let (code, out, err) = check(&[&path]);
     assert_eq!(code, Some(2), "{out}{err}");
-    assert!(err.lines().count() == 1 && err.contains(why), "{err}");
+    assert!(err.lines().count() == 1 && err.contains(reason), "{err}");
 }
 
 #[test]
@@ -294,23 +307,23 @@
     std::fs::write(&operator, "{ log: { format: 'json', filter: 'info' } }").unwrap();
     let mut child = start_program(&config, &["--operator", operator.to_str().unwrap()]);
     let mut lines = BufReader::new(child.stderr.take().unwrap());
-    let mut until = |what: &str| loop {
+    let mut next_line_with = |expected: &str| loop {
         let mut line = String::new();
-        assert!(lines.read_line(&mut line).unwrap() > 0, "it ended without logging {what:?}");
-        if line.contains(what) {
+        assert!(lines.read_line(&mut line).unwrap() > 0, "it ended without logging {expected:?}");
+        if line.contains(expected) {
             return line;
         }
     };
-    assert!(until("listening on").starts_with('{'));
-    for wrong in ["{ log: { filter: 'loud' } }", "local f(x) = 1 + f(x); f(0)", "{ log:"] {
-        std::fs::write(&operator, wrong).unwrap();
+    assert!(next_line_with("listening on").starts_with('{'));
+    for invalid in ["{ log: { filter: 'loud' } }", "local f(x) = 1 + f(x); f(0)", "{ log:"] {
+        std::fs::write(&operator, invalid).unwrap();
         send_signal(&child, "-HUP");
-        let said = until("configuration rejected");
-        assert!(said.starts_with('{') && said.contains("\"level\":\"ERROR\""), "{said}");
+        let output_text = next_line_with("configuration rejected");
+        assert!(output_text.starts_with('{') && output_text.contains("\"level\":\"ERROR\""), "{output_text}");
     }
     std::fs::write(&operator, "{ log: { filter: 'info' } }").unwrap();
     send_signal(&child, "-HUP");
-    assert!(!until("configuration reloaded").starts_with('{'), "the format is text from now on");
+    assert!(!next_line_with("configuration reloaded").starts_with('{'), "the format is text from now on");
     child.kill().unwrap();
     child.wait().unwrap();
 }
--- a/crates/scheduler/tests/net/rejected_requests.rs
+++ b/crates/scheduler/tests/net/rejected_requests.rs
@@ -33,7 +33,7 @@
 #[case::body_of_a_read(("Content-Length: 0\r\n", "Content-Length: 2\r\n"))]
 #[case::negative_length(("Content-Length: 0\r\n", "Content-Length: -5\r\n"))]
 #[case::two_lengths(("Content-Length: 0\r\n", "Content-Length: 0\r\nContent-Length: 2\r\n"))]
-#[case::line(("GET /consulta", "GET  /consulta"))]
+#[case::request_line(("GET /consulta", "GET  /consulta"))]
 #[tokio::test]
 async fn a_malformed_request_is_rejected_at_once_and_counted(#[case] (from, to): (&str, &str)) {
     let OneNode { rig, log, .. } = one_node(&[Does::Serve]).await;
@@ -73,7 +73,7 @@
     let OneNode { rig, log, .. } = one_node(&[Does::Silent, Does::Serve]).await;
     let mut first = TcpStream::connect(rig.front).await.unwrap();
     first.write_all(request("consulta", 1, 0, 900, "").as_bytes()).await.unwrap();
-    rig.until(|c| c.attempts_sent == 1).await;
+    rig.until(|counters| counters.attempts_sent == 1).await;
     assert_eq!(rig.ask(&request("consulta", 1, 0, 900, "")).await.0, 400);
     assert!(matches!(answer(&mut first).await.0, 503 | 504), "the first request is still answered");
     assert_ne!(rig.ask(&request("consulta", 1, 0, 900, "")).await.0, 400, "its id is free again");
@@ -84,8 +84,8 @@
 /// disconnected.
 #[rstest]
 #[case::nothing("", None)]
-#[case::half_a_head("GET /consulta/0000", Some(408))]
-#[case::half_a_body(
+#[case::incomplete_head("GET /consulta/0000", Some(408))]
+#[case::incomplete_body(
     "PUT /pedido/00000003b4d60021/7f3a9c21e0b4d655 HTTP/1.1\r\nContent-Length: 9\r\n\r\nabc",
     Some(408)
 )]
@@ -94,8 +94,8 @@
     let rig = rig(&[], None).await;
     let mut stream = TcpStream::connect(rig.front).await.unwrap();
     stream.write_all(text.as_bytes()).await.unwrap();
-    let told = timeout(PATIENCE, read_message(&mut stream)).await.expect("an answer or an end");
-    assert_eq!(told.map(|(head, ..)| head[9..12].parse().unwrap()), status);
+    let message = timeout(PATIENCE, read_message(&mut stream)).await.expect("an answer or an end");
+    assert_eq!(message.map(|(head, ..)| head[9..12].parse().unwrap()), status);
 }
 
 /// The client keeps sending as fast as it can, and reads only then. Guards against a reset that arrives
@@ -110,9 +110,9 @@
     let start = request("pedido", 1, 0, 900, "").replace("Content-Length: 0\r\n", head);
     let start = if status == 431 { start.trim_end().to_owned() } else { start };
     stream.write_all(start.as_bytes()).await.unwrap();
-    let junk = vec![b'x'; 1 << 20];
+    let surplus = vec![b'x'; 1 << 20];
     for _ in 0..8 {
-        stream.write_all(&junk).await.unwrap();
+        stream.write_all(&surplus).await.unwrap();
     }
     assert_eq!(answer(&mut stream).await.0, status);
 }
--- a/crates/scheduler/tests/net/request_writer.rs
+++ b/crates/scheduler/tests/net/request_writer.rs
@@ -18,22 +18,22 @@
 
 const HEAD: &[u8] = b"GET / HTTP/1.1\r\n\r\n";
 
-async fn pair() -> (Counted, Arc<Written>, TcpStream) {
+async fn connected_pair() -> (Counted, Arc<Written>, TcpStream) {
     let (listener, address) = listen().await;
-    let near = TcpStream::connect(address).await.unwrap();
+    let client = TcpStream::connect(address).await.unwrap();
     let written = Arc::new(Written::default());
-    (Counted::new(near, written.clone()), written, listener.accept().await.unwrap().0)
+    (Counted::new(client, written.clone()), written, listener.accept().await.unwrap().0)
 }
 
 /// What closes the send gate of a node, or ends the attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Shuts {
+enum Closing {
     /// The endpoint list marks the node as draining.
     Drain,
     /// The endpoint lease has expired.
-    Silence,
+    LeaseExpiry,
     /// The deadline of the attempt has passed while it waited.
-    Time,
+    Deadline,
     /// The client has disconnected, or has its answer.
     Cancel,
 }
@@ -45,46 +45,47 @@
 #[rstest]
 #[tokio::test]
 async fn no_first_byte_is_written_once_the_gate_is_closed_and_no_request_is_cut(
-    #[values(Shuts::Drain, Shuts::Silence, Shuts::Time, Shuts::Cancel)] shuts: Shuts,
+    #[values(Closing::Drain, Closing::LeaseExpiry, Closing::Deadline, Closing::Cancel)] closing: Closing,
     #[values(0, 1, 7)] before: usize,
 ) {
-    let (mut near, written, mut far) = pair().await;
-    let (end, moment) = (LeaseExpiry::new(Instant::now()), Instant::now() + Duration::from_millis(20));
-    let gate = SendGate::new(end.clone());
-    let until = if shuts == Shuts::Time { moment } else { moment + PATIENCE };
-    let attempt = attempt(gate.clone(), until);
+    let (mut client, written, mut server) = connected_pair().await;
+    let (lease_expiry, close_at) =
+        (LeaseExpiry::new(Instant::now()), Instant::now() + Duration::from_millis(20));
+    let gate = SendGate::new(lease_expiry.clone());
+    let deadline = if closing == Closing::Deadline { close_at } else { close_at + PATIENCE };
+    let attempt = attempt(gate.clone(), deadline);
     written.begin(0, attempt.clone());
-    near.write_all(&HEAD[..before]).await.unwrap();
-    match shuts {
-        Shuts::Drain => gate.set_closed(true),
-        Shuts::Silence => {
-            end.set(Some(moment));
-            sleep_until(moment).await;
+    client.write_all(&HEAD[..before]).await.unwrap();
+    match closing {
+        Closing::Drain => gate.set_closed(true),
+        Closing::LeaseExpiry => {
+            lease_expiry.set(Some(close_at));
+            sleep_until(close_at).await;
         }
-        Shuts::Time => sleep_until(moment).await,
-        Shuts::Cancel => attempt.cancel.cancel(),
+        Closing::Deadline => sleep_until(close_at).await,
+        Closing::Cancel => attempt.cancel.cancel(),
     }
-    let rest = near.write_all(&HEAD[before..]).await;
-    let stopped = before == 0 || shuts == Shuts::Cancel;
+    let rest = client.write_all(&HEAD[before..]).await;
+    let stopped = before == 0 || closing == Closing::Cancel;
     assert_eq!((rest.is_err(), written.withheld(), written.whole()), (stopped, stopped, !stopped));
     // Not even if the gate opens again meanwhile: the attempt has been reported as never sent.
     gate.set_closed(false);
-    end.set(None);
-    assert_eq!(near.write_all(HEAD).await.is_err(), stopped);
-    drop(near);
-    let mut came = Vec::new();
-    far.read_to_end(&mut came).await.unwrap();
-    let whole = if stopped { before } else { 2 * HEAD.len() };
-    assert_eq!(came.len(), whole, "{came:?}");
+    lease_expiry.set(None);
+    assert_eq!(client.write_all(HEAD).await.is_err(), stopped);
+    drop(client);
+    let mut received = Vec::new();
+    server.read_to_end(&mut received).await.unwrap();
+    let expected_bytes = if stopped { before } else { 2 * HEAD.len() };
+    assert_eq!(received.len(), expected_bytes, "{received:?}");
 }
 
 /// What a node does on a connection that has carried a request, at the moment at which the next request is
 /// due.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Crosses {
+enum NodeEvent {
     Nothing,
     SecondAnswer,
-    HalfALine,
+    PartialLine,
     Close,
 }
 
@@ -94,35 +95,36 @@
 #[rstest]
 #[tokio::test]
 async fn a_connection_with_unexpected_bytes_takes_no_further_request(
-    #[values(Crosses::Nothing, Crosses::SecondAnswer, Crosses::HalfALine, Crosses::Close)] crosses: Crosses,
+    #[values(NodeEvent::Nothing, NodeEvent::SecondAnswer, NodeEvent::PartialLine, NodeEvent::Close)]
+    node_event: NodeEvent,
 ) {
-    let (mut near, written, mut far) = pair().await;
+    let (mut client, written, mut server) = connected_pair().await;
     let attempt = attempt(SendGate::default(), Instant::now() + PATIENCE);
     written.begin(0, attempt.clone());
-    near.write_all(HEAD).await.unwrap();
-    far.write_all(b"first").await.unwrap();
+    client.write_all(HEAD).await.unwrap();
+    server.write_all(b"first").await.unwrap();
     let mut answer = [0; 5];
-    near.read_exact(&mut answer).await.unwrap();
-    let far = far.into_std().unwrap();
-    let text: &[u8] = match crosses {
-        Crosses::SecondAnswer => b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n",
-        Crosses::HalfALine => b"HT",
-        Crosses::Nothing | Crosses::Close => b"",
+    client.read_exact(&mut answer).await.unwrap();
+    let server = server.into_std().unwrap();
+    let text: &[u8] = match node_event {
+        NodeEvent::SecondAnswer => b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n",
+        NodeEvent::PartialLine => b"HT",
+        NodeEvent::Nothing | NodeEvent::Close => b"",
     };
-    std::io::Write::write_all(&mut &far, text).unwrap();
-    if crosses == Crosses::Close {
-        far.shutdown(std::net::Shutdown::Both).unwrap();
+    std::io::Write::write_all(&mut &server, text).unwrap();
+    if node_event == NodeEvent::Close {
+        server.shutdown(std::net::Shutdown::Both).unwrap();
     }
     written.begin(0, attempt);
-    let sound = crosses == Crosses::Nothing;
-    assert_eq!(near.write_all(HEAD).await.is_ok(), sound);
-    assert_eq!((written.stale(), written.withheld(), written.whole()), (!sound, false, sound));
+    let usable = node_event == NodeEvent::Nothing;
+    assert_eq!(client.write_all(HEAD).await.is_ok(), usable);
+    assert_eq!((written.stale(), written.withheld(), written.whole()), (!usable, false, usable));
 }
 
 /// A connection that is never closed.
-struct Kept;
+struct KeptConnection;
 
-impl Connection for Kept {
+impl Connection for KeptConnection {
     const SOCKETS: usize = 1;
 
     fn poll_closed(&mut self, _: &mut Context<'_>) -> Poll<()> {
@@ -131,20 +133,20 @@
 }
 
 /// Serves each attempt at once, and reports whether it used a kept connection.
-struct AtOnce(mpsc::UnboundedSender<bool>);
+struct ImmediateService(mpsc::UnboundedSender<bool>);
 
-impl tower::Service<Job<Kept>> for AtOnce {
-    type Response = Done<Kept>;
+impl tower::Service<Job<KeptConnection>> for ImmediateService {
+    type Response = Done<KeptConnection>;
     type Error = Infallible;
-    type Future = Ready<Result<Done<Kept>, Infallible>>;
+    type Future = Ready<Result<Done<KeptConnection>, Infallible>>;
 
     fn poll_ready(&mut self, _: &mut Context<'_>) -> Poll<Result<(), Infallible>> {
         Poll::Ready(Ok(()))
     }
 
-    fn call(&mut self, job: Job<Kept>) -> Self::Future {
+    fn call(&mut self, job: Job<KeptConnection>) -> Self::Future {
         self.0.send(job.idle.is_some()).unwrap();
-        ready(Ok(Done::back(AttemptEnd::Served, Bytes::new(), job.idle.unwrap_or(Kept))))
+        ready(Ok(Done::back(AttemptEnd::Served, Bytes::new(), job.idle.unwrap_or(KeptConnection))))
     }
 }
 
@@ -155,9 +157,9 @@
     let config = config_text("127.0.0.1:1", "127.0.0.1:1", "");
     let deployment = heathward_config::parse_configuration(&config).unwrap().deployment;
     let (_keep, limits) = watch::channel(Limits::new(&deployment, 16, 8));
-    let (tell, mut kept) = mpsc::unbounded_channel();
+    let (sender, mut reused_flags) = mpsc::unbounded_channel();
     let (core, mut ended) = mpsc::channel(16);
-    let node = node::spawn(AtOnce(tell), Pool::new(limits), core);
+    let node = node::spawn(ImmediateService(sender), Pool::new(limits), core);
     for (pause, reused) in
         [(0, false), (0, false), (4, false), (1, true), (5, true), (1, true), (1, true), (1, false)]
     {
@@ -165,6 +167,6 @@
         node.send(attempt(SendGate::default(), Instant::now() + PATIENCE)).await.unwrap();
         let message = ended.recv().await;
         assert!(matches!(message, Some(CoreMessage::AttemptEnded(ended)) if ended.end == AttemptEnd::Served));
-        assert_eq!(kept.recv().await, Some(reused), "after {pause} ms");
+        assert_eq!(reused_flags.recv().await, Some(reused), "after {pause} ms");
     }
 }
--- a/crates/scheduler/tests/net/shutdown.rs
+++ b/crates/scheduler/tests/net/shutdown.rs
@@ -13,7 +13,7 @@
 
 /// What a client receives for a request that was completely written.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Came {
+enum Outcome {
     /// A complete answer.
     Answer(u16),
     /// The connection was closed before anything came.
@@ -22,37 +22,37 @@
     Broken,
 }
 
-async fn came(stream: &mut TcpStream) -> Came {
+async fn read_outcome(stream: &mut TcpStream) -> Outcome {
     let mut first = [0];
     match timeout(PATIENCE, stream.peek(&mut first)).await.expect("an answer or an end") {
-        Ok(0) => Came::Nothing,
+        Ok(0) => Outcome::Nothing,
         Ok(_) => match timeout(PATIENCE, read_message(stream)).await.expect("all of it") {
-            Some((head, ..)) => Came::Answer(head[9..12].parse().unwrap()),
-            None => Came::Broken,
+            Some((head, ..)) => Outcome::Answer(head[9..12].parse().unwrap()),
+            None => Outcome::Broken,
         },
-        Err(_) => Came::Broken,
+        Err(_) => Outcome::Broken,
     }
 }
 
 /// Sends requests on one connection, each after the answer to the one before, until the connection ends.
-async fn insist(mut stream: TcpStream, first: u32) -> Vec<(u32, Came)> {
-    let mut asked = Vec::new();
+async fn send_until_closed(mut stream: TcpStream, first: u32) -> Vec<(u32, Outcome)> {
+    let mut outcomes = Vec::new();
     for call in first.. {
         // A request that cannot be written any more was never received.
         if stream.write_all(request("consulta", call, 0, 900, "").as_bytes()).await.is_err() {
             break;
         }
-        let came = came(&mut stream).await;
-        asked.push((call, came));
-        if !matches!(came, Came::Answer(_)) {
+        let outcome = read_outcome(&mut stream).await;
+        outcomes.push((call, outcome));
+        if !matches!(outcome, Outcome::Answer(_)) {
             break;
         }
     }
-    asked
+    outcomes
 }
 
 /// Returns a connection on which a request has been answered.
-async fn rested(address: SocketAddr, call: u32) -> TcpStream {
+async fn answered_connection(address: SocketAddr, call: u32) -> TcpStream {
     let mut stream = TcpStream::connect(address).await.unwrap();
     stream.write_all(request("consulta", call, 0, 900, "").as_bytes()).await.unwrap();
     assert_eq!(answer(&mut stream).await.0, 200);
@@ -63,7 +63,7 @@
 /// The number of requests that a node with unknown capacity gets at a time.
 const NODE_BUDGET_REQUESTS: u32 = 4;
 /// The number of request ids reserved for each client.
-const SPACE: u32 = 1 << 20;
+const IDS_PER_CLIENT: u32 = 1 << 20;
 
 /// The process is stopped while SIGTERM, once or twice, and complete and partial requests arrive, so that it
 /// finds all of them at once. Then the clients send further requests as soon as they are answered, until
@@ -80,49 +80,51 @@
         wait_until_listening(start_program(&write_config(&format!("storm{times}"), &text), &[]));
     let mut clients = Vec::new();
     for client in 0..CLIENTS {
-        clients.push(rested(address, client * SPACE + SPACE / 2).await);
+        clients.push(answered_connection(address, client * IDS_PER_CLIENT + IDS_PER_CLIENT / 2).await);
     }
-    let mut halves = Vec::new();
+    let mut partial = Vec::new();
     for client in CLIENTS..CLIENTS + 3 {
-        halves.push(rested(address, client * SPACE + SPACE / 2).await);
+        partial.push(answered_connection(address, client * IDS_PER_CLIENT + IDS_PER_CLIENT / 2).await);
     }
-    let mut resting = rested(address, (CLIENTS + 3) * SPACE).await;
+    let mut idle = answered_connection(address, (CLIENTS + 3) * IDS_PER_CLIENT).await;
     send_signal(&child, "-STOP");
-    let mut insisting = JoinSet::new();
+    let mut sending = JoinSet::new();
     for (client, stream) in (0..).zip(clients) {
-        insisting.spawn(insist(stream, client * SPACE));
+        sending.spawn(send_until_closed(stream, client * IDS_PER_CLIENT));
     }
-    for stream in &mut halves {
+    for stream in &mut partial {
         stream.write_all(b"GET /consulta/0000").await.unwrap();
     }
     for _ in 0..times {
         send_signal(&child, "-TERM");
     }
     send_signal(&child, "-CONT");
-    let ended = Instant::now();
-    let mut asked = insisting.join_all().await.concat();
-    asked.sort_by_key(|(call, _)| *call);
+    let signalled_at = Instant::now();
+    let mut outcomes = sending.join_all().await.concat();
+    outcomes.sort_by_key(|(call, _)| *call);
     // A client whose partial request was not read when its connection closed can send it again; if it was
     // read, the client is told why the connection ends.
-    for stream in &mut halves {
-        assert!(matches!(came(stream).await, Came::Nothing | Came::Answer(408)));
+    for stream in &mut partial {
+        assert!(matches!(read_outcome(stream).await, Outcome::Nothing | Outcome::Answer(408)));
     }
-    assert_eq!(came(&mut resting).await, Came::Nothing, "an idle connection is closed, not reset");
+    assert_eq!(read_outcome(&mut idle).await, Outcome::Nothing, "an idle connection is closed, not reset");
     let status = tokio::task::spawn_blocking(move || child.wait().unwrap()).await.unwrap();
     assert!(status.success());
-    assert!(ended.elapsed() < Duration::from_secs(10), "{:?}", ended.elapsed());
+    assert!(signalled_at.elapsed() < Duration::from_secs(10), "{:?}", signalled_at.elapsed());
     let seen: Vec<u32> = log.all().iter().map(|seen| u32::from_str_radix(&seen.call, 16).unwrap()).collect();
-    for (call, came) in &asked {
+    for (call, outcome) in &outcomes {
         let sent = seen.iter().filter(|id| *id == call).count();
-        let kept = match came {
-            Came::Answer(200) => sent == 1,
-            Came::Answer(503) => sent == 0,
-            Came::Nothing => sent == 0,
+        let consistent = match outcome {
+            Outcome::Answer(200) => sent == 1,
+            Outcome::Answer(503) => sent == 0,
+            Outcome::Nothing => sent == 0,
             _ => false,
         };
-        assert!(kept, "{call:#x}: {came:?}, forwarded {sent} times");
+        assert!(consistent, "{call:#x}: {outcome:?}, forwarded {sent} times");
     }
-    assert!(asked.iter().filter(|(_, came)| *came == Came::Answer(200)).count() > CLIENTS as usize);
+    assert!(
+        outcomes.iter().filter(|(_, outcome)| *outcome == Outcome::Answer(200)).count() > CLIENTS as usize
+    );
 }
 
 /// The system has accepted clients for a stopped process. Their requests are written completely, in part or
@@ -130,61 +132,62 @@
 /// with connections in its queue: each complete request is answered, and no connection is reset.
 #[rstest]
 #[tokio::test]
-async fn connections_waiting_to_be_accepted_at_shutdown_are_answered(#[values(false, true)] heeded: bool) {
-    check_connections_waiting_to_be_accepted(heeded, "150").await;
+async fn connections_waiting_to_be_accepted_at_shutdown_are_answered(#[values(false, true)] handled: bool) {
+    check_connections_waiting_to_be_accepted(handled, "150").await;
 }
 
 /// Connections that wait to be accepted are served. The latency objective is so long that no request is shed
 /// for its queueing delay, which a loaded machine may cause.
 #[rstest]
 #[tokio::test]
-async fn connections_waiting_to_be_accepted_at_shutdown_are_served_without_a_tight_objective(
-    #[values(false, true)] heeded: bool,
+async fn connections_waiting_to_be_accepted_at_shutdown_are_served_with_a_long_latency_objective(
+    #[values(false, true)] handled: bool,
 ) {
-    check_connections_waiting_to_be_accepted(heeded, "1000").await;
+    check_connections_waiting_to_be_accepted(handled, "1000").await;
 }
 
-async fn check_connections_waiting_to_be_accepted(heeded: bool, objective_ms: &str) {
+async fn check_connections_waiting_to_be_accepted(handled: bool, objective_ms: &str) {
     let log = Log::default();
     let node = http_node(0, &[Does::Serve], &log).await;
-    let hangs = http_node(1, &[Does::Silent], &log).await;
-    let members = [member("s0", node, 0, "in_service", 0), member("s1", hangs, 1, "in_service", 0)].join(",");
+    let hanging_node = http_node(1, &[Does::Silent], &log).await;
+    let members =
+        [member("s0", node, 0, "in_service", 0), member("s1", hanging_node, 1, "in_service", 0)].join(",");
     let text = config_text("127.0.0.1:0", "127.0.0.1:1", &members)
         .replace("\"aimMs\":150", &format!("\"aimMs\":{objective_ms}"));
-    let name = format!("accept{heeded}{objective_ms}");
+    let name = format!("accept{handled}{objective_ms}");
     let (mut child, _lines, address) = wait_until_listening(start_program(&write_config(&name, &text), &[]));
-    let mut resting = rested(address, SPACE).await;
+    let mut idle = answered_connection(address, IDS_PER_CLIENT).await;
     // The process does not exit before this request is answered.
     let mut open = TcpStream::connect(address).await.unwrap();
-    open.write_all(request("consulta", 2 * SPACE, 1, 3_000, "").as_bytes()).await.unwrap();
+    open.write_all(request("consulta", 2 * IDS_PER_CLIENT, 1, 3_000, "").as_bytes()).await.unwrap();
     while log.all().len() < 2 {
         tokio::task::yield_now().await;
     }
-    if heeded {
+    if handled {
         send_signal(&child, "-TERM");
-        assert_eq!(came(&mut resting).await, Came::Nothing);
+        assert_eq!(read_outcome(&mut idle).await, Outcome::Nothing);
     }
     send_signal(&child, "-STOP");
-    let (mut whole, mut others) = (Vec::new(), Vec::new());
+    let (mut complete, mut others) = (Vec::new(), Vec::new());
     for client in 0..CLIENTS {
         let text = request("consulta", client, 0, 900, "");
         for part in [text.len(), 40, 0] {
             let mut stream = TcpStream::connect(address).await.unwrap();
             stream.write_all(&text.as_bytes()[..part]).await.unwrap();
-            if part == text.len() { &mut whole } else { &mut others }.push(stream);
+            if part == text.len() { &mut complete } else { &mut others }.push(stream);
         }
     }
-    if !heeded {
+    if !handled {
         send_signal(&child, "-TERM");
     }
     send_signal(&child, "-CONT");
-    for stream in &mut whole {
-        assert_eq!(came(stream).await, Came::Answer(200));
+    for stream in &mut complete {
+        assert_eq!(read_outcome(stream).await, Outcome::Answer(200));
     }
     for stream in &mut others {
-        assert!(matches!(came(stream).await, Came::Nothing | Came::Answer(408)));
+        assert!(matches!(read_outcome(stream).await, Outcome::Nothing | Outcome::Answer(408)));
     }
-    assert!(matches!(came(&mut open).await, Came::Answer(503 | 504)));
+    assert!(matches!(read_outcome(&mut open).await, Outcome::Answer(503 | 504)));
     let status = tokio::task::spawn_blocking(move || child.wait().unwrap()).await.unwrap();
     assert!(status.success());
     assert_eq!(log.all().len(), 2 + CLIENTS as usize);
@@ -211,14 +214,14 @@
         open.push(stream);
     }
     // The first request is at the node; the others are there too, or queued behind it.
-    let by = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + PATIENCE;
     while log.all().is_empty() {
-        assert!(Instant::now() < by, "no request is forwarded");
+        assert!(Instant::now() < deadline, "no request is forwarded");
         tokio::task::yield_now().await;
     }
     send_signal(&child, "-TERM");
     for stream in &mut open {
-        assert!(matches!(came(stream).await, Came::Answer(503 | 504)));
+        assert!(matches!(read_outcome(stream).await, Outcome::Answer(503 | 504)));
         let mut rest = Vec::new();
         assert!(timeout(PATIENCE, stream.read_to_end(&mut rest)).await.expect("an end").is_ok());
     }
@@ -284,7 +287,7 @@
 #[tokio::test]
 async fn start_and_shutdown_need_no_discovery(
     #[values(Agent::Down, Agent::Silent)] agent: Agent,
-    #[values(false, true)] ends_at_once: bool,
+    #[values(false, true)] ends_before_ready: bool,
 ) {
     let log = Log::default();
     let node = http_node(0, &[Does::Serve], &log).await;
@@ -297,9 +300,9 @@
         r#""safety":{"stopSendingWithinMs":250,"#,
         1,
     );
-    let (begun, name) = (Instant::now(), format!("start{agent:?}{ends_at_once}"));
+    let (started_at, name) = (Instant::now(), format!("start{agent:?}{ends_before_ready}"));
     let (mut child, _lines, address) = wait_until_listening(start_program(&write_config(&name, &text), &[]));
-    if !ends_at_once {
+    if !ends_before_ready {
         let health = HEALTH_CHECK;
         let mut stream = TcpStream::connect(address).await.unwrap();
         loop {
@@ -307,7 +310,7 @@
             if answer(&mut stream).await.0 == 200 {
                 break;
             }
-            assert!(begun.elapsed() < Duration::from_secs(10), "not ready in time");
+            assert!(started_at.elapsed() < Duration::from_secs(10), "not ready in time");
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
--- a/crates/scheduler/tests/net/shutdown_stall.rs
+++ b/crates/scheduler/tests/net/shutdown_stall.rs
@@ -23,7 +23,7 @@
 /// A request that comes this long after SIGTERM or later is lost if SIGKILL finds it unanswered.
 const COUNTED_AFTER: Duration = Duration::from_millis(700);
 /// When the clients send their requests, after SIGTERM.
-const ASKED_AFTER: Duration = Duration::from_millis(760);
+const SENT_AFTER: Duration = Duration::from_millis(760);
 /// The number of requests that a node with unknown capacity gets at a time.
 const CLIENTS: u32 = 4;
 
@@ -63,10 +63,10 @@
     }
 
     /// Sends a request from each client, so that all of them are in flight.
-    async fn ask(&mut self, signalled: Instant) -> JoinSet<Option<String>> {
-        sleep_until(signalled + ASKED_AFTER).await;
+    async fn send_requests(&mut self, signalled: Instant) -> JoinSet<Option<String>> {
+        sleep_until(signalled + SENT_AFTER).await;
         assert!(
-            ASKED_AFTER >= COUNTED_AFTER && signalled.elapsed() < DEADLINE,
+            SENT_AFTER >= COUNTED_AFTER && signalled.elapsed() < DEADLINE,
             "the clients send their requests too late"
         );
         let mut answers = JoinSet::new();
@@ -108,7 +108,7 @@
         sleep_until(signalled + STALL).await;
         kill_process(program.process, Signal::CONT).unwrap();
     }
-    let answers = program.ask(signalled).await;
+    let answers = program.send_requests(signalled).await;
     if let Some(at) = at_the_end_ms {
         program.stall(signalled + Duration::from_millis(at)).await;
     }
@@ -122,9 +122,9 @@
     let mut program = HangingNode::start("reload-hangs", &["--operator", operator.to_str().unwrap()]).await;
     let reload = replace_by_pipe(&program.config);
     kill_process(program.process, Signal::HUP).unwrap();
-    let _unwritten = timeout(PATIENCE, reload).await.expect("a reload").unwrap();
+    let _write_end = timeout(PATIENCE, reload).await.expect("a reload").unwrap();
     let signalled = Instant::now();
     kill_process(program.process, Signal::TERM).unwrap();
-    let answers = program.ask(signalled).await;
+    let answers = program.send_requests(signalled).await;
     program.kill(signalled, answers).await;
 }
