--- a/crates/scheduler/tests/pinned/check_messages.rs
+++ b/crates/scheduler/tests/pinned/check_messages.rs
@@ -1,4 +1,4 @@
-//! What `heathward check` says, and its exit codes: of good files, and of each field at fault.
+//! The messages and exit codes of `heathward check`, for valid files and for each invalid field.
 
 use std::fmt::Write;
 use std::path::{Path, PathBuf};
@@ -14,7 +14,7 @@
   records: { folder: '/records', segmentMb: 8, segmentSeconds: 60, totalMb: 16, waiting: 64, requests: true,
     clock: { offsetMs: -300, stepAfterMs: 1000, stepMs: 20 } } }";
 
-/// A folder of its own, in which files go by their plain names.
+/// Creates a folder for one test, in which files are given by their plain names.
 fn folder(name: &str) -> PathBuf {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("check-{name}-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
@@ -25,7 +25,7 @@
     folder
 }
 
-/// What it says of these files, and its exit code; the folder is masked.
+/// Returns the output of the check of these files, and its exit code; the folder is masked.
 fn check(folder: &Path, files: &[&str]) -> String {
     let mut command = Command::new(env!("CARGO_BIN_EXE_heathward"));
     command.current_dir(folder).arg("check").args(files);
@@ -35,7 +35,8 @@
     format!("stdout: {out:?}\nstderr: {error:?}\nexit: {:?}\n", output.status.code().unwrap())
 }
 
-/// What it says of each of these files with one thing replaced, next to these others.
+/// Returns the output of the check of `file`, once per case with one text replaced in it, together with the
+/// files `others`.
 fn check_replaced(name: &str, file: &str, others: &[&str], cases: &[(&str, &str)]) -> String {
     let folder = folder(name);
     let text = std::fs::read_to_string(folder.join(file)).unwrap();
@@ -50,7 +51,7 @@
     said
 }
 
-/// The command line, as the program describes it.
+/// The help texts and usage errors of the command line.
 #[test]
 fn the_help_texts_are_as_pinned() {
     let mut said = String::new();
--- a/crates/scheduler/tests/pinned/http_answers.rs
+++ b/crates/scheduler/tests/pinned/http_answers.rs
@@ -1,4 +1,4 @@
-//! Each answer of the HTTP front, taken from a loopback connection.
+//! The answers of the HTTP front, read from a loopback connection.
 
 use std::fmt::Write;
 use std::time::Duration;
@@ -15,14 +15,14 @@
 use crate::{assert_matches_fixture, masked};
 
 const HEALTH: &str = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
-/// Longer than what the program holds of a body.
+/// Larger than the part of a body that the program buffers, in bytes.
 const LONG_BODY: usize = 100_000;
-/// Longer than any head that is read.
+/// Larger than any head that the program reads, in bytes.
 const LONG_HEAD: usize = 1 << 20;
-/// Bodies are told by their length from here on.
+/// Bodies larger than this, in bytes, are printed as their size.
 const PRINTED_BODY: usize = 1000;
 
-/// The next answer as it comes, without its body's bytes where that is long; the date masked.
+/// Returns the next answer as it was received, with the date masked and large bodies replaced by their size.
 async fn next_answer(stream: &mut TcpStream) -> String {
     let read = async {
         let mut bytes = Vec::new();
@@ -30,7 +30,7 @@
             if let Some(at) = bytes.windows(4).position(|window| window == b"\r\n\r\n") {
                 break at + 4;
             }
-            assert!(stream.read_buf(&mut bytes).await.unwrap() > 0, "an end: {bytes:?}");
+            assert!(stream.read_buf(&mut bytes).await.unwrap() > 0, "the connection ended: {bytes:?}");
         };
         let head = String::from_utf8(bytes[..head_size].to_vec()).unwrap();
         let lower_case = head.to_lowercase();
@@ -39,7 +39,7 @@
         let complete =
             |body: &[u8]| if chunked { body.ends_with(b"0\r\n\r\n") } else { body.len() >= length };
         while !complete(&bytes[head_size..]) {
-            assert!(stream.read_buf(&mut bytes).await.unwrap() > 0, "an end in a body");
+            assert!(stream.read_buf(&mut bytes).await.unwrap() > 0, "the connection ended in a body");
         }
         let body = String::from_utf8(bytes.split_off(head_size)).unwrap();
         let body = match body.len() {
@@ -58,7 +58,7 @@
     next_answer(&mut stream).await
 }
 
-/// A scheduler before one node, which does that.
+/// Starts a scheduler with one node, which follows the script.
 async fn rig_before(does: &[Does]) -> Rig {
     let node = http_node(0, does, &Log::default()).await;
     rig(&[member("s0", node, 0, "in_service", 0)], None).await
@@ -137,7 +137,7 @@
     assert_matches_fixture("answer_too_late.txt", &next_answer(&mut stream).await);
 }
 
-/// Each kind of request that makes no sense, by what is replaced in a good one.
+/// Each kind of malformed request, as a replacement in a valid one: the name, the text and its replacement.
 const MALFORMED: [(&str, &str, &str); 30] = [
     ("no class", "X-Call-Class: consulta\r\n", ""),
     ("unknown class", "X-Call-Class: consulta", "X-Call-Class: nada"),
@@ -231,7 +231,8 @@
     assert_matches_fixture("answers_health.txt", &answers);
 }
 
-/// The list of the start is stood by by nobody yet. The answer's length goes by its number's.
+/// Discovery has not confirmed the list from startup yet. The length of the answer depends on that of its
+/// number.
 #[tokio::test]
 async fn the_health_answer_without_discovery_is_as_pinned() {
     let member = member("s0", nobody().1, 0, "in_service", 0);
@@ -249,7 +250,8 @@
     assert_matches_fixture("answer_health_without_discovery.txt", &answer);
 }
 
-/// Another process takes what comes: clients are sent there by the answer.
+/// Another process accepts new connections: the answer closes the connection, so that the client connects to
+/// that process.
 #[tokio::test]
 async fn answers_of_a_replaced_scheduler_are_as_pinned() {
     let rig = rig_before(&[Does::Serve]).await;
--- a/crates/scheduler/tests/pinned/main.rs
+++ b/crates/scheduler/tests/pinned/main.rs
@@ -1,5 +1,6 @@
-//! What others read of this program, byte for byte: HTTP answers, what storage nodes are sent, and the help
-//! texts and messages of the command line. The files under `fixtures/` do not change with the code's names.
+//! The output of this program that other programs and people read, byte for byte: HTTP answers, requests to
+//! storage nodes, and the help texts and messages of the command line. The files under `fixtures/` do not
+//! change with names in the code.
 #![cfg(test)]
 
 mod check_messages;
@@ -8,7 +9,8 @@
 
 use std::path::Path;
 
-/// Compares with the fixture of that name. What differs is left in the target folder, to be looked at.
+/// Compares `actual` with the fixture `name`. Text that differs is written to the target folder, for
+/// inspection.
 fn assert_matches_fixture(name: &str, actual: &str) {
     let fixture = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/pinned/fixtures").join(name);
     let expected = std::fs::read(&fixture).unwrap_or_default();
@@ -19,7 +21,7 @@
     }
 }
 
-/// The text with the value of a header replaced, where it is there, by the header's name.
+/// Returns the head with the value of the header `name` masked, if the header is there.
 fn masked(head: &str, name: &str) -> String {
     let line = |line: &str| match line.split_once(": ") {
         Some((found, _)) if found.eq_ignore_ascii_case(name) => format!("{found}: <{name}>\r\n"),
--- a/crates/scheduler/tests/pinned/node_requests.rs
+++ b/crates/scheduler/tests/pinned/node_requests.rs
@@ -1,4 +1,4 @@
-//! What a storage node is sent, as it read it from its connection.
+//! The requests that a storage node receives, as read from its connection.
 
 use std::fmt::Write;
 
@@ -6,10 +6,10 @@
 
 use crate::{assert_matches_fixture, masked};
 
-/// Longer than what the program holds of a body.
+/// Larger than the part of a body that the program buffers, in bytes.
 const LONG_BODY: usize = 100_000;
 
-/// What was sent, in order. The node's address and what is left of the client's time are masked.
+/// Returns the received requests, in order. The node's address and the rest of the client's time are masked.
 fn sent(log: &Log) -> String {
     let mut text = String::new();
     for seen in log.all() {
@@ -23,12 +23,12 @@
     text
 }
 
-/// What one request makes a node be sent, which answers as the script says.
+/// Returns the requests that the node receives for one request of a client, if it answers as the script says.
 async fn sent_for(request: &str, script: &[Does]) -> String {
     let log = Log::default();
     let node = http_node(0, script, &log).await;
     let text = config_text("127.0.0.1:1", "127.0.0.1:1", &member("s0", node, 0, "in_service", 0));
-    // A write without a key, where the settings ask for none.
+    // For a write without a key, the settings are changed so that they require none.
     let text = match request.contains("Idempotency-Key") {
         true => text,
         false => text.replace(r#""repeat":"guarded""#, r#""repeat":"single_shot""#),
@@ -64,7 +64,7 @@
     assert_matches_fixture("node_requests.txt", &all);
 }
 
-/// Guards against a mask that hides what makes no sense.
+/// Guards against a malformed value that the mask hides.
 #[tokio::test]
 async fn the_budget_header_tells_whole_milliseconds() {
     let log = Log::default();
