--- a/deploy/heathward.jsonnet
+++ b/deploy/heathward.jsonnet
@@ -1,20 +1,20 @@
-// The operator file: what our installations set beside the platform's configuration. Named by
-// `heathward --operator FILE`; read again on SIGHUP. Everything here is at its default, and may be left out.
-// `heathward check CONFIG FILE` says whether it would be taken.
+// The operator file: settings in addition to the platform's configuration. Named by `heathward --operator
+// FILE`; read again on SIGHUP. Every setting here has its default value and may be left out. `heathward check
+// CONFIG FILE` checks whether the file is valid.
 {
   log: {
     // 'text' or 'json'
     format: 'text',
-    // A level, and levels of single targets: 'info,heathward_core=debug'
+    // A level, and levels of individual targets: 'info,heathward_core=debug'
     filter: 'info',
   },
 
-  // The NVMe front: null is off; `import 'nvme.json'` turns it on as that file says. Stays as at the start.
+  // The NVMe front: null turns it off; `import 'nvme.json'` turns it on with that map. Only read at startup.
   nvme: null,
 
-  // Records for reports and the console: null keeps none. For a folder on a lasting disk:
+  // The event log, for reports and the console: null turns it off. For a folder on a persistent disk:
   // { folder: '/var/lib/heathward/records', segmentMb: 16, segmentSeconds: 600, totalMb: 512,
-  //   waiting: 8192,      // events that wait for the disk at most; what is more is dropped and counted
-  //   requests: false }   // whether each request is recorded with its attempts: a hundred bytes or two each
+  //   waiting: 8192,      // most events that wait for the disk; further ones are dropped and counted
+  //   requests: false }   // whether each request is recorded with its attempts: 100 to 200 bytes each
   records: null,
 }
