--- a/crates/scheduler/tests/pinned/check_messages.rs
+++ b/crates/scheduler/tests/pinned/check_messages.rs
@@ -41,20 +41,20 @@
     let folder = folder(name);
     let text = std::fs::read_to_string(folder.join(file)).unwrap();
     let files: Vec<&str> = others.iter().copied().chain([file]).collect();
-    let mut said = String::new();
+    let mut output_text = String::new();
     for (from, to) in cases {
         assert!(text.contains(from), "{from}");
         std::fs::write(folder.join(file), text.replacen(from, to, 1)).unwrap();
-        write!(said, "--- {from} -> {to}\n{}", check(&folder, &files)).unwrap();
+        write!(output_text, "--- {from} -> {to}\n{}", check(&folder, &files)).unwrap();
     }
     std::fs::remove_dir_all(folder).unwrap();
-    said
+    output_text
 }
 
 /// The help texts and usage errors of the command line.
 #[test]
 fn the_help_texts_are_as_pinned() {
-    let mut said = String::new();
+    let mut output_text = String::new();
     for arguments in
         [&["--help"][..], &["-h"], &["check", "--help"], &["check"], &["--rules", "x"], &["--nothing"]]
     {
@@ -66,16 +66,16 @@
         let (out, error) =
             (String::from_utf8(output.stdout).unwrap(), String::from_utf8(output.stderr).unwrap());
         let code = output.status.code().unwrap();
-        write!(said, "--- {arguments:?}\n{out}--- stderr\n{error}--- exit {code}\n").unwrap();
+        write!(output_text, "--- {arguments:?}\n{out}--- stderr\n{error}--- exit {code}\n").unwrap();
     }
-    assert_matches_fixture("help.txt", &said);
+    assert_matches_fixture("help.txt", &output_text);
 }
 
 #[test]
-fn messages_on_good_files_are_as_pinned() {
+fn messages_on_valid_files_are_as_pinned() {
     let folder = folder("good");
     std::fs::write(folder.join("other.json"), "{}").unwrap();
-    let mut said = String::new();
+    let mut output_text = String::new();
     for files in [
         &["config.json", "nvme.json", "rules.json", "operator.jsonnet"][..],
         &["rules.json"],
@@ -85,10 +85,10 @@
         &["nowhere.jsonnet"],
         &["other.json"],
     ] {
-        write!(said, "--- {files:?}\n{}", check(&folder, files)).unwrap();
+        write!(output_text, "--- {files:?}\n{}", check(&folder, files)).unwrap();
     }
     std::fs::remove_dir_all(folder).unwrap();
-    assert_matches_fixture("check_good_files.txt", &said);
+    assert_matches_fixture("check_good_files.txt", &output_text);
 }
 
 #[test]
@@ -212,9 +212,9 @@
         ("\"shards\": 2", "\"shards\": 0"),
         ("\"hosts\": 1", "\"hosts\": 0"),
     ];
-    let said = check_replaced("rules", "rules.json", &["config.json"], &cases)
+    let output_text = check_replaced("rules", "rules.json", &["config.json"], &cases)
         + &check_replaced("rules-alone", "rules.json", &[], &cases);
-    assert_matches_fixture("check_rules.txt", &said);
+    assert_matches_fixture("check_rules.txt", &output_text);
 }
 
 #[test]
@@ -252,6 +252,6 @@
         ("stepAfterMs: 1000", "stepAfterMs: 0.5"),
         ("stepMs: 20", "stepMs: 'x'"),
     ];
-    let said = check_replaced("operator", "operator.jsonnet", &["config.json"], &cases);
-    assert_matches_fixture("check_operator_file.txt", &said);
+    let output_text = check_replaced("operator", "operator.jsonnet", &["config.json"], &cases);
+    assert_matches_fixture("check_operator_file.txt", &output_text);
 }
--- a/crates/scheduler/tests/pinned/http_answers.rs
+++ b/crates/scheduler/tests/pinned/http_answers.rs
@@ -27,8 +27,8 @@
     let read = async {
         let mut bytes = Vec::new();
         let head_size = loop {
-            if let Some(at) = bytes.windows(4).position(|window| window == b"\r\n\r\n") {
-                break at + 4;
+            if let Some(head_end) = bytes.windows(4).position(|window| window == b"\r\n\r\n") {
+                break head_end + 4;
             }
             assert!(stream.read_buf(&mut bytes).await.unwrap() > 0, "the connection ended: {bytes:?}");
         };
@@ -59,32 +59,32 @@
 }
 
 /// Starts a scheduler with one node, which follows the script.
-async fn rig_before(does: &[Does]) -> Rig {
+async fn rig_with_node(does: &[Does]) -> Rig {
     let node = http_node(0, does, &Log::default()).await;
     rig(&[member("s0", node, 0, "in_service", 0)], None).await
 }
 
-fn say(text: String) -> Does {
+fn node_answer(text: String) -> Does {
     Does::Say(Box::leak(text.into_boxed_str()))
 }
 
 #[rstest]
-#[case::held("served", Does::Serve)]
+#[case::buffered("served", Does::Serve)]
 #[case::empty("served_empty", Does::Say("HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n"))]
 #[case::long(
     "served_long_with_length",
-    say(format!("HTTP/1.1 200 OK\r\ncontent-length: {LONG_BODY}\r\n\r\n{}", "x".repeat(LONG_BODY)))
+    node_answer(format!("HTTP/1.1 200 OK\r\ncontent-length: {LONG_BODY}\r\n\r\n{}", "x".repeat(LONG_BODY)))
 )]
 #[case::long_in_chunks(
     "served_long_without_length",
-    say(format!(
+    node_answer(format!(
         "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n{LONG_BODY:x}\r\n{}\r\n0\r\n\r\n",
         "x".repeat(LONG_BODY)
     ))
 )]
 #[tokio::test]
 async fn served_answers_are_as_pinned(#[case] name: &str, #[case] does: Does) {
-    let rig = rig_before(&[does]).await;
+    let rig = rig_with_node(&[does]).await;
     let answer = answer_to(&rig, &request("consulta", 1, 0, 900, "")).await;
     assert_matches_fixture(&format!("answer_{name}.txt"), &answer);
 }
@@ -108,7 +108,7 @@
 
 #[tokio::test]
 async fn a_duplicates_answer_is_as_pinned() {
-    let rig = rig_before(&[Does::Silent]).await;
+    let rig = rig_with_node(&[Does::Silent]).await;
     let mut first = TcpStream::connect(rig.front).await.unwrap();
     first.write_all(request("consulta", 1, 0, 900, "").as_bytes()).await.unwrap();
     rig.until(|counters| counters.attempts_sent == 1).await;
@@ -118,7 +118,7 @@
 
 #[tokio::test]
 async fn a_failed_writes_answer_is_as_pinned() {
-    let rig = rig_before(&[Does::Error]).await;
+    let rig = rig_with_node(&[Does::Error]).await;
     let answer = answer_to(&rig, &request("pedido", 1, 0, 1400, "w")).await;
     assert_matches_fixture("answer_failed.txt", &answer);
 }
@@ -173,12 +173,12 @@
 
 #[tokio::test]
 async fn answers_to_malformed_requests_are_as_pinned() {
-    let rig = rig_before(&[Does::Serve]).await;
-    let good = request("consulta", 1, 0, 900, "");
+    let rig = rig_with_node(&[Does::Serve]).await;
+    let valid = request("consulta", 1, 0, 900, "");
     let mut answers = String::new();
     for (name, from, to) in MALFORMED {
-        assert!(good.contains(from), "{name}");
-        let answer = answer_to(&rig, &(good.replacen(from, to, 1) + "xy")).await;
+        assert!(valid.contains(from), "{name}");
+        let answer = answer_to(&rig, &(valid.replacen(from, to, 1) + "xy")).await;
         write!(answers, "--- {name}\n{answer}\n").unwrap();
     }
     let write = request("pedido", 1, 0, 900, "0\r\n\r\n");
@@ -193,7 +193,7 @@
         let answer = answer_to(&rig, &text).await;
         write!(answers, "--- {name}\n{answer}\n").unwrap();
     }
-    let head = good.trim_end().to_owned() + "\r\nX-Pad: " + &"x".repeat(LONG_HEAD);
+    let head = valid.trim_end().to_owned() + "\r\nX-Pad: " + &"x".repeat(LONG_HEAD);
     write!(answers, "--- too long a head\n{}\n", answer_to(&rig, &head).await).unwrap();
     assert_matches_fixture("answers_malformed.txt", &answers);
 }
@@ -209,17 +209,17 @@
 
 #[tokio::test]
 async fn health_answers_are_as_pinned() {
-    let rig = rig_before(&[Does::Serve]).await;
+    let rig = rig_with_node(&[Does::Serve]).await;
     rig.until_ready(true).await;
     let ready = answer_to(&rig, HEALTH).await;
     rig.core.run_command(OperatorCommand::Pause, false).await.unwrap().unwrap();
     let paused = answer_to(&rig, HEALTH).await;
     let served = answer_to(&rig, &request("consulta", 1, 0, 900, "")).await;
     rig.core.run_command(OperatorCommand::Resume, false).await.unwrap().unwrap();
-    let nothing = r#"{"revision":99,"complete":true,"members":[]}"#;
+    let empty_list = r#"{"revision":99,"complete":true,"members":[]}"#;
     rig.core
         .discovery_sender()
-        .send(CoreMessage::EndpointUpdate(discovery::parse_update(nothing).unwrap()))
+        .send(CoreMessage::EndpointUpdate(discovery::parse_update(empty_list).unwrap()))
         .await
         .unwrap();
     rig.until_ready(false).await;
@@ -254,7 +254,7 @@
 /// that process.
 #[tokio::test]
 async fn answers_of_a_replaced_scheduler_are_as_pinned() {
-    let rig = rig_before(&[Does::Serve]).await;
+    let rig = rig_with_node(&[Does::Serve]).await;
     rig.core.set_replaced(true);
     let answer = answer_to(&rig, &request("consulta", 1, 0, 900, "")).await;
     assert_matches_fixture("answer_served_and_closed.txt", &answer);
--- a/crates/scheduler/tests/pinned/main.rs
+++ b/crates/scheduler/tests/pinned/main.rs
@@ -15,9 +15,9 @@
     let fixture = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/pinned/fixtures").join(name);
     let expected = std::fs::read(&fixture).unwrap_or_default();
     if expected != actual.as_bytes() {
-        let other = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
-        std::fs::write(&other, actual).unwrap();
-        panic!("not as in {}: see {}", fixture.display(), other.display());
+        let written = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
+        std::fs::write(&written, actual).unwrap();
+        panic!("not as in {}: see {}", fixture.display(), written.display());
     }
 }
 
--- a/crates/scheduler/tests/pinned/node_requests.rs
+++ b/crates/scheduler/tests/pinned/node_requests.rs
@@ -10,7 +10,7 @@
 const LONG_BODY: usize = 100_000;
 
 /// Returns the received requests, in order. The node's address and the rest of the client's time are masked.
-fn sent(log: &Log) -> String {
+fn received_requests(log: &Log) -> String {
     let mut text = String::new();
     for seen in log.all() {
         let head = masked(&masked(&seen.head, "host"), "x-budget-ms");
@@ -24,7 +24,7 @@
 }
 
 /// Returns the requests that the node receives for one request of a client, if it answers as the script says.
-async fn sent_for(request: &str, script: &[Does]) -> String {
+async fn requests_received_for(request: &str, script: &[Does]) -> String {
     let log = Log::default();
     let node = http_node(0, script, &log).await;
     let text = config_text("127.0.0.1:1", "127.0.0.1:1", &member("s0", node, 0, "in_service", 0));
@@ -35,7 +35,7 @@
     };
     let rig = rig_of(&text, None).await;
     assert_eq!(rig.ask(request).await.0, 200);
-    sent(&log)
+    received_requests(&log)
 }
 
 #[tokio::test]
@@ -59,14 +59,14 @@
         ("read and its retry", request("consulta", 1, 0, 900, ""), &retried),
         ("keyed write and its retry", write, &retried),
     ] {
-        write!(all, "--- {name}\n{}", sent_for(&request, script).await).unwrap();
+        write!(all, "--- {name}\n{}", requests_received_for(&request, script).await).unwrap();
     }
     assert_matches_fixture("node_requests.txt", &all);
 }
 
 /// Guards against a malformed value that the mask hides.
 #[tokio::test]
-async fn the_budget_header_tells_whole_milliseconds() {
+async fn the_budget_header_is_in_whole_milliseconds() {
     let log = Log::default();
     let node = http_node(0, &[Does::Serve], &log).await;
     let rig = rig(&[member("s0", node, 0, "in_service", 0)], None).await;
