--- a/crates/scheduler/tests/net/admin_interface.rs
+++ b/crates/scheduler/tests/net/admin_interface.rs
@@ -188,7 +188,7 @@
         assert_eq!((status, header(&head, "connection")), (200, Some("close")));
     }
     for stream in kept.iter_mut().chain([&mut new]) {
-        assert!(timeout(PATIENCE, read_message(stream)).await.expect("an end").is_none());
+        assert!(timeout(PATIENCE, read_message(stream)).await.expect("the end of the connection").is_none());
     }
     assert!(paused.elapsed() < Duration::from_millis(3500), "{:?}", paused.elapsed());
     assert_eq!(run_command(address, "STATUS\n").await, "OK\n");
--- a/crates/scheduler/tests/net/client_connections.rs
+++ b/crates/scheduler/tests/net/client_connections.rs
@@ -54,7 +54,9 @@
         let written = stream.write_all(request("consulta", call, 0, 900, "").as_bytes()).await;
         let message = timeout(PATIENCE, read_message(&mut stream)).await;
         if written.is_ok()
-            && message.expect("an answer or an end").is_some_and(|(head, ..)| head.contains(" 200 "))
+            && message
+                .expect("an answer or the end of the connection")
+                .is_some_and(|(head, ..)| head.contains(" 200 "))
         {
             break;
         }
--- a/crates/scheduler/tests/net/client_disconnect.rs
+++ b/crates/scheduler/tests/net/client_disconnect.rs
@@ -280,7 +280,7 @@
             let abort = Body::Abort { queue: 1, cid: 3 };
             let admin = admin.as_mut().unwrap();
             let (completion, _) = heathward_fakes::nvme::ask(admin, 6, abort, NONE, Bytes::new()).await;
-            assert_eq!(completion.result, 0, "aborted");
+            assert_eq!(completion.result, 0, "the command was aborted");
         }
         Cancellation::CloseIoQueue => drop(io.take()),
         Cancellation::CloseAdminQueue => drop(admin.take()),
--- a/crates/scheduler/tests/net/connection_close.rs
+++ b/crates/scheduler/tests/net/connection_close.rs
@@ -56,7 +56,7 @@
         }
     }
     let counters = rig.until(|counters| counters.client_disconnects == 1).await;
-    // Another client's request comes after all that was read of the one that left.
+    // The request of another client is handled after everything that was read from the disconnected one.
     assert!(matches!(rig.ask(&request("consulta", 1000, 0, 100, "")).await.0, 503 | 504));
     assert_eq!((counters.total_answers(), log.all().len()), (AnswerCounts::default(), 2), "{counters}");
 }
@@ -73,7 +73,7 @@
     let (mut read, mut write) = stream.into_split();
     let writing = tokio::spawn(async move { write.write_all(flood.as_bytes()).await.map(|()| write) });
     let mut received = Vec::new();
-    timeout(PATIENCE, read.read_to_end(&mut received)).await.expect("an end").unwrap();
+    timeout(PATIENCE, read.read_to_end(&mut received)).await.expect("the end of the connection").unwrap();
     let text = String::from_utf8(received).unwrap();
     assert!(text.contains("connection: close"), "{text}");
     assert_eq!(text.matches("HTTP/1.1").count(), 1, "{text}");
@@ -101,7 +101,8 @@
     let newcomer = table.enter(Instant::now() + Duration::from_secs(5));
     assert!(newcomer.is_some(), "the idle connection is evicted");
     let mut received = Vec::new();
-    let ended = timeout(PATIENCE, stream.read_to_end(&mut received)).await.expect("an end");
+    let ended =
+        timeout(PATIENCE, stream.read_to_end(&mut received)).await.expect("the end of the connection");
     assert!(ended.is_ok() && received.is_empty(), "closed, not reset: {ended:?} {received:?}");
     assert_eq!(log.all().len(), 1);
 }
@@ -125,5 +126,5 @@
     stream.write_all(rest.as_bytes()).await.unwrap();
     let (status, head, _) = answer(&mut stream).await;
     assert_eq!((status, header(&head, "connection")), (200, Some("close")));
-    assert!(timeout(PATIENCE, read_message(&mut stream)).await.expect("an end").is_none());
+    assert!(timeout(PATIENCE, read_message(&mut stream)).await.expect("the end of the connection").is_none());
 }
--- a/crates/scheduler/tests/net/descriptor_exhaustion.rs
+++ b/crates/scheduler/tests/net/descriptor_exhaustion.rs
@@ -53,7 +53,9 @@
     loop {
         let mut client = TcpStream::connect(front).await.unwrap();
         let written = client.write_all(request("consulta", call, 0, 900, "").as_bytes()).await;
-        let message = timeout(PATIENCE, read_message(&mut client)).await.expect("an answer or an end");
+        let message = timeout(PATIENCE, read_message(&mut client))
+            .await
+            .expect("an answer or the end of the connection");
         if let (Ok(()), Some((head, ..))) = (written, message) {
             return head[9..12].parse().unwrap();
         }
--- a/crates/scheduler/tests/net/disconnect_while_connecting.rs
+++ b/crates/scheduler/tests/net/disconnect_while_connecting.rs
@@ -25,7 +25,7 @@
     tokio::task::yield_now().await;
     assert!(!connecting.is_finished());
     cancel.cancel();
-    let Ok(done) = timeout(PATIENCE, connecting).await.expect("at once").unwrap();
+    let Ok(done) = timeout(PATIENCE, connecting).await.expect("an immediate end").unwrap();
     assert_eq!(done.end, AttemptEnd::NotSent);
     assert!(done.idle.is_none());
 }
--- a/crates/scheduler/tests/net/drain_during_reload.rs
+++ b/crates/scheduler/tests/net/drain_during_reload.rs
@@ -26,7 +26,7 @@
     NewAgentCompleteList,
 }
 
-/// The time within which a change must be applied after it was told.
+/// The time within which the scheduler must apply a change after the agent has sent it.
 const GRACE: Duration = Duration::from_millis(250);
 
 /// Guards against a drain that is lost between two agents, or undone by an older revision of the other agent.
--- a/crates/scheduler/tests/net/large_bodies.rs
+++ b/crates/scheduler/tests/net/large_bodies.rs
@@ -69,7 +69,8 @@
     stream.write_all(request("consulta", 1, 0, 900, "").as_bytes()).await.unwrap();
     let mut received_bytes = Vec::new();
     // Closed or reset.
-    let _ = timeout(PATIENCE, stream.read_to_end(&mut received_bytes)).await.expect("an end");
+    let _ =
+        timeout(PATIENCE, stream.read_to_end(&mut received_bytes)).await.expect("the end of the connection");
     assert!(
         received_bytes.starts_with(b"HTTP/1.1 200 OK") && !received_bytes.ends_with(b"0\r\n\r\n"),
         "{} bytes",
--- a/crates/scheduler/tests/net/node_connections.rs
+++ b/crates/scheduler/tests/net/node_connections.rs
@@ -1,4 +1,4 @@
-//! Connections to storage nodes: time limits, idle ones, and more nodes than descriptors.
+//! Connections to storage nodes: time limits, idle connections, and more nodes than descriptors.
 
 use std::time::Duration;
 
--- a/crates/scheduler/tests/net/parsers.rs
+++ b/crates/scheduler/tests/net/parsers.rs
@@ -1,4 +1,4 @@
-//! Tables of cases for the parsers. Bytes are written out by hand, from the specifications' tables.
+//! Tables of cases for the parsers. The bytes are written by hand, from the tables of the specifications.
 
 use std::sync::Arc;
 
--- a/crates/scheduler/tests/net/process.rs
+++ b/crates/scheduler/tests/net/process.rs
@@ -90,7 +90,7 @@
     }
     assert!(matches!(answer(&mut open).await.0, 503 | 504));
     for stream in [&mut open, &mut idle, &mut new] {
-        assert!(timeout(PATIENCE, read_message(stream)).await.expect("an end").is_none());
+        assert!(timeout(PATIENCE, read_message(stream)).await.expect("the end of the connection").is_none());
     }
     let mut output_text = String::new();
     log_lines.read_to_string(&mut output_text).unwrap();
@@ -119,8 +119,9 @@
     }
     send_signal(&child, "-TERM");
     let signalled_at = Instant::now();
-    let answered = timeout(PATIENCE, read_message(&mut open)).await.expect("an answer or an end");
-    let (head, ..) = answered.expect("an answer before the end");
+    let answered =
+        timeout(PATIENCE, read_message(&mut open)).await.expect("an answer or the end of the connection");
+    let (head, ..) = answered.expect("an answer before the connection ends");
     assert!(head.starts_with("http/1.1 504"), "{head}");
     assert!(
         signalled_at.elapsed() > Duration::from_secs(2),
--- a/crates/scheduler/tests/net/rejected_requests.rs
+++ b/crates/scheduler/tests/net/rejected_requests.rs
@@ -63,7 +63,7 @@
     stream.write_all((text + &hidden).as_bytes()).await.unwrap();
     let (status, head, _) = answer(&mut stream).await;
     assert_eq!((status, header(&head, "connection")), (400, Some("close")));
-    assert!(timeout(PATIENCE, read_message(&mut stream)).await.expect("an end").is_none());
+    assert!(timeout(PATIENCE, read_message(&mut stream)).await.expect("the end of the connection").is_none());
     assert_eq!((rig.counters().await.requests_received, log.all().len()), (0, 0));
 }
 
@@ -94,7 +94,8 @@
     let rig = rig(&[], None).await;
     let mut stream = TcpStream::connect(rig.front).await.unwrap();
     stream.write_all(text.as_bytes()).await.unwrap();
-    let message = timeout(PATIENCE, read_message(&mut stream)).await.expect("an answer or an end");
+    let message =
+        timeout(PATIENCE, read_message(&mut stream)).await.expect("an answer or the end of the connection");
     assert_eq!(message.map(|(head, ..)| head[9..12].parse().unwrap()), status);
 }
 
--- a/crates/scheduler/tests/net/shutdown.rs
+++ b/crates/scheduler/tests/net/shutdown.rs
@@ -16,7 +16,7 @@
 enum Outcome {
     /// A complete answer.
     Answer(u16),
-    /// The connection was closed before anything came.
+    /// The connection was closed before any byte of an answer.
     Nothing,
     /// Anything else: a reset, or a part of an answer.
     Broken,
@@ -24,9 +24,9 @@
 
 async fn read_outcome(stream: &mut TcpStream) -> Outcome {
     let mut first = [0];
-    match timeout(PATIENCE, stream.peek(&mut first)).await.expect("an answer or an end") {
+    match timeout(PATIENCE, stream.peek(&mut first)).await.expect("an answer or the end of the connection") {
         Ok(0) => Outcome::Nothing,
-        Ok(_) => match timeout(PATIENCE, read_message(stream)).await.expect("all of it") {
+        Ok(_) => match timeout(PATIENCE, read_message(stream)).await.expect("the rest of the answer") {
             Some((head, ..)) => Outcome::Answer(head[9..12].parse().unwrap()),
             None => Outcome::Broken,
         },
@@ -223,7 +223,10 @@
     for stream in &mut open {
         assert!(matches!(read_outcome(stream).await, Outcome::Answer(503 | 504)));
         let mut rest = Vec::new();
-        assert!(timeout(PATIENCE, stream.read_to_end(&mut rest)).await.expect("an end").is_ok());
+        assert!(timeout(PATIENCE, stream.read_to_end(&mut rest))
+            .await
+            .expect("the end of the connection")
+            .is_ok());
     }
     let status = tokio::task::spawn_blocking(move || child.wait().unwrap()).await.unwrap();
     assert!(status.success());
--- a/crates/scheduler/tests/pinned/main.rs
+++ b/crates/scheduler/tests/pinned/main.rs
@@ -17,7 +17,7 @@
     if expected != actual.as_bytes() {
         let written = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
         std::fs::write(&written, actual).unwrap();
-        panic!("not as in {}: see {}", fixture.display(), written.display());
+        panic!("output differs from {}: see {}", fixture.display(), written.display());
     }
 }
 
