--- a/crates/scheduler/tests/incident_report.rs
+++ b/crates/scheduler/tests/incident_report.rs
@@ -57,17 +57,17 @@
         let boots: Vec<Fold> = all_boots.into_iter().filter(|fold| fold.scheduler == name).collect();
         let clock_offset = incident.boots.iter().find(|boot| boot.scheduler == name).unwrap().ahead;
         let scheduler_incident = Incident::of(&boots, Window::ALL);
-        let whole = scheduler_incident.holes.is_empty();
-        assert_eq!(whole, number != 1, "{:?}", scheduler_incident.holes);
+        let complete = scheduler_incident.holes.is_empty();
+        assert_eq!(complete, number != 1, "{:?}", scheduler_incident.holes);
         let unaccounted = unaccounted(truth, number, &scheduler_incident);
-        assert!(unaccounted <= if whole { 0 } else { 60 }, "{unaccounted} attempts of {name}");
+        assert!(unaccounted <= if complete { 0 } else { 60 }, "{unaccounted} attempts of {name}");
         for node in 0..NODES {
-            let arrived = truth.arrivals[node as usize].iter().filter(|(by, _)| *by == number);
+            let arrived = truth.arrivals[node as usize].iter().filter(|(scheduler, _)| *scheduler == number);
             let arrived: Vec<u64> = arrived.map(|(_, at)| *at).collect();
             let table =
                 scheduler_incident.nodes.iter().find(|table| table.name == format!("s{node}")).unwrap();
             let not_sent = |counts: &heathward_incident::NodeCounts| counts.ends[4];
-            if !whole {
+            if !complete {
                 continue;
             }
             // The attempts recorded by the end of each second: as many as the node had, give or take half a
@@ -76,8 +76,8 @@
             for (from, counts) in table.series.iter() {
                 sent_total += counts.sent - not_sent(counts);
                 let end = (from + MICROS_PER_SECOND).saturating_add_signed(-clock_offset);
-                let by = |at: u64| arrived.iter().filter(|arrival| **arrival <= at).count() as u64;
-                let (least, most) = (by(end - 800_000), by(end + 800_000));
+                let arrivals_by = |at: u64| arrived.iter().filter(|arrival| **arrival <= at).count() as u64;
+                let (least, most) = (arrivals_by(end - 800_000), arrivals_by(end + 800_000));
                 assert!(
                     (least..=most).contains(&sent_total),
                     "{name} to s{node} by {end}: {sent_total}, {least} to {most}"
--- a/crates/scheduler/tests/net/admin_interface.rs
+++ b/crates/scheduler/tests/net/admin_interface.rs
@@ -171,23 +171,23 @@
     let node = http_node(0, &[Does::Serve], &log).await;
     let (rig, address) = rig_with_admin(&[member("s0", node, 0, "in_service", 0)], 4).await;
     let health = HEALTH_CHECK;
-    let mut kept = Vec::new();
+    let mut connections = Vec::new();
     for call in 1..4 {
         let mut stream = TcpStream::connect(rig.front).await.unwrap();
         stream.write_all(request("consulta", call, 0, 900, "").as_bytes()).await.unwrap();
         assert_eq!(answer(&mut stream).await.0, 200);
-        kept.push(stream);
+        connections.push(stream);
     }
     let paused = Instant::now();
     assert_eq!(run_command(address, "PAUSE\n").await, "OK\n");
     assert_eq!(rig.ask(health).await.0, 503);
     let mut new = TcpStream::connect(rig.front).await.unwrap();
-    for (stream, call) in [(&mut new, 4), (&mut kept[0], 5)] {
+    for (stream, call) in [(&mut new, 4), (&mut connections[0], 5)] {
         stream.write_all(request("consulta", call, 0, 900, "").as_bytes()).await.unwrap();
         let (status, head, _) = answer(stream).await;
         assert_eq!((status, header(&head, "connection")), (200, Some("close")));
     }
-    for stream in kept.iter_mut().chain([&mut new]) {
+    for stream in connections.iter_mut().chain([&mut new]) {
         assert!(timeout(PATIENCE, read_message(stream)).await.expect("the end of the connection").is_none());
     }
     assert!(paused.elapsed() < Duration::from_millis(3500), "{:?}", paused.elapsed());
--- a/crates/scheduler/tests/net/large_bodies.rs
+++ b/crates/scheduler/tests/net/large_bodies.rs
@@ -36,7 +36,7 @@
     [body.chunks(size).flat_map(chunk).collect::<Vec<_>>(), b"0\r\nx-trailer: t\r\n\r\n".to_vec()].concat()
 }
 
-fn noise(size: usize) -> Vec<u8> {
+fn test_data(size: usize) -> Vec<u8> {
     (0..size).map(|index| (index * 31 % 251) as u8).collect()
 }
 
@@ -47,7 +47,7 @@
 #[case::until_closed("", false)]
 #[tokio::test]
 async fn a_long_answer_is_streamed_completely(#[case] framing: &str, #[case] chunks: bool) {
-    let body = noise(LONG_BODY);
+    let body = test_data(LONG_BODY);
     let sent = if chunks { chunked(&body, 70_001) } else { body.clone() };
     let mut pieces = vec![format!("HTTP/1.1 200 OK\r\n{framing}\r").into_bytes(), b"\n".to_vec()];
     pieces.extend(sent.chunks(500_003).map(<[u8]>::to_vec));
@@ -62,7 +62,7 @@
 #[tokio::test]
 async fn an_answer_cut_by_the_node_is_cut_for_the_client() {
     let head = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n".to_vec();
-    let part = chunked(&noise(200_000), 100_000);
+    let part = chunked(&test_data(200_000), 100_000);
     let (address, _received) = node(vec![head, part[..150_000].to_vec()]).await;
     let rig = rig(&[member("s0", address, 0, "in_service", 0)], None).await;
     let mut stream = TcpStream::connect(rig.front).await.unwrap();
@@ -95,7 +95,7 @@
     let answer_text = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok".to_vec();
     let (address, received) = node(vec![answer_text]).await;
     let rig = rig(&[member("s0", address, 0, "in_service", 0)], None).await;
-    let body = noise(size);
+    let body = test_data(size);
     let sent = if chunks { chunked(&body, 9001) } else { body.clone() };
     let framing =
         if chunks { "Transfer-Encoding: chunked".to_owned() } else { format!("Content-Length: {size}") };
