--- a/Makefile
+++ b/Makefile
@@ -38,7 +38,7 @@
 measure-capacity: build
 	target/release/heathward-measure capacity
 
-# Random shutdowns and restarts, with a table; CI runs a few seeds.
+# Shutdowns and restarts drawn from random seeds, with a table; CI runs a few seeds.
 .PHONY: soak
 SEEDS ?= 50
 FIRST ?= 1
--- a/crates/scheduler/src/shutdown.rs
+++ b/crates/scheduler/src/shutdown.rs
@@ -21,7 +21,7 @@
 /// that long before its last write. The write itself has time because the signal is taken to have been sent
 /// earlier than it was.
 const ANSWER_MARGIN: Duration = Duration::from_millis(150);
-/// How long after that the last answers may still be written.
+/// The time after the answer deadline in which the last answers may still be written.
 const FINAL_WRITE_TIME: Duration = Duration::from_millis(100);
 /// How often open requests and connections are polled while new requests are still served.
 const SERVING_POLL_INTERVAL: Duration = Duration::from_millis(20);
--- a/crates/scheduler/tests/shutdown_soak.rs
+++ b/crates/scheduler/tests/shutdown_soak.rs
@@ -1,5 +1,5 @@
-//! Random shutdowns and restarts from fixed seeds, checked against what clients and nodes observed. `make
-//! soak` runs more seeds.
+//! Shutdowns and restarts drawn from fixed random seeds, checked against what clients and nodes observed.
+//! `make soak` runs more seeds.
 #![cfg(test)]
 
 use std::path::Path;
--- a/crates/scheduler/tests/slow_start_across_processes.rs
+++ b/crates/scheduler/tests/slow_start_across_processes.rs
@@ -13,8 +13,9 @@
 /// Requests per second of all hosts together, whatever their number.
 const ASKED: f64 = 800.0;
 
-/// The largest load allowed, as a share of N. The fleet aims at half of N. If each process takes more than
-/// its share, only the waits at the node limit the sum, just below N.
+/// The largest load allowed, as a share of N, which is the load that the rule allows a node in slow start
+/// without the slack. The fleet aims at half of N. If each process takes more than its share, only the waits
+/// at the node limit the sum, just below N.
 const MOST: f64 = 0.7;
 
 async fn run_scenario(scenario: &Scenario) -> Outcome {
