--- a/crates/scheduler/tests/net/client_connections.rs
+++ b/crates/scheduler/tests/net/client_connections.rs
@@ -77,8 +77,8 @@
         stream.write_all(request("consulta", call, 0, 900, "").as_bytes()).await.unwrap();
         assert_eq!(answer(&mut stream).await.0, 200, "client {call}");
         connections.push(stream);
-        // Slow enough for a connection to be evicted each time; all requests are sent before a connection
-        // counts as idle for too long.
+        // Slow enough for a connection to be evicted each time, and fast enough for all requests to be sent
+        // within the idle timeout of a connection.
         sleep(Duration::from_millis(5)).await;
     }
     // They hold at most a third of the descriptors, which is two thirds of the places: if they held more, no
--- a/crates/scheduler/tests/net/client_disconnect.rs
+++ b/crates/scheduler/tests/net/client_disconnect.rs
@@ -218,7 +218,7 @@
     assert_eq!(ids_begun_before_answer(&rig, &mut staying_client, begun).await, [u64::from(STAYING_REQUEST)]);
 }
 
-/// How an NVMe/TCP host cancellation a command.
+/// How an NVMe/TCP host cancels a command.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Cancellation {
     /// With an Abort command.
@@ -247,7 +247,7 @@
     (address, stop)
 }
 
-/// The host cancellation its command while the first attempt or a retry waits for a connection, which is
+/// The host cancels its command while the first attempt or a retry waits for a connection, which is
 /// established 0.1 s later.
 #[rstest]
 #[tokio::test]
--- a/crates/scheduler/tests/net/descriptor_exhaustion.rs
+++ b/crates/scheduler/tests/net/descriptor_exhaustion.rs
@@ -64,8 +64,8 @@
     }
 }
 
-/// Guards against a process that cannot call discovery when it is back, because clients hold all descriptors:
-/// a drain counts as told by then.
+/// Guards against a process that cannot call discovery once discovery is back, because clients hold all
+/// descriptors: a drain counts as told by then.
 #[tokio::test]
 async fn idle_clients_that_fill_the_descriptors_leave_one_for_discovery() {
     let log = Log::default();
--- a/crates/scheduler/tests/net/handover.rs
+++ b/crates/scheduler/tests/net/handover.rs
@@ -144,7 +144,7 @@
     third.end();
 }
 
-/// What is in place of the previous process.
+/// What a starting process finds at the handover socket of the previous process.
 #[derive(Clone, Copy, Debug)]
 enum Previous {
     StaleFile,
