--- a/crates/policy/src/shard_index/tests.rs
+++ b/crates/policy/src/shard_index/tests.rs
@@ -1,11 +1,11 @@
-//! The index compared with one that is built anew after each change.
+//! Compares the index with one that is rebuilt after each change.
 
 use std::collections::BTreeMap;
 
 use super::*;
 
 #[test]
-fn changes_leave_what_a_new_index_would_hold() {
+fn the_index_equals_a_rebuilt_one_after_every_change() {
     let mut random = fastrand::Rng::with_seed(1);
     let mut index = ShardIndex::default();
     let mut shards_by_node = BTreeMap::new();
--- a/crates/scheduler/tests/net/admin_interface.rs
+++ b/crates/scheduler/tests/net/admin_interface.rs
@@ -2,7 +2,7 @@
 
 use heathward_core::{CoreMessage, SendGate};
 use heathward_policy::AttemptEnd;
-use heathward_transport::node::{HttpLink, Job};
+use heathward_transport::node::{HttpLink, LinkRequest};
 use heathward_transport::{admin, discovery};
 use rstest::rstest;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -156,7 +156,9 @@
     gate.set_closed(suspended);
     let attempt = attempt(gate, deadline);
     let written_attempts = attempt.written_attempts.clone();
-    let Ok(done) = HttpLink::new(node).call(Job { attempt, idle: None, connect_by: deadline }).await;
+    let Ok(done) = HttpLink::new(node)
+        .call(LinkRequest { attempt, idle_connection: None, dial_deadline: deadline })
+        .await;
     assert_eq!(
         (done.end, log.all().len(), written_attempts.total()),
         (end, expected_requests, expected_requests as u64)
--- a/crates/scheduler/tests/net/connection_close.rs
+++ b/crates/scheduler/tests/net/connection_close.rs
@@ -98,7 +98,7 @@
     assert_eq!(answer(&mut stream).await.0, 200);
     // No other task runs between here and the new connection.
     stream.try_write(unread.as_bytes()).unwrap();
-    let newcomer = table.enter(Instant::now() + Duration::from_secs(5));
+    let newcomer = table.admit(Instant::now() + Duration::from_secs(5));
     assert!(newcomer.is_some(), "the idle connection is evicted");
     let mut received = Vec::new();
     let ended =
--- a/crates/scheduler/tests/net/disconnect_while_connecting.rs
+++ b/crates/scheduler/tests/net/disconnect_while_connecting.rs
@@ -2,7 +2,7 @@
 
 use heathward_core::SendGate;
 use heathward_policy::AttemptEnd;
-use heathward_transport::node::{HttpLink, Job};
+use heathward_transport::node::{HttpLink, LinkRequest};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
@@ -20,14 +20,17 @@
     let deadline = Instant::now() + PATIENCE * 10;
     let attempt = attempt(SendGate::default(), deadline);
     let cancel = attempt.cancel.clone();
-    let connecting =
-        tokio::spawn(HttpLink::new(node.address).call(Job { attempt, idle: None, connect_by: deadline }));
+    let connecting = tokio::spawn(HttpLink::new(node.address).call(LinkRequest {
+        attempt,
+        idle_connection: None,
+        dial_deadline: deadline,
+    }));
     tokio::task::yield_now().await;
     assert!(!connecting.is_finished());
     cancel.cancel();
     let Ok(done) = timeout(PATIENCE, connecting).await.expect("an immediate end").unwrap();
     assert_eq!(done.end, AttemptEnd::NotSent);
-    assert!(done.idle.is_none());
+    assert!(done.idle_connection.is_none());
 }
 
 /// Accepts connections, reads a request on each and answers it; reports the head of each request.
--- a/crates/scheduler/tests/net/request_writer.rs
+++ b/crates/scheduler/tests/net/request_writer.rs
@@ -9,7 +9,9 @@
 use heathward_core::{endpoint_lease::LeaseExpiry, CoreMessage, SendGate};
 use heathward_fakes::{attempt, config_text, listen, PATIENCE};
 use heathward_policy::AttemptEnd;
-use heathward_transport::node::{self, Connection, Counted, Done, Job, Limits, Pool, Written};
+use heathward_transport::node::{
+    self, Connection, ConnectionPool, LinkRequest, LinkResponse, PoolLimits, TrackedStream, WriteProgress,
+};
 use rstest::rstest;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -18,11 +20,11 @@
 
 const HEAD: &[u8] = b"GET / HTTP/1.1\r\n\r\n";
 
-async fn connected_pair() -> (Counted, Arc<Written>, TcpStream) {
+async fn connected_pair() -> (TrackedStream, Arc<WriteProgress>, TcpStream) {
     let (listener, address) = listen().await;
     let client = TcpStream::connect(address).await.unwrap();
-    let written = Arc::new(Written::default());
-    (Counted::new(client, written.clone()), written, listener.accept().await.unwrap().0)
+    let written = Arc::new(WriteProgress::default());
+    (TrackedStream::new(client, written.clone()), written, listener.accept().await.unwrap().0)
 }
 
 /// What closes the send gate of a node, or ends the attempt.
@@ -67,7 +69,7 @@
     }
     let rest = client.write_all(&HEAD[before..]).await;
     let stopped = before == 0 || closing == Closing::Cancel;
-    assert_eq!((rest.is_err(), written.withheld(), written.whole()), (stopped, stopped, !stopped));
+    assert_eq!((rest.is_err(), written.is_withheld(), written.is_complete()), (stopped, stopped, !stopped));
     // Not even if the gate opens again meanwhile: the attempt has been reported as never sent.
     gate.set_closed(false);
     lease_expiry.set(None);
@@ -118,7 +120,7 @@
     written.begin(0, attempt);
     let usable = node_event == NodeEvent::Nothing;
     assert_eq!(client.write_all(HEAD).await.is_ok(), usable);
-    assert_eq!((written.stale(), written.withheld(), written.whole()), (!usable, false, usable));
+    assert_eq!((written.is_stale(), written.is_withheld(), written.is_complete()), (!usable, false, usable));
 }
 
 /// A connection that is never closed.
@@ -135,18 +137,22 @@
 /// Serves each attempt at once, and reports whether it used a kept connection.
 struct ImmediateService(mpsc::UnboundedSender<bool>);
 
-impl tower::Service<Job<KeptConnection>> for ImmediateService {
-    type Response = Done<KeptConnection>;
+impl tower::Service<LinkRequest<KeptConnection>> for ImmediateService {
+    type Response = LinkResponse<KeptConnection>;
     type Error = Infallible;
-    type Future = Ready<Result<Done<KeptConnection>, Infallible>>;
+    type Future = Ready<Result<LinkResponse<KeptConnection>, Infallible>>;
 
     fn poll_ready(&mut self, _: &mut Context<'_>) -> Poll<Result<(), Infallible>> {
         Poll::Ready(Ok(()))
     }
 
-    fn call(&mut self, job: Job<KeptConnection>) -> Self::Future {
-        self.0.send(job.idle.is_some()).unwrap();
-        ready(Ok(Done::back(AttemptEnd::Served, Bytes::new(), job.idle.unwrap_or(KeptConnection))))
+    fn call(&mut self, job: LinkRequest<KeptConnection>) -> Self::Future {
+        self.0.send(job.idle_connection.is_some()).unwrap();
+        ready(Ok(LinkResponse::reusable(
+            AttemptEnd::Served,
+            Bytes::new(),
+            job.idle_connection.unwrap_or(KeptConnection),
+        )))
     }
 }
 
@@ -156,10 +162,10 @@
 async fn a_connection_pauses_after_an_answer_before_the_next_attempt() {
     let config = config_text("127.0.0.1:1", "127.0.0.1:1", "");
     let deployment = heathward_config::parse_configuration(&config).unwrap().deployment;
-    let (_keep, limits) = watch::channel(Limits::new(&deployment, 16, 8));
+    let (_keep, limits) = watch::channel(PoolLimits::new(&deployment, 16, 8));
     let (sender, mut reused_flags) = mpsc::unbounded_channel();
     let (core, mut ended) = mpsc::channel(16);
-    let node = node::spawn(ImmediateService(sender), Pool::new(limits), core);
+    let node = node::spawn(ImmediateService(sender), ConnectionPool::new(limits), core);
     for (pause, reused) in
         [(0, false), (0, false), (4, false), (1, true), (5, true), (1, true), (1, true), (1, false)]
     {
