--- a/crates/scheduler/src/descriptor_budget.rs
+++ b/crates/scheduler/src/descriptor_budget.rs
@@ -25,11 +25,11 @@
 /// The limits on client connections of the HTTP front.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClientConnectionLimits {
-    /// Connections that the front is meant for, without a peer process. Idle connections are closed early
-    /// once half as many are open.
+    /// The limit on open connections without a peer process. Once at least half as many are open, idle
+    /// connections are closed early.
     pub capacity: usize,
-    /// Connections that may be open now: fewer than the capacity while a peer process runs. Those that are
-    /// open already stay when the limit falls.
+    /// The current limit on open connections: fewer than the capacity while a peer process runs. Those
+    /// that are open already stay when the limit falls.
     pub current: usize,
 }
 
--- a/crates/scheduler/src/handover.rs
+++ b/crates/scheduler/src/handover.rs
@@ -58,8 +58,8 @@
         self.listener = self.socket_path.as_ref().and_then(|path| handover::bind(path).ok());
     }
 
-    /// Waits for the next process to connect. Returns `None` at once if the socket is not bound, and if
-    /// accepting the connection fails.
+    /// Waits for the next process to connect. Returns `None` if the socket is not bound, at once, or
+    /// if accepting the connection fails.
     pub async fn next_peer(&self) -> Option<UnixStream> {
         self.listener.as_ref()?.accept().await.ok().map(|(stream, _)| stream)
     }
--- a/crates/scheduler/src/serve.rs
+++ b/crates/scheduler/src/serve.rs
@@ -13,7 +13,7 @@
 use tokio::time::{interval, Instant};
 
 use crate::handover::{HandoverSocket, HandoverStart};
-use crate::server::{ReloadedFiles, Server};
+use crate::server::{PendingReload, Server};
 use crate::signals::{SignalRequest, Signals};
 use crate::{shutdown, startup};
 
@@ -57,7 +57,7 @@
 ) -> io::Result<Instant> {
     let mut loss_reports = interval(LOSS_REPORT_INTERVAL);
     let mut reported_lines = 0;
-    let mut reload: Option<ReloadedFiles> = None;
+    let mut reload: Option<PendingReload> = None;
     let mut reload_announced_at = Instant::now();
     loop {
         // A branch whose pattern does not match is disabled until the next iteration of the loop.
@@ -76,9 +76,9 @@
                 SignalRequest::ReportCounters => server.report_counters().await,
             },
             // A slow or endless read of the files blocks no other branch.
-            files = read_to_end(&mut reload) => {
+            reloaded = pending_result(&mut reload) => {
                 reload = None;
-                server.finish_reload(files, reload_announced_at).await;
+                server.finish_reload(reloaded, reload_announced_at).await;
             }
             Some(peer) = handover_socket.next_peer(), if !server.descriptors.peer_running => {
                 hand_over(server, handover_socket, peer)?;
@@ -88,17 +88,18 @@
     }
 }
 
-/// Returns the configuration once the reload has read its files; never returns if no reload is running.
-async fn read_to_end(reload: &mut Option<ReloadedFiles>) -> Result<Config, ConfigError> {
+/// Returns the configuration, or why it is rejected, once the reload has read its files; never returns if no
+/// reload is running.
+async fn pending_result(reload: &mut Option<PendingReload>) -> Result<Config, ConfigError> {
     match reload {
-        Some(files) => files.await,
+        Some(pending_reload) => pending_reload.await,
         None => pending().await,
     }
 }
 
 /// Hands over to a process that has connected. Only one handover runs at a time: a further process waits
-/// until this one turns out not to be a scheduler, or has exited. An error, which ends the program, means
-/// that no descriptors are left.
+/// until the connected one turns out not to be a scheduler, or has exited. An error, which ends the
+/// program, means that no descriptors are left.
 fn hand_over(server: &mut Server, handover_socket: &HandoverSocket, peer: UnixStream) -> io::Result<()> {
     server.block_further_peers();
     let sockets = server.fronts.copy_sockets()?;
--- a/crates/scheduler/src/server.rs
+++ b/crates/scheduler/src/server.rs
@@ -22,7 +22,7 @@
 use crate::sockets;
 
 /// A reload in progress: resolves to the configuration once the files are read.
-pub type ReloadedFiles = Pin<Box<dyn Future<Output = Result<Config, ConfigError>>>>;
+pub type PendingReload = Pin<Box<dyn Future<Output = Result<Config, ConfigError>>>>;
 
 /// The running scheduler.
 pub struct Server {
@@ -87,14 +87,14 @@
     }
 
     /// Starts reading the configuration and the operator file again.
-    pub fn start_reload(&self) -> ReloadedFiles {
+    pub fn start_reload(&self) -> PendingReload {
         Box::pin(read_files(self.files.clone()))
     }
 
     /// Applies the files that were read again, and logs whether they were accepted. `announced_at` is the
     /// earliest time at which the signal that requested the reload may have been sent.
-    pub async fn finish_reload(&mut self, files: Result<Config, ConfigError>, announced_at: Instant) {
-        let applied = match files {
+    pub async fn finish_reload(&mut self, reloaded: Result<Config, ConfigError>, announced_at: Instant) {
+        let applied = match reloaded {
             Ok(config) => self.apply(config, announced_at).await,
             Err(error) => Err(error),
         };
--- a/crates/scheduler/src/shutdown.rs
+++ b/crates/scheduler/src/shutdown.rs
@@ -10,9 +10,10 @@
 
 use crate::server::Server;
 
-/// The platform kills a process this long after SIGTERM, plus the longest deadline of a class.
+/// The time from SIGTERM until the platform kills the process, without the longest class deadline, which it
+/// adds.
 const KILL_DELAY: Duration = Duration::from_millis(700);
-/// The longest class deadline that the platform adds to the kill delay; longer deadlines count as this.
+/// The longest class deadline that the platform adds to the kill delay; for longer ones it adds this time.
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
 /// Connections are closed between requests from this time on, counted from SIGTERM plus the longest deadline:
 /// early enough for requests that are open then to be answered.
--- a/crates/scheduler/src/signals.rs
+++ b/crates/scheduler/src/signals.rs
@@ -14,7 +14,8 @@
 /// How often the task records that no signal is pending. A signal is taken to have been sent one to two
 /// intervals earlier than it was.
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// The capacity of the channel for requests. Further requests are dropped, as the same requests already wait.
+/// The capacity of the channel for requests. Further requests are dropped: with that many waiting, a further
+/// one normally repeats one of them.
 const REQUEST_CHANNEL_CAPACITY: usize = 16;
 
 /// A request that a signal makes of the running program.
@@ -129,14 +130,14 @@
     }
 
     /// Records that a check at the time `now` found no signal.
-    fn record_none(&mut self, now: Instant) {
+    fn record_no_signal(&mut self, now: Instant) {
         self.previous = self.last;
         self.last = now;
     }
 
     /// Returns the earliest time at which a signal that is received now may have been sent. The runtime
     /// polled the system between the last two checks, so a signal that it did not find then was sent after
-    /// the check before. The exact time of that poll is not known, as the process may have stalled since.
+    /// the earlier one. The exact time of that poll is not known, as the process may have stalled since.
     fn earliest_signal(&self) -> Instant {
         self.previous
     }
@@ -163,13 +164,13 @@
                         is_first
                     });
                 }
-                // If the channel is full, the requests in it cover this one.
+                // Dropped if the channel is full: it normally repeats a request that waits.
                 Received::Request(request) => {
                     let signalled_at = checks.earliest_signal();
                     let _ = requests.try_send(ReceivedRequest { request, signalled_at });
                 }
             },
-            _ = ticks.tick() => checks.record_none(Instant::now()),
+            _ = ticks.tick() => checks.record_no_signal(Instant::now()),
         }
     }
 }
