--- a/crates/scheduler/tests/fault_scenarios.rs
+++ b/crates/scheduler/tests/fault_scenarios.rs
@@ -19,7 +19,7 @@
 }
 
 /// At least nine in ten of the started and restarted processes are ready within this time, in microseconds.
-const READY_BY: u64 = 10_000_000;
+const MAX_READY_TIME_US: u64 = 10_000_000;
 
 /// No invariant is violated in any scenario, and of the requests made between two points in time, in seconds,
 /// at least the given share is served in time despite the faults.
@@ -36,22 +36,25 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn invariants_hold_through_fault_scenarios(
     #[case] name: &str,
-    #[case] from: f64,
-    #[case] to: f64,
-    #[case] least: f64,
+    #[case] from_s: f64,
+    #[case] to_s: f64,
+    #[case] min_served_share: f64,
 ) {
     let scenario = scenario(name);
     let outcome = run_scenario(&scenario).await;
-    let (served, asked) = outcome.served(from, to);
-    let calls = outcome.calls.0;
-    println!("{name}, seed {}: {served} of {asked} served from {from} to {to} s, {calls:?}", scenario.seed);
+    let (served, requests) = outcome.served(from_s, to_s);
+    let discovery_calls = outcome.calls.0;
+    println!(
+        "{name}, seed {}: {served} of {requests} served from {from_s} to {to_s} s, {discovery_calls:?}",
+        scenario.seed
+    );
     for breach in outcome.breaches.iter().take(10) {
         println!("{breach}");
     }
-    assert!(outcome.breaches.is_empty(), "{} rules broken", outcome.breaches.len());
-    let in_time = outcome.ready.iter().filter(|ready| **ready <= READY_BY).count();
+    assert!(outcome.breaches.is_empty(), "{} violations of invariants", outcome.breaches.len());
+    let in_time = outcome.ready.iter().filter(|ready| **ready <= MAX_READY_TIME_US).count();
     println!("{in_time} of {} starts ready in time", outcome.ready.len());
     assert!(in_time * 10 >= outcome.ready.len() * 9, "ready after {:?} us", outcome.ready);
-    assert!(asked > 50 && served as f64 >= least * asked as f64, "{served} of {asked}");
-    assert!(outcome.ready.len() >= scenario.hosts as usize, "all were ready");
+    assert!(requests > 50 && served as f64 >= min_served_share * requests as f64, "{served} of {requests}");
+    assert!(outcome.ready.len() >= scenario.hosts as usize, "some hosts were never ready");
 }
--- a/crates/scheduler/tests/incident_report.rs
+++ b/crates/scheduler/tests/incident_report.rs
@@ -24,7 +24,7 @@
 
 async fn staged_incident(name: &str) -> (Truth, Incident) {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}-{}", std::process::id()));
-    // A previous run may have left one.
+    // A previous run may have left a folder.
     let _ = std::fs::remove_dir_all(&folder);
     let truth = stage(Path::new(env!("CARGO_BIN_EXE_heathward")), &folder).await;
     let incident = Incident::of(&folds::read(&truth.folders).unwrap(), Window::ALL);
@@ -47,9 +47,9 @@
     }
 }
 
-/// Compares the recorded attempts with each node's own log. They agree exactly for a scheduler without holes,
-/// and second by second to within half a second. The killed scheduler has a hole, and may miss up to 60
-/// attempts.
+/// Compares the recorded attempts with each node's own log. For a scheduler without holes in its event log
+/// the totals agree exactly, and those by the end of each second to within half a second. The event log of
+/// the killed scheduler has a hole, and may lack up to 60 attempts.
 fn check_attempts(truth: &Truth, incident: &Incident) {
     for number in 0..3_u32 {
         let name = format!("n{number}");
@@ -94,7 +94,7 @@
 fn check_answers(truth: &Truth, incident: &Incident) {
     let ended: u64 = incident.classes.iter().map(|table| table.series.total().ended()).sum();
     let answered: u64 = truth.answers.iter().sum();
-    // The difference is what the killed scheduler had not recorded of its last 1.5 s.
+    // The killed scheduler had not recorded its last 1.5 s.
     assert!(ended <= answered + 36 && answered <= ended + 120, "{ended} recorded, {answered} received");
 }
 
@@ -139,7 +139,7 @@
 impl SchedulerInstance {
     async fn new(name: &str, records: &str) -> Self {
         let folder = std::env::temp_dir().join(format!("hw-{name}-{}", std::process::id()));
-        // A previous run may have left one.
+        // A previous run may have left a folder.
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder).unwrap();
         let records = folder.join(records);
