--- a/deploy/heathward.jsonnet
+++ b/deploy/heathward.jsonnet
@@ -14,7 +14,7 @@
 
   // The event log, for reports and the console: null turns it off. For a folder on a persistent disk:
   // { folder: '/var/lib/heathward/records', segmentMb: 16, segmentSeconds: 600, totalMb: 512,
-  //   waiting: 8192,      // most events that wait for the disk; further ones are dropped and counted
+  //   waiting: 8192,      // maximum number of events that wait for the disk; more are dropped and counted
   //   requests: false }   // whether each request is recorded with its attempts: 100 to 200 bytes each
   records: null,
 }
