--- a/crates/scheduler/tests/fault_scenarios.rs
+++ b/crates/scheduler/tests/fault_scenarios.rs
@@ -51,7 +51,7 @@
     for breach in outcome.breaches.iter().take(10) {
         println!("{breach}");
     }
-    assert!(outcome.breaches.is_empty(), "{} violations of invariants", outcome.breaches.len());
+    assert!(outcome.breaches.is_empty(), "{} rules broken", outcome.breaches.len());
     let in_time = outcome.ready.iter().filter(|ready| **ready <= MAX_READY_TIME_US).count();
     println!("{in_time} of {} starts ready in time", outcome.ready.len());
     assert!(in_time * 10 >= outcome.ready.len() * 9, "ready after {:?} us", outcome.ready);
--- a/crates/scheduler/tests/incident_report.rs
+++ b/crates/scheduler/tests/incident_report.rs
@@ -181,7 +181,7 @@
 /// If events cannot be written, the scheduler serves and logs the fault. Recording starts again by itself.
 #[tokio::test]
 async fn a_failing_disk_costs_recorded_events_only() {
-    let instance = SchedulerInstance::new("unfit", "blocked/records").await;
+    let instance = SchedulerInstance::new("disk", "blocked/records").await;
     let blocked = instance.folder.join("blocked");
     std::fs::write(&blocked, "a file where a folder should be").unwrap();
     let mut program = instance.start();
@@ -204,7 +204,7 @@
 /// Two processes of one scheduler write events at the same time, each to its own files.
 #[tokio::test]
 async fn a_handover_is_recorded_by_both_processes() {
-    let instance = SchedulerInstance::new("taken", "records").await;
+    let instance = SchedulerInstance::new("handover", "records").await;
     let mut old = instance.start();
     assert!(is_served(old.listen, 1).await);
     let new = instance.start();
--- a/crates/scheduler/tests/net/descriptor_exhaustion.rs
+++ b/crates/scheduler/tests/net/descriptor_exhaustion.rs
@@ -77,7 +77,7 @@
         .replace(r#""sockets":256"#, &format!(r#""sockets":{DESCRIPTORS}"#));
     let limited = format!("ulimit -n {DESCRIPTORS}; exec {}", env!("CARGO_BIN_EXE_heathward"));
     let mut command = Command::new("sh");
-    command.args(["-c", &limited]).env("GW_CONFIG", write_config("crowd", &text));
+    command.args(["-c", &limited]).env("GW_CONFIG", write_config("idle-clients", &text));
     let child = command.stderr(Stdio::piped()).stdout(Stdio::null()).spawn().unwrap();
     let (mut child, _lines, front) = wait_until_listening(child);
     let mut idle = JoinSet::new();
--- a/crates/scheduler/tests/net/large_bodies.rs
+++ b/crates/scheduler/tests/net/large_bodies.rs
@@ -126,7 +126,8 @@
     assert_eq!((log.all().len(), log.all()[0].body.len()), (1, 200_000));
 }
 
-/// A body that stops arriving is given up with status 408, and its request is no longer open.
+/// A body that stops arriving is given up with status 408, and its request is no longer open, so that
+/// its id is free again.
 #[tokio::test]
 async fn a_body_that_stalls_times_out() {
     let (address, _received) = node(Vec::new()).await;
--- a/crates/scheduler/tests/net/node_connections.rs
+++ b/crates/scheduler/tests/net/node_connections.rs
@@ -10,8 +10,9 @@
 
 use crate::support::{attempts_ended, one_node, OneNode};
 
-/// The node's machine neither accepts nor refuses a connection. Guards against an answer to the client after
-/// half of its time, and against "it may have been executed" for a request that was never sent.
+/// The node's machine neither accepts nor refuses a connection. Guards against connecting for more than
+/// half of the time budget of the request, and against "it may have been executed" for a request that was
+/// never sent.
 #[tokio::test]
 async fn connecting_to_a_node_times_out_by_half_of_the_time_budget() {
     let socket = TcpSocket::new_v4().unwrap();
--- a/crates/scheduler/tests/net/node_states.rs
+++ b/crates/scheduler/tests/net/node_states.rs
@@ -53,9 +53,9 @@
     assert!(statuses.iter().all(|status| matches!(status, 200 | 503 | 504)), "{statuses:?}");
     let sent: Vec<_> = log.all().iter().map(|seen| seen.at).collect();
     assert!(!sent.is_empty());
-    // The units that the node can serve within 0.5 s at the end of the run, when it has warmed up most: an
-    // upper bound for every window. The windows are half as long, as a loaded machine may delay attempts
-    // so that they arrive closer together than they were sent.
+    // The units that the node can serve within 0.5 s at the end of the run if it started with the clients:
+    // an upper bound for every window, as its capacity only grows. The windows are half as long, as a
+    // loaded machine may delay attempts so that they arrive closer together than they were sent.
     let age = clients_started_at.elapsed().as_secs_f64().min(6.0) / 6.0;
     let max_units = 24.0 * (0.24 + 0.76 * age) / 0.24;
     for from in &sent {
--- a/crates/scheduler/tests/net/process.rs
+++ b/crates/scheduler/tests/net/process.rs
@@ -234,7 +234,7 @@
 
 #[test]
 fn check_reports_whether_each_file_is_accepted() {
-    let config = write_config("check-sound", &config_text("127.0.0.1:1", "127.0.0.1:2", ""));
+    let config = write_config("check-valid", &config_text("127.0.0.1:1", "127.0.0.1:2", ""));
     let nvme = write_config("check-nvme", include_str!("../../../../deploy/nvme.json"));
     let rules = write_config("check-rules", include_str!("../../../../examples/rules.json"));
     let (code, out, err) = check(&[&nvme, &config, &rules]);
--- a/crates/scheduler/tests/net/shutdown.rs
+++ b/crates/scheduler/tests/net/shutdown.rs
@@ -78,7 +78,7 @@
     let members = member("s0", node, 0, "in_service", 0);
     let text = config_text("127.0.0.1:0", "127.0.0.1:1", &members);
     let (mut child, _lines, address) =
-        wait_until_listening(start_program(&write_config(&format!("storm{times}"), &text), &[]));
+        wait_until_listening(start_program(&write_config(&format!("crossing{times}"), &text), &[]));
     let mut clients = Vec::new();
     for client in 0..CLIENTS {
         clients.push(answered_connection(address, client * IDS_PER_CLIENT + IDS_PER_CLIENT / 2).await);
