--- a/crates/scheduler/tests/net/admin_interface.rs
+++ b/crates/scheduler/tests/net/admin_interface.rs
@@ -54,8 +54,8 @@
 #[case::not_text("\u{1}\u{2}\n")]
 #[tokio::test]
 async fn a_malformed_command_is_answered_with_an_error(#[case] line: &str) {
-    let (_, nobody) = nobody();
-    let (rig, address) = rig_with_admin(&[member("s0", nobody, 0, "in_service", 0)], 4).await;
+    let (_, unused_address) = nobody();
+    let (rig, address) = rig_with_admin(&[member("s0", unused_address, 0, "in_service", 0)], 4).await;
     rig.until(|counters| counters.endpoint_updates == 1).await;
     assert!(run_command(address, line).await.starts_with("ERR "), "{line:?}");
     assert_eq!(run_command(address, "STATUS\r\n").await, "OK\n");
--- a/crates/scheduler/tests/net/drain_during_reload.rs
+++ b/crates/scheduler/tests/net/drain_during_reload.rs
@@ -96,7 +96,7 @@
     let log = Log::default();
     let node = http_node(0, &[Does::Serve], &log).await;
     let members = member("s0", node, 0, "in_service", 0);
-    let ((old_agent, old_address), (_unused, nobody)) = (listen().await, nobody());
+    let ((old_agent, old_address), (_reserved_socket, unused_address)) = (listen().await, nobody());
     let text = |discovery: SocketAddr| {
         let text = config_text("127.0.0.1:0", &discovery.to_string(), &members);
         text.replacen(r#""safety":{"#, r#""safety":{"stopSendingWithinMs":250,"#, 1)
@@ -117,7 +117,7 @@
     send_signal(&child, "-HUP");
     let mut file = timeout(PATIENCE, reload).await.expect("a reload").unwrap();
     sleep(Duration::from_secs(1)).await;
-    file.write_all(text(nobody).as_bytes()).unwrap();
+    file.write_all(text(unused_address).as_bytes()).unwrap();
     drop(file);
     while status_of_read(address, call + 1, 0).await == 200 {
         call += 1;
--- a/crates/scheduler/tests/net/forwarding.rs
+++ b/crates/scheduler/tests/net/forwarding.rs
@@ -152,8 +152,8 @@
 async fn a_connection_lost_before_the_last_byte_means_not_executed() {
     let log = Log::default();
     let node = http_node(0, &[Does::HangUp], &log).await;
-    let (_kept, nobody) = nobody();
-    let members = [member("s0", node, 0, "in_service", 0), member("s1", nobody, 1, "in_service", 0)];
+    let (_reserved_socket, unused_address) = nobody();
+    let members = [member("s0", node, 0, "in_service", 0), member("s1", unused_address, 1, "in_service", 0)];
     let rig = rig(&members, None).await;
     let (status, ..) = rig.ask(&request("pedido", 2, 1, 900, "w")).await;
     assert_eq!(status, 503);
--- a/crates/scheduler/tests/net/nvme.rs
+++ b/crates/scheduler/tests/net/nvme.rs
@@ -53,11 +53,11 @@
     let log = Log::default();
     let http = http_node(0, script, &log).await;
     let target = target(1, script, &log).await;
-    let (reserved_socket, nobody) = nobody();
+    let (reserved_socket, unused_address) = nobody();
     let members = [
         member("s0", http, 0, "in_service", up_since_ms),
         member("s1", target, 1, "in_service", up_since_ms),
-        member("s2", nobody, 2, "in_service", 0),
+        member("s2", unused_address, 2, "in_service", 0),
     ];
     let deployment = heathward_config::parse_configuration(&config_text("127.0.0.1:1", "127.0.0.1:1", ""));
     let map = Arc::new(NvmeMap::parse(&map(), &deployment.unwrap().deployment).unwrap());
--- a/crates/scheduler/tests/net/shutdown.rs
+++ b/crates/scheduler/tests/net/shutdown.rs
@@ -300,9 +300,9 @@
     let log = Log::default();
     let node = http_node(0, &[Does::Serve], &log).await;
     let members = member("s0", node, 0, "in_service", 0);
-    let (_kept, nobody) = nobody();
+    let (_reserved_socket, unused_address) = nobody();
     let (listener, silent) = listen().await;
-    let discovery = if agent == Agent::Down { nobody } else { silent };
+    let discovery = if agent == Agent::Down { unused_address } else { silent };
     let text = config_text("127.0.0.1:0", &discovery.to_string(), &members).replacen(
         r#""safety":{"#,
         r#""safety":{"stopSendingWithinMs":250,"#,
