--- a/crates/scheduler/src/arguments.rs
+++ b/crates/scheduler/src/arguments.rs
@@ -5,7 +5,8 @@
 use clap::{Args, Parser, Subcommand};
 use heathward_config::FileArguments;
 
-// This text, and the doc comments below that clap prints, are part of the command line and must not change.
+// This text and the doc comments below that clap prints are part of the command line. They are pinned by
+// tests/pinned/fixtures/help.txt.
 const AFTER_HELP: &str = "\
 Examples:
   GW_CONFIG=examples/config.json heathward
@@ -29,20 +30,20 @@
 #[derive(Parser)]
 #[command(name = "heathward", version, after_help = AFTER_HELP, args_conflicts_with_subcommands = true)]
 pub struct Arguments {
-    /// Without one it serves.
+    /// The subcommand; without one the program serves.
     #[command(subcommand)]
     pub command: Option<Command>,
     #[command(flatten)]
     pub serve: ServeArguments,
 }
 
-/// What it serves.
+/// The files to read when the program serves or lists a load source.
 #[derive(Args)]
 pub struct ServeArguments {
-    /// What our installations set beside the configuration, in Jsonnet
+    /// Operator file: settings in addition to the configuration, in Jsonnet
     #[arg(long, value_name = "FILE")]
     operator: Option<PathBuf>,
-    /// Turns the NVMe front on, as the file says
+    /// Turns the NVMe front on, with this NVMe map
     #[arg(long, value_name = "FILE")]
     nvme: Option<PathBuf>,
     /// Lists the requests of a HAR file and exits
@@ -51,26 +52,26 @@
     /// Lists the requests of an access log and exits
     #[arg(long, value_name = "FILE", requires = "rules")]
     access_log: Option<PathBuf>,
-    /// How entries of a source of load become requests
+    /// Rules that turn the entries of a HAR file or an access log into requests
     #[arg(long, value_name = "FILE")]
     rules: Option<PathBuf>,
 }
 
 impl ServeArguments {
-    /// The files that it names.
+    /// Returns the files that these arguments name.
     pub fn into_files(self) -> FileArguments {
         let Self { operator, nvme, har, access_log, rules } = self;
         FileArguments { operator, nvme_map: nvme, har, access_log, load_rules: rules }
     }
 }
 
-/// What it does instead of serving.
+/// The subcommands, which run in place of serving.
 #[derive(Subcommand)]
 pub enum Command {
-    /// Says whether files would be taken, and names the field at fault; exit code 2 if one would not
+    /// Checks whether files are valid, and names the invalid field; exit code 2 if one is invalid
     Check {
-        /// Configurations, operator files (.jsonnet), NVMe maps, rules; names in them go by the first
-        /// configuration, or GW_CONFIG's
+        /// Configurations, operator files (.jsonnet), NVMe maps, rules; classes and plans are looked up in
+        /// the first configuration, or that of GW_CONFIG
         #[arg(required = true, value_name = "FILE")]
         files: Vec<PathBuf>,
     },
--- a/crates/scheduler/tests/net/descriptor_exhaustion.rs
+++ b/crates/scheduler/tests/net/descriptor_exhaustion.rs
@@ -12,14 +12,15 @@
 use crate::support::{wait_until_listening, write_config};
 use heathward_fakes::*;
 
-/// Descriptors that the process may hold: the system enforces it.
+/// The limit on descriptors of the process, which the system enforces.
 const DESCRIPTORS: usize = 64;
-/// Clients that connect and say nothing: twice as many as there are descriptors.
-const IDLE: usize = 2 * DESCRIPTORS;
-/// What counts as told 6 s after discovery can be reached again is looked at with a loaded machine in mind.
-const TOLD_BY: Duration = Duration::from_secs(6);
+/// The number of clients that connect and send nothing: twice as many as there are descriptors.
+const IDLE_CLIENTS: usize = 2 * DESCRIPTORS;
+/// The scheduler must take a change into account this long after discovery can be reached again, at the
+/// latest. The bound allows for a loaded machine.
+const NOTIFIED_WITHIN: Duration = Duration::from_secs(6);
 
-/// Listens at an address that nobody has taken meanwhile.
+/// Listens at the reserved address, which no other process has taken.
 fn listen_again(reserved: &TcpSocket) -> TcpListener {
     let socket = TcpSocket::new_v4().unwrap();
     socket.set_reuseport(true).unwrap();
@@ -27,77 +28,80 @@
     socket.listen(64).unwrap()
 }
 
-/// Connects, says nothing, and comes again as soon as it is turned away.
-async fn insist(front: SocketAddr) {
+/// Connects, sends nothing, and connects again as soon as its connection is closed.
+async fn reconnect_forever(front: SocketAddr) {
     loop {
         let Ok(mut client) = TcpStream::connect(front).await else { return };
-        // A reset ends it as well.
+        // A reset ends the read as well.
         let _ = client.read(&mut [0]).await;
     }
 }
 
-/// Waits until the clients hold half of the descriptors, which is what the process leaves them.
-async fn filled(child: &Child) {
+/// Waits until half of the descriptors are open. That is the share of client connections.
+async fn wait_until_filled(child: &Child) {
     let folder = format!("/proc/{}/fd", child.id());
-    let by = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + PATIENCE;
     while std::fs::read_dir(&folder).unwrap().count() < DESCRIPTORS / 2 {
-        assert!(Instant::now() < by, "they never fill");
+        assert!(Instant::now() < deadline, "the clients do not fill the descriptors");
         sleep(Duration::from_millis(5)).await;
     }
 }
 
-/// Whether a newcomer is answered, and by what; one that is turned away unread comes again.
-async fn ask(front: SocketAddr, call: u32) -> u16 {
-    let by = Instant::now() + PATIENCE;
+/// Sends a request on a new connection, and returns the status of its answer. If the connection is closed
+/// without an answer, the request is sent again on another one.
+async fn status_of_new_connection(front: SocketAddr, call: u32) -> u16 {
+    let deadline = Instant::now() + PATIENCE;
     loop {
         let mut client = TcpStream::connect(front).await.unwrap();
-        let asked = client.write_all(request("consulta", call, 0, 900, "").as_bytes()).await;
-        let told = timeout(PATIENCE, read_message(&mut client)).await.expect("an answer or an end");
-        if let (Ok(()), Some((head, ..))) = (asked, told) {
+        let written = client.write_all(request("consulta", call, 0, 900, "").as_bytes()).await;
+        let message = timeout(PATIENCE, read_message(&mut client))
+            .await
+            .expect("an answer or the end of the connection");
+        if let (Ok(()), Some((head, ..))) = (written, message) {
             return head[9..12].parse().unwrap();
         }
-        assert!(Instant::now() < by, "nobody makes way");
+        assert!(Instant::now() < deadline, "no connection is evicted");
         sleep(Duration::from_millis(20)).await;
     }
 }
 
-/// Guards against a process whose descriptors are all with clients, and that can't call discovery when it is
-/// back: the drain that it has to tell counts as told.
+/// Guards against a process that cannot call discovery once discovery is back, because clients hold all
+/// descriptors, and therefore misses a drain.
 #[tokio::test]
 async fn idle_clients_that_fill_the_descriptors_leave_one_for_discovery() {
     let log = Log::default();
     let node = http_node(0, &[Does::Serve], &log).await;
-    let (kept, discovery) = reserved();
+    let (reserved_socket, discovery) = reserved();
     let members = member("s0", node, 0, "in_service", 0).replace('\n', "");
     let text = config_text("127.0.0.1:0", &discovery.to_string(), &members)
         .replace(r#""sockets":256"#, &format!(r#""sockets":{DESCRIPTORS}"#));
     let limited = format!("ulimit -n {DESCRIPTORS}; exec {}", env!("CARGO_BIN_EXE_heathward"));
     let mut command = Command::new("sh");
-    command.args(["-c", &limited]).env("GW_CONFIG", write_config("crowd", &text));
+    command.args(["-c", &limited]).env("GW_CONFIG", write_config("idle-clients", &text));
     let child = command.stderr(Stdio::piped()).stdout(Stdio::null()).spawn().unwrap();
     let (mut child, _lines, front) = wait_until_listening(child);
     let mut idle = JoinSet::new();
-    for _ in 0..IDLE {
-        idle.spawn(insist(front));
+    for _ in 0..IDLE_CLIENTS {
+        idle.spawn(reconnect_forever(front));
     }
-    filled(&child).await;
-    // An answer shows that the process has met all who came before.
-    assert_eq!(ask(front, 1).await, 200);
-    let back = listen_again(&kept);
-    let reached = Instant::now();
-    let (mut watch, _) = watched(&back).await;
+    wait_until_filled(&child).await;
+    // An answer shows that the process has seen all clients that connected before.
+    assert_eq!(status_of_new_connection(front, 1).await, 200);
+    let listener = listen_again(&reserved_socket);
+    let reachable_at = Instant::now();
+    let (mut watch, _) = watched(&listener).await;
     let drained = members.replace("in_service", "terminating");
     tell(&mut watch, &format!("{{\"revision\":9,\"complete\":false,\"members\":[{drained}]}}\n")).await;
-    assert!(reached.elapsed() < TOLD_BY, "called after {:?}", reached.elapsed());
+    assert!(reachable_at.elapsed() < NOTIFIED_WITHIN, "called after {:?}", reachable_at.elapsed());
     let mut call = 2;
-    while ask(front, call).await == 200 {
-        assert!(reached.elapsed() < PATIENCE, "the drain is not heard of");
+    while status_of_new_connection(front, call).await == 200 {
+        assert!(reachable_at.elapsed() < PATIENCE, "the drain is not applied");
         call += 1;
     }
-    // No descriptor is missed with those who came meanwhile either.
-    let before = log.all().len();
-    assert_eq!(ask(front, call + 1).await, 503);
-    assert_eq!(log.all().len(), before);
+    // The idle clients keep reconnecting, and still leave descriptors for a request after the drain.
+    let forwarded = log.all().len();
+    assert_eq!(status_of_new_connection(front, call + 1).await, 503);
+    assert_eq!(log.all().len(), forwarded);
     idle.shutdown().await;
     child.kill().unwrap();
     child.wait().unwrap();
--- a/crates/scheduler/tests/net/discovery_watch.rs
+++ b/crates/scheduler/tests/net/discovery_watch.rs
@@ -1,4 +1,4 @@
-//! The endpoint list as discovery sends it: watches, snapshots, and the lease on the list.
+//! The endpoint list as discovery sends it: watches, snapshots, and the endpoint lease.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,11 +18,11 @@
 use crate::support::{one_node, OneNode, HEALTH_CHECK};
 
 #[tokio::test]
-async fn it_is_ready_once_it_has_an_endpoint_list() {
+async fn the_scheduler_is_ready_once_it_has_an_endpoint_list() {
     let rig = rig(&[], None).await;
-    let ask = HEALTH_CHECK;
-    rig.until(|c| c.endpoint_updates == 1).await;
-    assert_eq!(rig.ask(ask).await.0, 503);
+    let health_check = HEALTH_CHECK;
+    rig.until(|counters| counters.endpoint_updates == 1).await;
+    assert_eq!(rig.ask(health_check).await.0, 503);
     let (_, address) = listen().await;
     let entry = member("s0", address, 0, "in_service", 0);
     let list = format!(r#"{{"revision":8,"complete":true,"members":[{entry}]}}"#);
@@ -31,19 +31,27 @@
         .send(CoreMessage::EndpointUpdate(discovery::parse_update(&list).unwrap()))
         .await
         .unwrap();
-    assert_eq!(rig.ask(ask).await.0, 200);
+    assert_eq!(rig.ask(health_check).await.0, 200);
 }
 
-/// The rig follows discovery there, as one of 300 hosts, for as long as what is given back stands.
-fn follow(rig: &Rig, address: SocketAddr, lists: EndpointListMode) -> watch::Sender<DiscoveryAddress> {
+/// Has the scheduler follow discovery at `address`, as one of 300 hosts, until the returned sender is
+/// dropped.
+fn follow(rig: &Rig, address: SocketAddr, mode: EndpointListMode) -> watch::Sender<DiscoveryAddress> {
     let (keep, addresses) = watch::channel(DiscoveryAddress::from_now(address));
-    let pace = ReconnectPolicy::new(lists, FleetPosition { scheduler_index: 1, schedulers: 300 }, 1);
-    tokio::spawn(discovery::watch_endpoints(addresses, 7, lists, rig.core.discovery_sender(), pace));
+    let reconnect_policy =
+        ReconnectPolicy::new(mode, FleetPosition { scheduler_index: 1, schedulers: 300 }, 1);
+    tokio::spawn(discovery::watch_endpoints(
+        addresses,
+        7,
+        mode,
+        rig.core.discovery_sender(),
+        reconnect_policy,
+    ));
     keep
 }
 
-/// A watch brings a broken line, a change, and then nothing: the line is dropped, the silent watch is opened
-/// anew from the version that was heard last.
+/// A watch delivers a malformed line, a change, and then nothing: the line is dropped, and the silent watch
+/// is reopened from the revision that was received last.
 #[tokio::test]
 async fn a_watch_that_times_out_is_reopened_and_a_malformed_line_dropped() {
     let rig = rig(&[], None).await;
@@ -54,12 +62,13 @@
     let (mut watch, head) = watched(&listener).await;
     assert!(head.starts_with("get /v1/servers?watch=1&after=7 "), "{head}");
     tell(&mut watch, &format!("{{\"revision\":8,\"members\":3}}\n{line}")).await;
-    assert_eq!(rig.until(|c| c.endpoint_updates == 2).await.endpoint_updates, 2);
-    let (_again, head) = watched(&listener).await;
+    assert_eq!(rig.until(|counters| counters.endpoint_updates == 2).await.endpoint_updates, 2);
+    let (_reopened_watch, head) = watched(&listener).await;
     assert!(head.starts_with("get /v1/servers?watch=1&after=9 "), "{head}");
 }
 
-/// Two watches stand while discovery moves: the slower one tells what the other knows better.
+/// Two watches are open while the address of discovery changes, and the slower one delivers older
+/// revisions than the other.
 #[tokio::test]
 async fn a_drain_is_not_undone_by_an_older_revision() {
     let OneNode { rig, node, .. } = one_node(&[Does::Serve]).await;
@@ -68,7 +77,7 @@
         (19, false, "in_service", 503),
         (19, true, "in_service", 503),
         (21, false, "in_service", 200),
-        // A whole list tells by absence that it is gone.
+        // A node that is absent from a complete list is gone.
         (22, true, "", 503),
         (21, true, "in_service", 503),
         (21, false, "in_service", 503),
@@ -85,64 +94,72 @@
     }
 }
 
-/// Guards against going by an old list: the one of the start before the agent's first line, and any list once
-/// its watches have been silent for so long that a drain counts as told. What comes then is answered at once.
-/// An agent that takes a call and has nothing to tell stands by the list: guards against a whole fleet that
-/// stops while discovery is down. A call that waits for its turn at a service of all says nothing.
+/// Guards against use of an outdated list: the list from startup before the agent's first line, and any
+/// list once its watches have been silent for so long that a drain must have been taken into account.
+/// Requests are then answered at once. An agent that accepts a call and has nothing to report confirms the
+/// list: guards against a whole fleet that stops while discovery is down. A call that waits for its turn
+/// at a shared service confirms nothing.
 #[rstest]
-#[case::the_agent_is_silent(EndpointListMode::Streamed, true, false)]
-#[case::nobody_takes_a_call(EndpointListMode::Streamed, false, true)]
-#[case::calls_wait_in_turn(EndpointListMode::Polled { max_interval: 10_000_000 }, true, true)]
+#[case::agent_without_changes(EndpointListMode::Streamed, true, false)]
+#[case::no_agent_accepts_calls(EndpointListMode::Streamed, false, true)]
+#[case::calls_wait_for_their_turn(EndpointListMode::Polled { max_interval: 10_000_000 }, true, true)]
 #[tokio::test]
 async fn nothing_is_sent_on_an_expired_endpoint_lease(
-    #[case] lists: EndpointListMode,
-    #[case] taken: bool,
-    #[case] stops: bool,
+    #[case] mode: EndpointListMode,
+    #[case] accepts_calls: bool,
+    #[case] expires: bool,
 ) {
     let log = Log::default();
     let node = http_node(0, &[Does::Serve], &log).await;
     let entry = member("s0", node, 0, "in_service", 0);
-    let ruled = config_text("127.0.0.1:1", "127.0.0.1:1", &entry).replacen(
+    let config = config_text("127.0.0.1:1", "127.0.0.1:1", &entry).replacen(
         r#""safety":{"#,
         r#""safety":{"stopSendingWithinMs":250,"#,
         1,
     );
-    let rig = rig_of(&ruled, None).await;
+    let rig = rig_of(&config, None).await;
     let mut call = 0;
-    let mut asked = async |status: u16| {
+    let mut expect_status = async |status: u16| {
         call += 1;
-        let (said, ..) = rig.ask(&request("consulta", call, 0, 900, "")).await;
-        let (healthy, _, why) = rig.ask(HEALTH_CHECK).await;
-        assert_eq!((said, healthy), (status, if status == 200 { 200 } else { 503 }));
-        assert_eq!(why.starts_with(b"nothing heard from discovery for "), status == 503, "it says why");
+        let (answered, ..) = rig.ask(&request("consulta", call, 0, 900, "")).await;
+        let (healthy, _, reason) = rig.ask(HEALTH_CHECK).await;
+        assert_eq!((answered, healthy), (status, if status == 200 { 200 } else { 503 }));
+        assert_eq!(
+            reason.starts_with(b"nothing heard from discovery for "),
+            status == 503,
+            "the health answer gives the reason"
+        );
     };
-    asked(503).await;
+    expect_status(503).await;
     let (listener, address) = listen().await;
-    let _keep = follow(&rig, address, lists);
+    let _keep = follow(&rig, address, mode);
     let (mut watch, _) = watched(&listener).await;
     tell(&mut watch, "\n").await;
-    let heard = Instant::now();
-    // What is not accepted is taken by the system, and stays silent.
-    let listener = Some(listener).filter(|_| taken);
+    let last_line_at = Instant::now();
+    // The system accepts connections that the listener does not, and nothing answers on them.
+    let listener = Some(listener).filter(|_| accepts_calls);
     rig.until_ready(true).await;
-    asked(200).await;
+    expect_status(200).await;
     tell(&mut watch, "{\"revision\":8}\n").await;
-    if stops {
+    if expires {
         rig.until_ready(false).await;
-        assert!(heard.elapsed() >= Duration::from_secs(6), "a line that makes no sense is none");
-        asked(503).await;
+        assert!(
+            last_line_at.elapsed() >= Duration::from_secs(6),
+            "a malformed line does not renew the lease"
+        );
+        expect_status(503).await;
         assert_eq!(log.all().len(), 1, "nothing was sent");
     } else {
         sleep(Duration::from_secs(10)).await;
     }
     tell(&mut watch, "\n").await;
     rig.until_ready(true).await;
-    asked(200).await;
+    expect_status(200).await;
     drop(listener);
 }
 
-/// Watches that are broken from their beginning: the agent has news, and answers any other call. Guards
-/// against taking it for one that has nothing to tell. Its list comes indented, on many lines.
+/// Watches deliver nothing from their beginning, although the agent has changes and answers all other calls.
+/// Guards against taking the agent for one that has nothing to report. Its list is indented, over many lines.
 #[tokio::test]
 async fn a_watch_without_any_event_is_replaced_by_a_snapshot() {
     let OneNode { rig, node, .. } = one_node(&[Does::Serve]).await;
@@ -162,7 +179,7 @@
             let length = list.len();
             let answer = format!("HTTP/1.1 200 OK\r\ncontent-length: {length}\r\n\r\n{list}");
             stream.write_all(answer.as_bytes()).await.unwrap();
-            rig.until(|c| c.endpoint_updates == 2).await;
+            rig.until(|counters| counters.endpoint_updates == 2).await;
         }
         silent.push(stream);
     }
@@ -170,8 +187,8 @@
     assert_eq!(rig.ask(&request("consulta", 2, 0, 900, "")).await.0, 503);
 }
 
-/// Discovery is down for a while: the watch falls silent. Guards against a host of a large fleet that then
-/// listens to nobody for half a minute, while its agent has news, which count as told.
+/// Discovery is down for a while, and the watch is silent. Guards against a host of a large fleet that then
+/// reads no watch for half a minute, and misses changes that are delivered on the old watch meanwhile.
 #[tokio::test]
 async fn a_watch_that_timed_out_is_read_until_another_one_delivers() {
     let OneNode { rig, node, .. } = one_node(&[Does::Serve]).await;
@@ -179,16 +196,17 @@
     let _keep = follow(&rig, address, EndpointListMode::Polled { max_interval: 10_000_000 });
     let (mut watch, _) = watched(&listener).await;
     tell(&mut watch, "\n").await;
-    // Longer than a sound watch is silent, and far less than such a fleet's pause before the next call.
+    // Longer than the silence of a healthy watch, and far shorter than the pause of such a fleet before the
+    // next call.
     sleep(Duration::from_millis(3500)).await;
     let drain = member("s0", node, 0, "terminating", 0).replace('\n', "");
     tell(&mut watch, &format!("{{\"revision\":9,\"complete\":false,\"members\":[{drain}]}}\n")).await;
-    rig.until(|c| c.endpoint_updates == 2).await;
+    rig.until(|counters| counters.endpoint_updates == 2).await;
     assert_eq!(rig.ask(&request("consulta", 1, 0, 900, "")).await.0, 503);
 }
 
-/// Guards against a fleet that comes back to discovery as one, and against calls without a pause: with two
-/// seeds, watches that are refused are opened anew at other times, ever more seldom.
+/// Guards against a fleet that reconnects to discovery all at once, and against calls without a pause: with
+/// two seeds, rejected watches are reopened at different times, at growing intervals.
 #[tokio::test]
 async fn rejected_watches_are_reopened_with_jittered_backoff() {
     let rig = rig(&[], None).await;
@@ -196,7 +214,7 @@
     for seed in [1, 2] {
         let (listener, address) = listen().await;
         let (_keep, addresses) = watch::channel(DiscoveryAddress::from_now(address));
-        let pace = ReconnectPolicy::new(
+        let reconnect_policy = ReconnectPolicy::new(
             EndpointListMode::Streamed,
             FleetPosition { scheduler_index: 0, schedulers: 1 },
             seed,
@@ -206,67 +224,70 @@
             7,
             EndpointListMode::Streamed,
             rig.core.discovery_sender(),
-            pace,
+            reconnect_policy,
         ));
-        let mut seen = Vec::new();
-        while seen.len() < 5 {
-            // Closed as soon as it is there.
+        let mut opened_at = Vec::new();
+        while opened_at.len() < 5 {
+            // Closes the connection at once.
             drop(timeout(PATIENCE, listener.accept()).await.expect("a watch").unwrap());
-            seen.push(Instant::now());
+            opened_at.push(Instant::now());
         }
         following.abort();
-        gaps.push(seen.windows(2).map(|pair| pair[1] - pair[0]).collect::<Vec<_>>());
+        gaps.push(opened_at.windows(2).map(|pair| pair[1] - pair[0]).collect::<Vec<_>>());
     }
-    // A tenth of 60, 120, 240 and 480 ms at the least, and hardly more than the whole of them: not to the
-    // millisecond alike.
+    // The longest delays are 50, 100, 200 and 400 ms, and a delay is at least a tenth of its longest one.
+    // With these seeds the delays are also at least a tenth of 60, 120, 240 and 480 ms. Those of the two
+    // seeds differ by milliseconds.
     for (gap, least) in gaps.iter().flat_map(|gaps| gaps.iter().zip([6, 12, 24, 48])) {
         assert!(*gap >= Duration::from_millis(least), "{gaps:?}");
     }
-    let apart = gaps[0].iter().zip(&gaps[1]).map(|(a, b)| a.abs_diff(*b)).max();
-    assert!(apart > Some(Duration::from_millis(3)), "{gaps:?}");
+    let largest_difference = gaps[0].iter().zip(&gaps[1]).map(|(a, b)| a.abs_diff(*b)).max();
+    assert!(largest_difference > Some(Duration::from_millis(3)), "{gaps:?}");
 }
 
-/// What goes wrong on a watch: nothing of it counts, the list before stands, and the watch is opened anew.
+/// A watch fails: none of what it delivered is applied, the list before it stays in force, and the watch is
+/// reopened.
 #[rstest]
 #[case::refused("HTTP/1.1 503 Service Unavailable\r\ncontent-length: 0\r\n\r\n", 0)]
 #[case::cut_in_a_list("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n40\r\n{\"revision\":9,\"comp", 0)]
 #[case::no_line("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n", 5 << 20)]
 #[tokio::test]
 async fn a_rejected_truncated_or_oversized_list_keeps_the_last_valid_one(
-    #[case] begins: &str,
-    #[case] noise: usize,
+    #[case] first_bytes: &str,
+    #[case] noise_bytes: usize,
 ) {
     let OneNode { rig, node, .. } = one_node(&[Does::Serve]).await;
     let (listener, address) = listen().await;
     let _keep = follow(&rig, address, EndpointListMode::Streamed);
     let (mut watch, _) = timeout(PATIENCE, listener.accept()).await.expect("a watch").unwrap();
-    watch.write_all(begins.as_bytes()).await.unwrap();
-    for _ in 0..noise >> 16 {
-        // It may be dropped before the last of it.
+    watch.write_all(first_bytes.as_bytes()).await.unwrap();
+    for _ in 0..noise_bytes >> 16 {
+        // The connection may be closed before the last of it is written.
         let _ = watch.write_all(format!("10000\r\n{}\r\n", "x".repeat(1 << 16)).as_bytes()).await;
     }
-    if noise == 0 {
+    if noise_bytes == 0 {
         drop(watch);
     }
-    let (mut again, head) = watched(&listener).await;
+    let (mut reopened_watch, head) = watched(&listener).await;
     assert!(head.starts_with("get /v1/servers?watch=1&after=7 "), "{head}");
     assert_eq!(rig.ask(&request("consulta", 1, 0, 900, "")).await.0, 200);
     let gone = member("s0", node, 0, "terminated", 0).replace('\n', "");
-    tell(&mut again, &format!("{{\"revision\":9,\"complete\":false,\"members\":[{gone}]}}\n")).await;
-    rig.until(|c| c.endpoint_updates == 2).await;
+    tell(&mut reopened_watch, &format!("{{\"revision\":9,\"complete\":false,\"members\":[{gone}]}}\n")).await;
+    rig.until(|counters| counters.endpoint_updates == 2).await;
     assert_eq!(rig.ask(&request("consulta", 2, 0, 900, "")).await.0, 503);
 }
 
-/// Six in ten nodes are replaced while the first list is old and discovery answers late: what is asked of a
-/// gone node is answered, never sent on; once the list is there each shard is served by its new node.
+/// Six in ten nodes are replaced while the first list is outdated and discovery answers late: requests for a
+/// removed node are answered and not forwarded; once the new list is there, each shard is served by its new
+/// node.
 #[tokio::test]
 async fn a_late_update_that_replaces_most_nodes_moves_every_shard() {
     let (old, new) = (Log::default(), Log::default());
-    let (mut listed, mut kept) = (Vec::new(), Vec::new());
+    let (mut listed, mut reserved_sockets) = (Vec::new(), Vec::new());
     for shard in 0..10 {
-        // Six of the old ones are gone: nobody listens there.
+        // Six of the old nodes are gone: nothing listens at their addresses.
         let (socket, gone) = nobody();
-        kept.push(socket);
+        reserved_sockets.push(socket);
         let address = if shard < 6 { gone } else { http_node(shard, &[Does::Serve], &old).await };
         listed.push(member(&format!("old{shard}"), address, shard, "in_service", 0));
     }
@@ -286,7 +307,7 @@
     }
     let changes = changes.join(",").replace('\n', "");
     tell(&mut watch, &format!("{{\"revision\":9,\"complete\":false,\"members\":[{changes}]}}\n")).await;
-    rig.until(|c| c.endpoint_updates == 2).await;
+    rig.until(|counters| counters.endpoint_updates == 2).await;
     for shard in 0..10 {
         let status = rig.ask(&request("consulta", 101 + shard, shard as i32, 900, "")).await.0;
         assert_eq!(status, 200, "shard {shard} by the new list");
--- a/crates/scheduler/tests/net/fragmented_requests.rs
+++ b/crates/scheduler/tests/net/fragmented_requests.rs
@@ -1,4 +1,4 @@
-//! Requests that come in pieces, in every form that a head allows: each piece is read before the next is
+//! Requests that arrive in pieces, in every form that a head allows. Each piece is read before the next is
 //! written, as an answer on another connection shows.
 
 use rstest::rstest;
@@ -9,32 +9,33 @@
 
 use crate::support::{one_node, OneNode, HEALTH_CHECK};
 
-fn as_it_is(text: String) -> String {
+fn unchanged(text: String) -> String {
     text
 }
 
-/// Header names in capitals, and no blank behind the colons.
-fn other_spelling(text: String) -> String {
+/// Writes header names in capitals, with no space after the colons.
+fn with_capitals(text: String) -> String {
     let (head, body) = text.split_once("\r\n\r\n").unwrap();
     let mut lines = head.split("\r\n");
-    let mut spelt = lines.next().unwrap().to_owned();
+    let mut respelled = lines.next().unwrap().to_owned();
     for line in lines {
         let (name, value) = line.split_once(": ").unwrap();
-        spelt += &format!("\r\n{}:{value}", name.to_uppercase());
+        respelled += &format!("\r\n{}:{value}", name.to_uppercase());
     }
-    format!("{spelt}\r\n\r\n{body}")
+    format!("{respelled}\r\n\r\n{body}")
 }
 
-fn in_chunks(text: String) -> String {
+fn chunked(text: String) -> String {
     text.replace("Content-Length: 8\r\n", "Transfer-Encoding: chunked\r\n")
         .replace("\r\n\r\nan order", "\r\n\r\n3\r\nan \r\n5\r\norder\r\n0\r\n\r\n")
 }
 
-/// Guards against a request that is answered before its last byte, cut, sent on twice or in part.
+/// Guards against a request that is answered before its last byte, cut short, forwarded twice or forwarded in
+/// part.
 #[rstest]
 #[tokio::test]
 async fn a_fragmented_request_is_forwarded_once_and_complete(
-    #[values(as_it_is, other_spelling, in_chunks)] form: fn(String) -> String,
+    #[values(unchanged, with_capitals, chunked)] form: fn(String) -> String,
     #[values(1, 2, 7, 50)] piece: usize,
 ) {
     let OneNode { rig, log, .. } = one_node(&[Does::Serve]).await;
@@ -43,7 +44,7 @@
     client.set_nodelay(true).unwrap();
     let text = form(request("pedido", 7, 0, 60_000, "an order"));
     for part in text.as_bytes().chunks(piece) {
-        assert_eq!(log.all().len(), 0, "sent on before its end");
+        assert_eq!(log.all().len(), 0, "forwarded before its end");
         client.write_all(part).await.unwrap();
         other.write_all(HEALTH_CHECK.as_bytes()).await.unwrap();
         assert_eq!(answer(&mut other).await.0, 200);
--- a/crates/scheduler/tests/net/handover.rs
+++ b/crates/scheduler/tests/net/handover.rs
@@ -51,10 +51,9 @@
     assert!(decode(line.as_bytes()).is_err());
 }
 
-/// What the processes of one scheduler share: an address that the system has chosen and gives to nobody else,
-/// and a folder.
+/// The listen address, reserved for this scheduler, and the folder that its processes share.
 struct SchedulerInstance {
-    _kept: TcpSocket,
+    _reserved_socket: TcpSocket,
     listen: SocketAddr,
     folder: PathBuf,
     config: PathBuf,
@@ -64,14 +63,14 @@
     fn new(members: &str) -> Self {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
-        let (kept, listen) = reserved();
-        // A short path: that of a Unix socket has 108 bytes at most.
+        let (reserved_socket, listen) = reserved();
+        // A short path, as that of a Unix socket has at most 108 bytes.
         let folder = std::env::temp_dir().join(format!("hw-{}-{number}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
         let config = folder.join("config.json");
         let text = config_text(&listen.to_string(), "127.0.0.1:1", members);
         std::fs::write(&config, text.replacen('{', r#"{"ops":"127.0.0.1:0","#, 1)).unwrap();
-        Self { _kept: kept, listen, folder, config }
+        Self { _reserved_socket: reserved_socket, listen, folder, config }
     }
 
     fn socket(&self) -> PathBuf {
@@ -87,23 +86,23 @@
 
 impl Drop for SchedulerInstance {
     fn drop(&mut self) {
-        // Only a folder of this test's own.
+        // The folder belongs to this test alone.
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
-async fn served(process: &Program) -> bool {
+async fn has_served(process: &Program) -> bool {
     !process.call("METRICS").await.contains("responses.consulta.ok=0\n")
 }
 
-async fn ask(stream: &mut TcpStream, call: u32, shard: i32) -> (u16, String) {
+async fn send_read(stream: &mut TcpStream, call: u32, shard: i32) -> (u16, String) {
     stream.write_all(request("consulta", call, shard, 900, "").as_bytes()).await.unwrap();
     let (status, head, _) = answer(stream).await;
     (status, head)
 }
 
-/// The whole of it: state passes, the old one leaves and turns nobody back, commands hold in both, and the
-/// old one goes on when the new one dies.
+/// A complete handover: the state is passed on, the old process rejects no client, operators' commands
+/// apply to both processes, and the old process serves again if the new one dies.
 #[tokio::test]
 async fn a_new_version_takes_over_under_load() {
     let log = Log::default();
@@ -112,27 +111,28 @@
     let instance = SchedulerInstance::new(&members);
     let mut old = instance.start();
     assert_eq!(old.call("SUSPEND s1").await, "OK\n");
-    let mut kept = TcpStream::connect(instance.listen).await.unwrap();
-    assert_eq!(ask(&mut kept, 1, 0).await.0, 200);
+    let mut connection = TcpStream::connect(instance.listen).await.unwrap();
+    assert_eq!(send_read(&mut connection, 1, 0).await.0, 200);
     let new = instance.start();
     assert_eq!(new.call("STATUS").await, "OK\n");
     old.until("peer process: serving");
-    // What is open at the old one is served there, for the last time; what comes goes to the new one.
-    let (status, head) = ask(&mut kept, 2, 0).await;
+    // A connection to the old process is served there for the last time; new connections go to the new
+    // process.
+    let (status, head) = send_read(&mut connection, 2, 0).await;
     assert_eq!((status, header(&head, "connection")), (200, Some("close")));
     assert_eq!(
         status_of_read(instance.listen, 3, 1).await,
         503,
-        "out by hand, by a command to the process before"
+        "suspended by a command to the previous process"
     );
     assert_eq!(status_of_read(instance.listen, 4, 0).await, 200);
-    assert!(served(&new).await);
-    // A command to either holds in both.
+    assert!(has_served(&new).await);
+    // A command to either process applies to both.
     assert_eq!(new.call("SUSPEND s0").await, "OK\n");
     assert!(old.call("METRICS").await.contains("pool_ejected=2\n"));
     assert_eq!(old.call("RESTORE s0").await, "OK\n");
     assert!(new.call("METRICS").await.contains("pool_ejected=1\n"));
-    // The new one dies: the old one takes clients again, and hands over once more.
+    // The new process dies: the old one accepts clients again, and can hand over once more.
     new.kill();
     old.until("peer process: exited");
     assert_eq!(status_of_read(instance.listen, 5, 1).await, 503);
@@ -144,35 +144,35 @@
     third.end();
 }
 
-/// What may stand where the process before should be.
+/// What a starting process finds at the handover socket of the previous process.
 #[derive(Clone, Copy, Debug)]
-enum Before {
-    File,
+enum Previous {
+    StaleFile,
     Silent,
-    Other,
+    OtherVersion,
 }
 
-/// A stale file, a process that says nothing and one of another version stop no start.
+/// Neither a stale socket file nor a process that sends nothing or has another version prevents a start.
 #[rstest]
-#[case::stale_file(Before::File)]
-#[case::silent(Before::Silent)]
-#[case::other_version(Before::Other)]
+#[case::stale_file(Previous::StaleFile)]
+#[case::silent(Previous::Silent)]
+#[case::other_version(Previous::OtherVersion)]
 #[tokio::test]
-async fn no_fault_of_the_previous_process_prevents_a_start(#[case] before: Before) {
+async fn no_fault_of_the_previous_process_prevents_a_start(#[case] previous: Previous) {
     let instance = SchedulerInstance::new("");
     let mut other = None;
-    match before {
-        Before::File => std::fs::write(instance.socket(), "stale").unwrap(),
-        Before::Silent | Before::Other => {
+    match previous {
+        Previous::StaleFile => std::fs::write(instance.socket(), "stale").unwrap(),
+        Previous::Silent | Previous::OtherVersion => {
             let listener = UnixListener::bind(instance.socket()).unwrap();
             other = Some(tokio::spawn(async move {
-                let mut taken = Vec::new();
+                let mut accepted = Vec::new();
                 loop {
                     let (mut stream, _) = listener.accept().await.unwrap();
-                    if matches!(before, Before::Other) {
+                    if matches!(previous, Previous::OtherVersion) {
                         stream.write_all(b"HEATHWARD 0\n").await.unwrap();
                     }
-                    taken.push(stream);
+                    accepted.push(stream);
                 }
             }));
         }
@@ -182,35 +182,36 @@
     let health = HEALTH_CHECK.as_bytes();
     let mut stream = TcpStream::connect(instance.listen).await.unwrap();
     stream.write_all(health).await.unwrap();
-    assert_eq!(answer(&mut stream).await.0, 503, "it listens; it has no list");
+    assert_eq!(answer(&mut stream).await.0, 503, "listens without an endpoint list");
     process.kill();
     if let Some(other) = other {
         other.abort();
     }
 }
 
-/// A process that only greets, or dies before it serves, leaves the running one as it was.
+/// A peer process that disconnects at any step, from before its greeting to after its report that it serves,
+/// leaves the running process as it was.
 #[rstest]
 #[case::nothing("")]
 #[case::greets("HEATHWARD 1\n")]
 #[case::other_version("HEATHWARD 9\n")]
 #[case::serves_and_dies("HEATHWARD 1\nREADY\n")]
 #[tokio::test]
-async fn a_peer_process_that_dies_at_any_step_changes_nothing(#[case] says: &str) {
+async fn a_peer_process_that_dies_at_any_step_changes_nothing(#[case] sent: &str) {
     let log = Log::default();
     let node = http_node(0, &[Does::Serve], &log).await;
     let instance = SchedulerInstance::new(&member("s0", node, 0, "in_service", 0));
     let mut running = instance.start();
     let mut stream = tokio::net::UnixStream::connect(instance.socket()).await.unwrap();
-    stream.write_all(says.as_bytes()).await.unwrap();
+    stream.write_all(sent.as_bytes()).await.unwrap();
     sleep(Duration::from_millis(20)).await;
     drop(stream);
     running.until("peer process: exited");
-    let by = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + PATIENCE;
     while status_of_read(instance.listen, 1, 0).await != 200 {
-        assert!(Instant::now() < by, "it does not serve");
+        assert!(Instant::now() < deadline, "the running process does not serve");
     }
-    // And the next one is given all.
+    // The next process gets a complete handover.
     let next = instance.start();
     running.until("peer process: serving");
     next.kill();
--- a/crates/scheduler/tests/net/node_connections.rs
+++ b/crates/scheduler/tests/net/node_connections.rs
@@ -1,4 +1,4 @@
-//! Connections to storage nodes: time limits, idle ones, and more nodes than descriptors.
+//! Connections to storage nodes: time limits, idle connections, and more nodes than descriptors.
 
 use std::time::Duration;
 
@@ -8,22 +8,23 @@
 
 use heathward_fakes::*;
 
-use crate::support::{count, one_node, OneNode};
+use crate::support::{attempts_ended, one_node, OneNode};
 
-/// The node's machine takes no connection and refuses none. Guards against telling the client after half of
-/// its time, and against "it may have run" for what has never left.
+/// The node's machine neither accepts nor refuses a connection. Guards against connecting for more than
+/// half of the time budget of the request, and against "it may have been executed" for a request that was
+/// never sent.
 #[tokio::test]
 async fn connecting_to_a_node_times_out_by_half_of_the_time_budget() {
     let socket = TcpSocket::new_v4().unwrap();
     socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let address = socket.local_addr().unwrap();
-    let _full = socket.listen(1).unwrap();
-    let fill = (0..8).map(|_| tokio::spawn(TcpStream::connect(address))).collect::<Vec<_>>();
+    let _listener = socket.listen(1).unwrap();
+    let queued = (0..8).map(|_| tokio::spawn(TcpStream::connect(address))).collect::<Vec<_>>();
     sleep(Duration::from_millis(100)).await;
     let rig = rig(&[member("s0", address, 0, "in_service", 0)], None).await;
     assert_eq!(rig.ask(&request("pedido", 1, 0, 690, "w")).await.0, 503);
-    assert_eq!(count(&rig.counters().await, AttemptEnd::NotConnected), 1);
-    fill.into_iter().for_each(|connect| connect.abort());
+    assert_eq!(attempts_ended(&rig.counters().await, AttemptEnd::NotConnected), 1);
+    queued.into_iter().for_each(|connect| connect.abort());
 }
 
 /// Guards against a request that is still open when the program is killed.
@@ -36,8 +37,8 @@
     assert!(budget <= 100, "{budget}");
 }
 
-/// Guards against a node's closing of an idle connection being taken for a node that is down: it would be
-/// held for cold, and starve.
+/// Guards against taking a node that closes an idle connection for a node that is down: it would be
+/// limited as in slow start and get almost no requests.
 #[tokio::test]
 async fn a_connection_closed_while_idle_costs_no_attempt() {
     let OneNode { rig, .. } = one_node(&[Does::ServeThenClose]).await;
@@ -47,7 +48,7 @@
     }
     let counters = rig.counters().await;
     assert_eq!(
-        count(&counters, AttemptEnd::NotConnected) + count(&counters, AttemptEnd::Reset),
+        attempts_ended(&counters, AttemptEnd::NotConnected) + attempts_ended(&counters, AttemptEnd::Reset),
         0,
         "{counters}"
     );
@@ -56,21 +57,21 @@
 #[tokio::test]
 async fn an_unresponsive_node_times_out_and_the_answer_comes_by_the_deadline() {
     let OneNode { rig, log, .. } = one_node(&[Does::Silent]).await;
-    let asked = Instant::now();
+    let sent_at = Instant::now();
     let (status, ..) = rig.ask(&request("pedido", 2, 0, 300, "w")).await;
-    // A write that may have run is never called refused.
+    // A write that may have been executed is never reported as refused.
     assert!(matches!(status, 502 | 504), "{status}");
-    assert!(asked.elapsed() >= Duration::from_millis(250), "{:?}", asked.elapsed());
-    rig.until(|c| count(c, AttemptEnd::TimedOut) == 1).await;
-    let by = Instant::now() + PATIENCE;
+    assert!(sent_at.elapsed() >= Duration::from_millis(250), "{:?}", sent_at.elapsed());
+    rig.until(|counters| attempts_ended(counters, AttemptEnd::TimedOut) == 1).await;
+    let deadline = Instant::now() + PATIENCE;
     while log.open.lock().unwrap().values().any(|n| *n > 0) {
-        assert!(Instant::now() < by, "given up, but its connection is open");
+        assert!(Instant::now() < deadline, "timed out, but its connection is still open");
         tokio::task::yield_now().await;
     }
 }
 
-/// Guards against connections that stand idle at some nodes and keep all others from being reached: with more
-/// nodes than descriptors for them each gets its turn, and the limit holds.
+/// Guards against idle connections to some nodes that keep all others from being reached: with more nodes
+/// than descriptors for them, each node is reached, and the limit holds.
 #[tokio::test]
 async fn more_nodes_than_descriptors_are_all_reached() {
     let log = Log::default();
--- a/crates/scheduler/tests/net/rejected_requests.rs
+++ b/crates/scheduler/tests/net/rejected_requests.rs
@@ -33,7 +33,7 @@
 #[case::body_of_a_read(("Content-Length: 0\r\n", "Content-Length: 2\r\n"))]
 #[case::negative_length(("Content-Length: 0\r\n", "Content-Length: -5\r\n"))]
 #[case::two_lengths(("Content-Length: 0\r\n", "Content-Length: 0\r\nContent-Length: 2\r\n"))]
-#[case::line(("GET /consulta", "GET  /consulta"))]
+#[case::request_line(("GET /consulta", "GET  /consulta"))]
 #[tokio::test]
 async fn a_malformed_request_is_rejected_at_once_and_counted(#[case] (from, to): (&str, &str)) {
     let OneNode { rig, log, .. } = one_node(&[Does::Serve]).await;
@@ -41,12 +41,16 @@
     assert!(text.contains(from));
     let (status, head, _) = rig.ask(&(text.replacen(from, to, 1) + "xy")).await;
     assert_eq!((status, header(&head, "connection")), (400, Some("close")), "{head}");
-    assert_eq!(rig.ask(&text).await.0, 200, "and goes on serving");
-    assert_eq!((rig.counters().await.requests_received, log.all().len()), (1, 1), "never passed on");
+    assert_eq!(rig.ask(&text).await.0, 200, "the front still serves requests");
+    assert_eq!(
+        (rig.counters().await.requests_received, log.all().len()),
+        (1, 1),
+        "the request is not forwarded"
+    );
 }
 
-/// A body with two lengths may hide a request, whichever of them stands first. Guards against passing on
-/// either, and against reading what is hidden as a request of its own.
+/// A body with two lengths may hide a request, whichever length comes first. Guards against forwarding the
+/// request or the hidden one, and against reading the hidden bytes as a request.
 #[rstest]
 #[case::chunked_last("Content-Length: 5\r\nTransfer-Encoding: chunked")]
 #[case::chunked_first("Transfer-Encoding: chunked\r\nContent-Length: 5")]
@@ -59,28 +63,29 @@
     stream.write_all((text + &hidden).as_bytes()).await.unwrap();
     let (status, head, _) = answer(&mut stream).await;
     assert_eq!((status, header(&head, "connection")), (400, Some("close")));
-    assert!(timeout(PATIENCE, read_message(&mut stream)).await.expect("an end").is_none());
+    assert!(timeout(PATIENCE, read_message(&mut stream)).await.expect("the end of the connection").is_none());
     assert_eq!((rig.counters().await.requests_received, log.all().len()), (0, 0));
 }
 
-/// Guards against two attempts at once for what a node takes for one request.
+/// Guards against two concurrent attempts that a node takes for the same request.
 #[tokio::test]
 async fn the_id_of_an_open_request_is_rejected() {
     let OneNode { rig, log, .. } = one_node(&[Does::Silent, Does::Serve]).await;
     let mut first = TcpStream::connect(rig.front).await.unwrap();
     first.write_all(request("consulta", 1, 0, 900, "").as_bytes()).await.unwrap();
-    rig.until(|c| c.attempts_sent == 1).await;
+    rig.until(|counters| counters.attempts_sent == 1).await;
     assert_eq!(rig.ask(&request("consulta", 1, 0, 900, "")).await.0, 400);
-    assert!(matches!(answer(&mut first).await.0, 503 | 504), "the first goes on to its own end");
-    assert_ne!(rig.ask(&request("consulta", 1, 0, 900, "")).await.0, 400, "and frees its id");
+    assert!(matches!(answer(&mut first).await.0, 503 | 504), "the first request is still answered");
+    assert_ne!(rig.ask(&request("consulta", 1, 0, 900, "")).await.0, 400, "its id is free again");
     log.check_one_at_a_time();
 }
 
-/// What never comes to its end: within 3 s of connecting its client is told so, or cut off.
+/// A request that is never completed: within 3 s of connecting its client gets an answer that says so, or is
+/// disconnected.
 #[rstest]
 #[case::nothing("", None)]
-#[case::half_a_head("GET /consulta/0000", Some(408))]
-#[case::half_a_body(
+#[case::incomplete_head("GET /consulta/0000", Some(408))]
+#[case::incomplete_body(
     "PUT /pedido/00000003b4d60021/7f3a9c21e0b4d655 HTTP/1.1\r\nContent-Length: 9\r\n\r\nabc",
     Some(408)
 )]
@@ -89,12 +94,13 @@
     let rig = rig(&[], None).await;
     let mut stream = TcpStream::connect(rig.front).await.unwrap();
     stream.write_all(text.as_bytes()).await.unwrap();
-    let told = timeout(PATIENCE, read_message(&mut stream)).await.expect("an answer or an end");
-    assert_eq!(told.map(|(head, ..)| head[9..12].parse().unwrap()), status);
+    let message =
+        timeout(PATIENCE, read_message(&mut stream)).await.expect("an answer or the end of the connection");
+    assert_eq!(message.map(|(head, ..)| head[9..12].parse().unwrap()), status);
 }
 
-/// The client sends all the same, as fast as it can, and reads then. Guards against a reset that overtakes
-/// the answer, and against reading what was refused.
+/// The client sends all of its data as fast as it can, and reads only after that. Guards against a reset
+/// that arrives before the answer, and against reading a body that was rejected.
 #[rstest]
 #[case::body("Content-Length: 60000000\r\n", 413)]
 #[case::head("X-Pad: ", 431)]
@@ -105,9 +111,9 @@
     let start = request("pedido", 1, 0, 900, "").replace("Content-Length: 0\r\n", head);
     let start = if status == 431 { start.trim_end().to_owned() } else { start };
     stream.write_all(start.as_bytes()).await.unwrap();
-    let junk = vec![b'x'; 1 << 20];
+    let surplus = vec![b'x'; 1 << 20];
     for _ in 0..8 {
-        stream.write_all(&junk).await.unwrap();
+        stream.write_all(&surplus).await.unwrap();
     }
     assert_eq!(answer(&mut stream).await.0, status);
 }
--- a/crates/scheduler/tests/net/shutdown.rs
+++ b/crates/scheduler/tests/net/shutdown.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown: what is owed then, crossed by what still comes.
+//! Graceful shutdown: requests that must be answered, and requests that still arrive.
 
 use std::net::SocketAddr;
 
@@ -11,48 +11,48 @@
 use crate::support::{send_signal, start_program, wait_until_listening, write_config, HEALTH_CHECK};
 use heathward_fakes::*;
 
-/// What came of a request that was written whole.
+/// What a client receives for a request that was completely written.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Came {
-    /// A whole answer.
+enum Outcome {
+    /// A complete answer.
     Answer(u16),
-    /// The connection was closed before anything came.
+    /// The connection was closed before any byte of an answer.
     Nothing,
     /// Anything else: a reset, or a part of an answer.
     Broken,
 }
 
-async fn came(stream: &mut TcpStream) -> Came {
+async fn read_outcome(stream: &mut TcpStream) -> Outcome {
     let mut first = [0];
-    match timeout(PATIENCE, stream.peek(&mut first)).await.expect("an answer or an end") {
-        Ok(0) => Came::Nothing,
-        Ok(_) => match timeout(PATIENCE, read_message(stream)).await.expect("all of it") {
-            Some((head, ..)) => Came::Answer(head[9..12].parse().unwrap()),
-            None => Came::Broken,
+    match timeout(PATIENCE, stream.peek(&mut first)).await.expect("an answer or the end of the connection") {
+        Ok(0) => Outcome::Nothing,
+        Ok(_) => match timeout(PATIENCE, read_message(stream)).await.expect("the rest of the answer") {
+            Some((head, ..)) => Outcome::Answer(head[9..12].parse().unwrap()),
+            None => Outcome::Broken,
         },
-        Err(_) => Came::Broken,
+        Err(_) => Outcome::Broken,
     }
 }
 
-/// Asks and asks again, on one connection, until that ends.
-async fn insist(mut stream: TcpStream, first: u32) -> Vec<(u32, Came)> {
-    let mut asked = Vec::new();
+/// Sends requests on one connection, each after the answer to the one before, until the connection ends.
+async fn send_until_closed(mut stream: TcpStream, first: u32) -> Vec<(u32, Outcome)> {
+    let mut outcomes = Vec::new();
     for call in first.. {
-        // What can't be written any more was never taken.
+        // A request that cannot be written any more was never received.
         if stream.write_all(request("consulta", call, 0, 900, "").as_bytes()).await.is_err() {
             break;
         }
-        let came = came(&mut stream).await;
-        asked.push((call, came));
-        if !matches!(came, Came::Answer(_)) {
+        let outcome = read_outcome(&mut stream).await;
+        outcomes.push((call, outcome));
+        if !matches!(outcome, Outcome::Answer(_)) {
             break;
         }
     }
-    asked
+    outcomes
 }
 
-/// A connection that has carried a request.
-async fn rested(address: SocketAddr, call: u32) -> TcpStream {
+/// Returns a connection on which a request has been answered.
+async fn answered_connection(address: SocketAddr, call: u32) -> TcpStream {
     let mut stream = TcpStream::connect(address).await.unwrap();
     stream.write_all(request("consulta", call, 0, 900, "").as_bytes()).await.unwrap();
     assert_eq!(answer(&mut stream).await.0, 200);
@@ -60,15 +60,16 @@
 }
 
 const CLIENTS: u32 = 10;
-/// Requests that a node that nothing is known of gets at a time.
-const NODE_BUDGET_REQUESTS: u32 = 4;
-/// Ids of one client.
-const SPACE: u32 = 1 << 20;
+/// The limit on requests in flight at a node whose capacity is unknown.
+const UNKNOWN_NODE_IN_FLIGHT_LIMIT: u32 = 4;
+/// The number of request ids reserved for each client.
+const IDS_PER_CLIENT: u32 = 1 << 20;
 
-/// The process stands still while SIGTERM, once or twice, whole requests and half ones come: it meets all of
-/// it at once. Then clients come again as soon as they are answered, until it closes their connections.
-/// Guards against a request that is read and not answered, one that is sent on and not answered, an answer in
-/// part, and an end that waits for nobody or for ever.
+/// The process is stopped while SIGTERM, once or twice, and complete and partial requests arrive, so that it
+/// finds all of them at once. Then the clients send further requests as soon as they are answered, until
+/// their connections are closed. Guards against a request that is read and not answered, one that is
+/// forwarded and not answered, a partial answer, and an exit that does not wait for open requests, or never
+/// happens.
 #[rstest]
 #[tokio::test]
 async fn requests_that_cross_the_shutdown_are_answered_or_never_read(#[values(1, 2)] times: usize) {
@@ -77,119 +78,124 @@
     let members = member("s0", node, 0, "in_service", 0);
     let text = config_text("127.0.0.1:0", "127.0.0.1:1", &members);
     let (mut child, _lines, address) =
-        wait_until_listening(start_program(&write_config(&format!("storm{times}"), &text), &[]));
+        wait_until_listening(start_program(&write_config(&format!("crossing{times}"), &text), &[]));
     let mut clients = Vec::new();
     for client in 0..CLIENTS {
-        clients.push(rested(address, client * SPACE + SPACE / 2).await);
+        clients.push(answered_connection(address, client * IDS_PER_CLIENT + IDS_PER_CLIENT / 2).await);
     }
-    let mut halves = Vec::new();
+    let mut partial = Vec::new();
     for client in CLIENTS..CLIENTS + 3 {
-        halves.push(rested(address, client * SPACE + SPACE / 2).await);
+        partial.push(answered_connection(address, client * IDS_PER_CLIENT + IDS_PER_CLIENT / 2).await);
     }
-    let mut resting = rested(address, (CLIENTS + 3) * SPACE).await;
+    let mut idle = answered_connection(address, (CLIENTS + 3) * IDS_PER_CLIENT).await;
     send_signal(&child, "-STOP");
-    let mut insisting = JoinSet::new();
+    let mut sending = JoinSet::new();
     for (client, stream) in (0..).zip(clients) {
-        insisting.spawn(insist(stream, client * SPACE));
+        sending.spawn(send_until_closed(stream, client * IDS_PER_CLIENT));
     }
-    for stream in &mut halves {
+    for stream in &mut partial {
         stream.write_all(b"GET /consulta/0000").await.unwrap();
     }
     for _ in 0..times {
         send_signal(&child, "-TERM");
     }
     send_signal(&child, "-CONT");
-    let ended = Instant::now();
-    let mut asked = insisting.join_all().await.concat();
-    asked.sort_by_key(|(call, _)| *call);
-    // A close crosses a half request, which can then be sent again; one that was read is told why it ends.
-    for stream in &mut halves {
-        assert!(matches!(came(stream).await, Came::Nothing | Came::Answer(408)));
+    let signalled_at = Instant::now();
+    let mut outcomes = sending.join_all().await.concat();
+    outcomes.sort_by_key(|(call, _)| *call);
+    // A client whose partial request was not read when its connection closed can send it again; if it was
+    // read, the client is told why the connection ends.
+    for stream in &mut partial {
+        assert!(matches!(read_outcome(stream).await, Outcome::Nothing | Outcome::Answer(408)));
     }
-    assert_eq!(came(&mut resting).await, Came::Nothing, "whoever rests is closed in order");
+    assert_eq!(read_outcome(&mut idle).await, Outcome::Nothing, "an idle connection is closed, not reset");
     let status = tokio::task::spawn_blocking(move || child.wait().unwrap()).await.unwrap();
     assert!(status.success());
-    assert!(ended.elapsed() < Duration::from_secs(10), "{:?}", ended.elapsed());
+    assert!(signalled_at.elapsed() < Duration::from_secs(10), "{:?}", signalled_at.elapsed());
     let seen: Vec<u32> = log.all().iter().map(|seen| u32::from_str_radix(&seen.call, 16).unwrap()).collect();
-    for (call, came) in &asked {
+    for (call, outcome) in &outcomes {
         let sent = seen.iter().filter(|id| *id == call).count();
-        let kept = match came {
-            Came::Answer(200) => sent == 1,
-            Came::Answer(503) => sent == 0,
-            Came::Nothing => sent == 0,
+        let consistent = match outcome {
+            Outcome::Answer(200) => sent == 1,
+            Outcome::Answer(503) => sent == 0,
+            Outcome::Nothing => sent == 0,
             _ => false,
         };
-        assert!(kept, "{call:#x}: {came:?}, sent on {sent} times");
+        assert!(consistent, "{call:#x}: {outcome:?}, forwarded {sent} times");
     }
-    assert!(asked.iter().filter(|(_, came)| *came == Came::Answer(200)).count() > CLIENTS as usize);
+    assert!(
+        outcomes.iter().filter(|(_, outcome)| *outcome == Outcome::Answer(200)).count() > CLIENTS as usize
+    );
 }
 
-/// Clients that the system has accepted for a process that stands still, their requests written whole or in
-/// part or not at all, with SIGTERM behind them, or when it has been heeded. Guards against a listener that
-/// is closed over them: each whole request has its answer, and nobody is reset.
+/// The system has accepted clients for a stopped process. Their requests are written completely, in part or
+/// not at all, and SIGTERM follows them or has already been handled. Guards against a listener that is closed
+/// with connections in its queue: each complete request is answered, and no connection is reset.
 #[rstest]
 #[tokio::test]
-async fn connections_waiting_to_be_accepted_at_shutdown_are_answered(#[values(false, true)] heeded: bool) {
-    check_connections_waiting_to_be_accepted(heeded, "150").await;
+async fn connections_waiting_to_be_accepted_at_shutdown_are_answered(#[values(false, true)] handled: bool) {
+    check_connections_waiting_to_be_accepted(handled, "150").await;
 }
 
-/// The same where requests are not shed for having queued too long, as a loaded machine makes them do.
+/// Connections that wait to be accepted are served. The latency objective is so long that no request is shed
+/// for its queueing delay, which a loaded machine may cause.
 #[rstest]
 #[tokio::test]
-async fn connections_waiting_to_be_accepted_at_shutdown_are_served_without_a_tight_objective(
-    #[values(false, true)] heeded: bool,
+async fn connections_waiting_to_be_accepted_at_shutdown_are_served_with_a_long_latency_objective(
+    #[values(false, true)] handled: bool,
 ) {
-    check_connections_waiting_to_be_accepted(heeded, "1000").await;
+    check_connections_waiting_to_be_accepted(handled, "1000").await;
 }
 
-async fn check_connections_waiting_to_be_accepted(heeded: bool, objective_ms: &str) {
+async fn check_connections_waiting_to_be_accepted(handled: bool, objective_ms: &str) {
     let log = Log::default();
     let node = http_node(0, &[Does::Serve], &log).await;
-    let hangs = http_node(1, &[Does::Silent], &log).await;
-    let members = [member("s0", node, 0, "in_service", 0), member("s1", hangs, 1, "in_service", 0)].join(",");
+    let hanging_node = http_node(1, &[Does::Silent], &log).await;
+    let members =
+        [member("s0", node, 0, "in_service", 0), member("s1", hanging_node, 1, "in_service", 0)].join(",");
     let text = config_text("127.0.0.1:0", "127.0.0.1:1", &members)
         .replace("\"aimMs\":150", &format!("\"aimMs\":{objective_ms}"));
-    let name = format!("accept{heeded}{objective_ms}");
+    let name = format!("accept{handled}{objective_ms}");
     let (mut child, _lines, address) = wait_until_listening(start_program(&write_config(&name, &text), &[]));
-    let mut resting = rested(address, SPACE).await;
-    // Until this has its answer the process has not ended.
+    let mut idle = answered_connection(address, IDS_PER_CLIENT).await;
+    // The process does not exit before this request is answered.
     let mut open = TcpStream::connect(address).await.unwrap();
-    open.write_all(request("consulta", 2 * SPACE, 1, 3_000, "").as_bytes()).await.unwrap();
+    open.write_all(request("consulta", 2 * IDS_PER_CLIENT, 1, 3_000, "").as_bytes()).await.unwrap();
     while log.all().len() < 2 {
         tokio::task::yield_now().await;
     }
-    if heeded {
+    if handled {
         send_signal(&child, "-TERM");
-        assert_eq!(came(&mut resting).await, Came::Nothing);
+        assert_eq!(read_outcome(&mut idle).await, Outcome::Nothing);
     }
     send_signal(&child, "-STOP");
-    let (mut whole, mut others) = (Vec::new(), Vec::new());
+    let (mut complete, mut others) = (Vec::new(), Vec::new());
     for client in 0..CLIENTS {
         let text = request("consulta", client, 0, 900, "");
         for part in [text.len(), 40, 0] {
             let mut stream = TcpStream::connect(address).await.unwrap();
             stream.write_all(&text.as_bytes()[..part]).await.unwrap();
-            if part == text.len() { &mut whole } else { &mut others }.push(stream);
+            if part == text.len() { &mut complete } else { &mut others }.push(stream);
         }
     }
-    if !heeded {
+    if !handled {
         send_signal(&child, "-TERM");
     }
     send_signal(&child, "-CONT");
-    for stream in &mut whole {
-        assert_eq!(came(stream).await, Came::Answer(200));
+    for stream in &mut complete {
+        assert_eq!(read_outcome(stream).await, Outcome::Answer(200));
     }
     for stream in &mut others {
-        assert!(matches!(came(stream).await, Came::Nothing | Came::Answer(408)));
+        assert!(matches!(read_outcome(stream).await, Outcome::Nothing | Outcome::Answer(408)));
     }
-    assert!(matches!(came(&mut open).await, Came::Answer(503 | 504)));
+    assert!(matches!(read_outcome(&mut open).await, Outcome::Answer(503 | 504)));
     let status = tokio::task::spawn_blocking(move || child.wait().unwrap()).await.unwrap();
     assert!(status.success());
     assert_eq!(log.all().len(), 2 + CLIENTS as usize);
 }
 
-/// Nodes hang just then, and clients would wait for longer than the platform lets the program run, or for
-/// less than a moment: all are answered before it ends.
+/// Nodes hang during the shutdown, and clients would wait for only 0.1 s, or longer than the platform lets
+/// the process run: all are answered before the exit.
 #[rstest]
 #[case::short(100)]
 #[case::long(10_000)]
@@ -208,24 +214,27 @@
         stream.write_all(request("consulta", call, 0, budget, "").as_bytes()).await.unwrap();
         open.push(stream);
     }
-    // The first is at the node: the others are there, or wait behind it.
-    let by = Instant::now() + PATIENCE;
+    // The first request is at the node; the others are there too, or queued behind it.
+    let deadline = Instant::now() + PATIENCE;
     while log.all().is_empty() {
-        assert!(Instant::now() < by, "it never sends");
+        assert!(Instant::now() < deadline, "no request is forwarded");
         tokio::task::yield_now().await;
     }
     send_signal(&child, "-TERM");
     for stream in &mut open {
-        assert!(matches!(came(stream).await, Came::Answer(503 | 504)));
+        assert!(matches!(read_outcome(stream).await, Outcome::Answer(503 | 504)));
         let mut rest = Vec::new();
-        assert!(timeout(PATIENCE, stream.read_to_end(&mut rest)).await.expect("an end").is_ok());
+        assert!(timeout(PATIENCE, stream.read_to_end(&mut rest))
+            .await
+            .expect("the end of the connection")
+            .is_ok());
     }
     let status = tokio::task::spawn_blocking(move || child.wait().unwrap()).await.unwrap();
     assert!(status.success());
 }
 
-/// Guards against requests that are demoted and shed for the time that a shutdown takes from them, as though
-/// their clients had waited for that time before.
+/// Guards against requests that are demoted and shed because the shutdown shortens their time, as if their
+/// clients had already waited for that time.
 #[tokio::test]
 async fn requests_during_a_shutdown_keep_their_priority() {
     let log = Log::default();
@@ -235,7 +244,7 @@
     let rig = rig_of(&text, None).await;
     rig.core.set_shutdown_deadline(Instant::now() + Duration::from_secs(3)).await;
     let mut clients = Vec::new();
-    for call in 0..NODE_BUDGET_REQUESTS {
+    for call in 0..UNKNOWN_NODE_IN_FLIGHT_LIMIT {
         let mut stream = TcpStream::connect(rig.front).await.unwrap();
         stream.write_all(request("consulta", call, 0, 10_000, "").as_bytes()).await.unwrap();
         clients.push(stream);
@@ -244,11 +253,15 @@
     for stream in &mut clients {
         statuses.push(answer(stream).await.0);
     }
-    assert_eq!(log.all().len(), NODE_BUDGET_REQUESTS as usize, "not all were forwarded: {statuses:?}");
+    assert_eq!(
+        log.all().len(),
+        UNKNOWN_NODE_IN_FLIGHT_LIMIT as usize,
+        "not all were forwarded: {statuses:?}"
+    );
 }
 
-/// Guards against 504 for a request that was never forwarded, as though a node might have executed it: its
-/// attempt waits for a connection when the time of the shutdown is over.
+/// Guards against 504 for a request that was never forwarded, as if a node might have executed it: its
+/// attempt still waits for a connection when the time for the shutdown is over.
 #[rstest]
 #[tokio::test]
 async fn requests_that_wait_for_a_connection_at_the_end_of_a_shutdown_are_shed(
@@ -259,44 +272,45 @@
     let mut client = TcpStream::connect(rig.front).await.unwrap();
     client.write_all(request(class, 1, 0, 700, "").as_bytes()).await.unwrap();
     rig.until(|counters| counters.attempts_sent == 1).await;
-    // By then no connection is given up yet: an attempt waits for one for up to half of its request's time.
+    // No connection attempt has timed out by then: an attempt waits for a connection for up to half of its
+    // request's time.
     rig.core.set_shutdown_deadline(Instant::now() + Duration::from_millis(100)).await;
     assert_eq!(answer(&mut client).await.0, 503);
     rig.until_at_rest().await;
     assert_eq!(rig.counters().await.attempts_written, 0);
 }
 
-/// What a program that starts finds of discovery.
+/// The state of discovery at startup.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Agent {
-    /// Nobody takes a call.
+    /// No connection is accepted.
     Down,
-    /// Calls are taken, and nothing is said.
+    /// Connections are accepted, and nothing is sent on them.
     Silent,
 }
 
-/// Ready within 10 s whatever discovery does, by its saved list, which nothing tells it to distrust; and told
-/// to end before it is ready, it ends.
+/// The program is ready within 10 s whatever discovery does, with its cached list, which nothing contradicts;
+/// and it exits if it is told to before it is ready.
 #[rstest]
 #[tokio::test]
 async fn start_and_shutdown_need_no_discovery(
     #[values(Agent::Down, Agent::Silent)] agent: Agent,
-    #[values(false, true)] ends_at_once: bool,
+    #[values(false, true)] ends_before_ready: bool,
 ) {
     let log = Log::default();
     let node = http_node(0, &[Does::Serve], &log).await;
     let members = member("s0", node, 0, "in_service", 0);
-    let (_kept, nobody) = nobody();
+    let (_reserved_socket, unused_address) = nobody();
     let (listener, silent) = listen().await;
-    let discovery = if agent == Agent::Down { nobody } else { silent };
+    let discovery = if agent == Agent::Down { unused_address } else { silent };
     let text = config_text("127.0.0.1:0", &discovery.to_string(), &members).replacen(
         r#""safety":{"#,
         r#""safety":{"stopSendingWithinMs":250,"#,
         1,
     );
-    let (begun, name) = (Instant::now(), format!("start{agent:?}{ends_at_once}"));
+    let (started_at, name) = (Instant::now(), format!("start{agent:?}{ends_before_ready}"));
     let (mut child, _lines, address) = wait_until_listening(start_program(&write_config(&name, &text), &[]));
-    if !ends_at_once {
+    if !ends_before_ready {
         let health = HEALTH_CHECK;
         let mut stream = TcpStream::connect(address).await.unwrap();
         loop {
@@ -304,7 +318,7 @@
             if answer(&mut stream).await.0 == 200 {
                 break;
             }
-            assert!(begun.elapsed() < Duration::from_secs(10), "not ready in time");
+            assert!(started_at.elapsed() < Duration::from_secs(10), "not ready in time");
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
--- a/crates/scheduler/tests/net/shutdown_stall.rs
+++ b/crates/scheduler/tests/net/shutdown_stall.rs
@@ -1,5 +1,5 @@
-//! Shutdown of a process that is held up: by the platform for up to 0.15 s, at the signal or before its last
-//! answers, or by a reload.
+//! Shutdown of a process that is delayed: stopped by the platform for up to 0.15 s, at the signal or before
+//! its last answers, or by a reload.
 
 use std::path::PathBuf;
 use std::process::Child;
@@ -14,20 +14,21 @@
 use crate::support::{replace_by_pipe, start_program, wait_until_listening, write_config};
 use heathward_fakes::*;
 
-/// The platform holds a process for so long at most.
+/// The longest time for which the platform stops a process.
 const STALL: Duration = Duration::from_millis(150);
 /// The longest deadline of a class in these tests.
 const DEADLINE: Duration = Duration::from_millis(1000);
-/// SIGKILL follows SIGTERM this much after the longest deadline.
+/// The time between the longest deadline after SIGTERM and SIGKILL.
 const KILL_DELAY: Duration = Duration::from_millis(700);
-/// A request that comes this long after SIGTERM or later is lost if SIGKILL finds it unanswered.
+/// A request that arrives this long after SIGTERM or later counts as lost if it is unanswered at SIGKILL.
 const COUNTED_AFTER: Duration = Duration::from_millis(700);
-/// When the clients ask, after SIGTERM.
-const ASKED_AFTER: Duration = Duration::from_millis(760);
-/// Requests that a node that nothing is known of gets at a time.
+/// The time from SIGTERM until the clients send their requests.
+const SENT_AFTER: Duration = Duration::from_millis(760);
+/// The number of clients, with one request each: the limit on requests in flight at a node whose capacity is
+/// unknown.
 const CLIENTS: u32 = 4;
 
-/// A program before a node that answers nothing, with clients that are connected.
+/// A program with a node that answers nothing, and connected clients.
 struct HangingNode {
     child: Child,
     process: Pid,
@@ -41,7 +42,7 @@
         let log = Log::default();
         let node = http_node(0, &[Does::Silent], &log).await;
         let members = member("s0", node, 0, "in_service", 0);
-        // An attempt lasts for as long as its client waits.
+        // An attempt lasts as long as its client waits.
         let text =
             config_text("127.0.0.1:0", "127.0.0.1:1", &members).replace("\"aimMs\":150", "\"aimMs\":1000");
         let config = write_config(name, &text);
@@ -54,7 +55,7 @@
         Self { child, process, config, log, clients }
     }
 
-    /// Stops the process over a time.
+    /// Stops the process for [`STALL`], beginning at `from`.
     async fn stall(&self, from: Instant) {
         sleep_until(from).await;
         kill_process(self.process, Signal::STOP).unwrap();
@@ -62,10 +63,13 @@
         kill_process(self.process, Signal::CONT).unwrap();
     }
 
-    /// Has the clients ask, so that all of them are in flight.
-    async fn ask(&mut self, signalled: Instant) -> JoinSet<Option<String>> {
-        sleep_until(signalled + ASKED_AFTER).await;
-        assert!(ASKED_AFTER >= COUNTED_AFTER && signalled.elapsed() < DEADLINE, "the clients ask too late");
+    /// Sends a request from each client, so that all of them are in flight.
+    async fn send_requests(&mut self, signalled: Instant) -> JoinSet<Option<String>> {
+        sleep_until(signalled + SENT_AFTER).await;
+        assert!(
+            SENT_AFTER >= COUNTED_AFTER && signalled.elapsed() < DEADLINE,
+            "the clients send their requests too late"
+        );
         let mut answers = JoinSet::new();
         for (call, mut stream) in (0..).zip(std::mem::take(&mut self.clients)) {
             stream.write_all(request("consulta", call, 0, 1000, "").as_bytes()).await.unwrap();
@@ -74,10 +78,11 @@
         answers
     }
 
-    /// Kills the process when the platform does, and checks that all clients have their answers.
+    /// Kills the process at the time at which the platform does, and checks that all clients have their
+    /// answers.
     async fn kill(mut self, signalled: Instant, answers: JoinSet<Option<String>>) {
         sleep_until(signalled + DEADLINE + KILL_DELAY).await;
-        // One that has ended is none to kill.
+        // The process may have exited by then.
         let _ = kill_process(self.process, Signal::KILL);
         let answers = answers.join_all().await;
         self.child.wait().unwrap();
@@ -86,8 +91,8 @@
     }
 }
 
-/// Guards against a shutdown that counts from the moment at which SIGTERM is heeded, or leaves no time to
-/// write its last answers: SIGKILL then finds requests unanswered.
+/// Guards against a shutdown that counts from when SIGTERM is received, or leaves no time to write its last
+/// answers: requests are then unanswered at SIGKILL.
 #[rstest]
 #[tokio::test]
 async fn requests_are_answered_before_sigkill_if_the_process_stalls(
@@ -104,24 +109,23 @@
         sleep_until(signalled + STALL).await;
         kill_process(program.process, Signal::CONT).unwrap();
     }
-    let answers = program.ask(signalled).await;
+    let answers = program.send_requests(signalled).await;
     if let Some(at) = at_the_end_ms {
         program.stall(signalled + Duration::from_millis(at)).await;
     }
     program.kill(signalled, answers).await;
 }
 
-/// Guards against a reload that keeps the program from heeding SIGTERM: its configuration is never read to
-/// the end.
+/// Guards against a reload that delays the handling of SIGTERM: the configuration is never read to its end.
 #[tokio::test]
 async fn requests_are_answered_before_sigkill_if_a_reload_hangs() {
     let operator = write_config("reload-hangs-operator", "{}");
     let mut program = HangingNode::start("reload-hangs", &["--operator", operator.to_str().unwrap()]).await;
     let reload = replace_by_pipe(&program.config);
     kill_process(program.process, Signal::HUP).unwrap();
-    let _unwritten = timeout(PATIENCE, reload).await.expect("a reload").unwrap();
+    let _write_end = timeout(PATIENCE, reload).await.expect("a reload").unwrap();
     let signalled = Instant::now();
     kill_process(program.process, Signal::TERM).unwrap();
-    let answers = program.ask(signalled).await;
+    let answers = program.send_requests(signalled).await;
     program.kill(signalled, answers).await;
 }
--- a/crates/scheduler/tests/pinned/check_messages.rs
+++ b/crates/scheduler/tests/pinned/check_messages.rs
@@ -1,4 +1,4 @@
-//! What `heathward check` says, and its exit codes: of good files, and of each field at fault.
+//! The messages and exit codes of `heathward check`, for valid files and for each invalid field.
 
 use std::fmt::Write;
 use std::path::{Path, PathBuf};
@@ -14,7 +14,7 @@
   records: { folder: '/records', segmentMb: 8, segmentSeconds: 60, totalMb: 16, waiting: 64, requests: true,
     clock: { offsetMs: -300, stepAfterMs: 1000, stepMs: 20 } } }";
 
-/// A folder of its own, in which files go by their plain names.
+/// Creates a folder for one test, in which files are given by their plain names.
 fn folder(name: &str) -> PathBuf {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("check-{name}-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
@@ -25,7 +25,7 @@
     folder
 }
 
-/// What it says of these files, and its exit code; the folder is masked.
+/// Returns the output of the check of these files, and its exit code; the folder is masked.
 fn check(folder: &Path, files: &[&str]) -> String {
     let mut command = Command::new(env!("CARGO_BIN_EXE_heathward"));
     command.current_dir(folder).arg("check").args(files);
@@ -35,25 +35,26 @@
     format!("stdout: {out:?}\nstderr: {error:?}\nexit: {:?}\n", output.status.code().unwrap())
 }
 
-/// What it says of each of these files with one thing replaced, next to these others.
+/// Returns the output of the check of `file`, once per case with one text replaced in it, together with the
+/// files `others`.
 fn check_replaced(name: &str, file: &str, others: &[&str], cases: &[(&str, &str)]) -> String {
     let folder = folder(name);
     let text = std::fs::read_to_string(folder.join(file)).unwrap();
     let files: Vec<&str> = others.iter().copied().chain([file]).collect();
-    let mut said = String::new();
+    let mut output_text = String::new();
     for (from, to) in cases {
         assert!(text.contains(from), "{from}");
         std::fs::write(folder.join(file), text.replacen(from, to, 1)).unwrap();
-        write!(said, "--- {from} -> {to}\n{}", check(&folder, &files)).unwrap();
+        write!(output_text, "--- {from} -> {to}\n{}", check(&folder, &files)).unwrap();
     }
     std::fs::remove_dir_all(folder).unwrap();
-    said
+    output_text
 }
 
-/// The command line, as the program describes it.
+/// The help texts and usage errors of the command line.
 #[test]
 fn the_help_texts_are_as_pinned() {
-    let mut said = String::new();
+    let mut output_text = String::new();
     for arguments in
         [&["--help"][..], &["-h"], &["check", "--help"], &["check"], &["--rules", "x"], &["--nothing"]]
     {
@@ -65,16 +66,16 @@
         let (out, error) =
             (String::from_utf8(output.stdout).unwrap(), String::from_utf8(output.stderr).unwrap());
         let code = output.status.code().unwrap();
-        write!(said, "--- {arguments:?}\n{out}--- stderr\n{error}--- exit {code}\n").unwrap();
+        write!(output_text, "--- {arguments:?}\n{out}--- stderr\n{error}--- exit {code}\n").unwrap();
     }
-    assert_matches_fixture("help.txt", &said);
+    assert_matches_fixture("help.txt", &output_text);
 }
 
 #[test]
-fn messages_on_good_files_are_as_pinned() {
+fn messages_on_valid_files_are_as_pinned() {
     let folder = folder("good");
     std::fs::write(folder.join("other.json"), "{}").unwrap();
-    let mut said = String::new();
+    let mut output_text = String::new();
     for files in [
         &["config.json", "nvme.json", "rules.json", "operator.jsonnet"][..],
         &["rules.json"],
@@ -84,10 +85,10 @@
         &["nowhere.jsonnet"],
         &["other.json"],
     ] {
-        write!(said, "--- {files:?}\n{}", check(&folder, files)).unwrap();
+        write!(output_text, "--- {files:?}\n{}", check(&folder, files)).unwrap();
     }
     std::fs::remove_dir_all(folder).unwrap();
-    assert_matches_fixture("check_good_files.txt", &said);
+    assert_matches_fixture("check_good_files.txt", &output_text);
 }
 
 #[test]
@@ -211,9 +212,9 @@
         ("\"shards\": 2", "\"shards\": 0"),
         ("\"hosts\": 1", "\"hosts\": 0"),
     ];
-    let said = check_replaced("rules", "rules.json", &["config.json"], &cases)
+    let output_text = check_replaced("rules", "rules.json", &["config.json"], &cases)
         + &check_replaced("rules-alone", "rules.json", &[], &cases);
-    assert_matches_fixture("check_rules.txt", &said);
+    assert_matches_fixture("check_rules.txt", &output_text);
 }
 
 #[test]
@@ -251,6 +252,6 @@
         ("stepAfterMs: 1000", "stepAfterMs: 0.5"),
         ("stepMs: 20", "stepMs: 'x'"),
     ];
-    let said = check_replaced("operator", "operator.jsonnet", &["config.json"], &cases);
-    assert_matches_fixture("check_operator_file.txt", &said);
+    let output_text = check_replaced("operator", "operator.jsonnet", &["config.json"], &cases);
+    assert_matches_fixture("check_operator_file.txt", &output_text);
 }
